--- a/internal/adapters/admission.go
+++ b/internal/adapters/admission.go
@@ -89,7 +89,7 @@
 	// seven times as often as those with fewer than 1,000 (0.29 and 0.04 of them).
 	ask.Target -= readingTime(ask.Tokens)
 	view := k.Load(k.runner.ID, now)
-	limits := placing.For(k.runner.Slots, k.Share())
+	limits := placing.LimitsFor(k.runner.Slots, k.Share())
 	usual := k.Reading()
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -246,12 +246,12 @@
 		// for its turn, and be fetched once more elsewhere for those that cannot wait.
 		return ErrBusy
 	}
-	limit := limits.Fair
+	limit := limits.NotLoaded
 	switch {
 	case settled:
-		limit = limits.Most
+		limit = limits.Max
 	case k.holds(ask.Key):
-		limit = limits.Held
+		limit = limits.Loaded
 	}
 	if view.Load >= limit {
 		return ErrBusy
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -39,7 +39,7 @@
 		}
 	}
 	for _, id := range c.Owned() {
-		if c.deps.Hosts.Gone(id) {
+		if c.deps.Hosts.Removed(id) {
 			c.drop(id)
 		}
 	}
@@ -83,7 +83,7 @@
 // watchOwner times the lease of an owner, and breaks it once it has lapsed. An
 // owner that is heard gives the runner up by itself.
 func (c *Controller) watchOwner(ctx context.Context, owner string) {
-	if c.deps.Members.Speaking(owner, time.Now()) {
+	if c.deps.Members.Alive(owner, time.Now()) {
 		c.observer.Forget(owner)
 		return
 	}
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -101,7 +101,7 @@
 }
 
 func (c *Controller) hearHolder(ctx context.Context, m *managed, host string, fence uint64) {
-	if c.deps.Hosts.Gone(host) {
+	if c.deps.Hosts.Removed(host) {
 		m.runner.Ended(host, "", time.Now())
 		return
 	}
@@ -117,7 +117,7 @@
 // that have ended: one whose host is gone, or for which a later one speaks.
 func (c *Controller) noteNewMembers(m *managed) {
 	for _, member := range c.deps.Members.All() {
-		if c.deps.Hosts.Gone(member.Host) {
+		if c.deps.Hosts.Removed(member.Host) {
 			m.runner.Ended(member.Host, "", time.Now())
 			continue
 		}
@@ -171,7 +171,7 @@
 func (c *Controller) settleDoubts(m *managed, now time.Time) {
 	m.mu.Lock()
 	for _, intent := range m.record.Intents {
-		if c.deps.Hosts.Gone(intent.Owner) {
+		if c.deps.Hosts.Removed(intent.Owner) {
 			m.noteOverLocked(intent)
 		}
 	}
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -166,8 +166,8 @@
 	return e.choose(now, limit, func(*estimate) bool { return true })
 }
 
-// Habitual gives the models that are regularly used in the hour of a time.
-func (e *Estimator) Habitual(at time.Time, limit int) []Forecast {
+// UsualAtHour gives the models that are regularly used in the hour of a time.
+func (e *Estimator) UsualAtHour(at time.Time, limit int) []Forecast {
 	hour := at.UTC().Hour()
 	return e.choose(at, limit, func(est *estimate) bool { return est.habit[hour] >= habitLikely })
 }
@@ -201,34 +201,34 @@
 	return count
 }
 
-// Saved is one model's estimate as it is handed on or stored.
-type Saved struct {
-	Model string  `json:"m"`
-	Fast  float64 `json:"f"`
-	Slow  float64 `json:"s"`
-	Habit []byte  `json:"h,omitempty"`
+// SavedEstimate is one model's estimate as it is handed on or stored.
+type SavedEstimate struct {
+	Model      string  `json:"m"`
+	Fast       float64 `json:"f"`
+	Slow       float64 `json:"s"`
+	HourScores []byte  `json:"h,omitempty"`
 }
 
 // Save gives the estimates with the highest rates as of a time.
-func (e *Estimator) Save(now time.Time, limit int) []Saved {
-	var saved []Saved
+func (e *Estimator) Save(now time.Time, limit int) []SavedEstimate {
+	var saved []SavedEstimate
 	for i := range e.shards {
 		s := &e.shards[i]
 		s.mu.Lock()
 		for model, est := range s.models {
 			est.decay(now)
-			saved = append(saved, Saved{Model: model, Fast: est.fast, Slow: est.slow, Habit: slices.Clone(est.habit[:])})
+			saved = append(saved, SavedEstimate{Model: model, Fast: est.fast, Slow: est.slow, HourScores: slices.Clone(est.habit[:])})
 		}
 		s.mu.Unlock()
 	}
-	slices.SortFunc(saved, func(a, b Saved) int {
+	slices.SortFunc(saved, func(a, b SavedEstimate) int {
 		return cmp.Or(cmp.Compare(b.Slow, a.Slow), cmp.Compare(a.Model, b.Model))
 	})
 	return saved[:min(limit, len(saved))]
 }
 
 // Restore takes saved estimates over where they say more than what is known.
-func (e *Estimator) Restore(saved []Saved, now time.Time) {
+func (e *Estimator) Restore(saved []SavedEstimate, now time.Time) {
 	for _, item := range saved {
 		s := e.shard(item.Model)
 		s.mu.Lock()
@@ -241,8 +241,8 @@
 			est.decay(now)
 			est.fast = max(est.fast, item.Fast)
 			est.slow = max(est.slow, item.Slow)
-			for hour := range min(len(item.Habit), hoursPerDay) {
-				est.habit[hour] = max(est.habit[hour], item.Habit[hour])
+			for hour := range min(len(item.HourScores), hoursPerDay) {
+				est.habit[hour] = max(est.habit[hour], item.HourScores[hour])
 			}
 		}
 		s.mu.Unlock()
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -109,7 +109,7 @@
 	}
 	avoid := func(id string) bool { return params.Avoid[id] }
 	runners := slices.DeleteFunc(p.withPlacements(p.table.All(params.Base), now), func(r routing.Runner) bool {
-		return !p.members.Speaking(r.Owner, now)
+		return !p.members.Alive(r.Owner, now)
 	})
 	runner, ok := routing.Place(params.Model, runners, p.weights, times, avoid)
 	if !ok {
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -62,7 +62,7 @@
 	located := d.reachable(req.Model, now)
 	avoid := func(id string) bool { return state.avoided[id] || d.deps.Breakers.Avoid(id, now) }
 	decision := routing.Choose(located, d.cfg.Weights, times, avoid)
-	if decision.Spread {
+	if decision.NeedsReplica {
 		d.spread(ctx, req, decision.Runner.ID)
 	}
 	if decision.Action != routing.ActionNone {
@@ -79,9 +79,9 @@
 // owner is heard, and those on which this host has a pin already. An owner that
 // nobody hears keeps its runners for as long as it renews its lease.
 func (d *Dispatcher) reachable(model string, now time.Time) []routing.Located {
-	located := d.deps.Table.With(model)
+	located := d.deps.Table.RunnersWith(model)
 	return slices.DeleteFunc(located, func(l routing.Located) bool {
-		return !d.deps.Members.Speaking(l.Owner, now) && !d.deps.Holder.Holds(l.ID, model)
+		return !d.deps.Members.Alive(l.Owner, now) && !d.deps.Holder.Holds(l.ID, model)
 	})
 }
 
@@ -191,7 +191,7 @@
 			case <-ctx.Done():
 				return
 			case now := <-ticker.C:
-				if !d.deps.Members.Speaking(host, now) {
+				if !d.deps.Members.Alive(host, now) {
 					cancel()
 					return
 				}
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -149,7 +149,7 @@
 	}
 	r.runners = r.w.order(key)
 	r.search = r.host.spreads.Search(key, len(r.runners))
-	if r.search.Near() {
+	if r.search.PreferLocal() {
 		r.runners = slices.Clone(r.runners)
 		slices.SortStableFunc(r.runners, func(a, b *site.Runner) int { return r.far(a) - r.far(b) })
 	}
@@ -172,7 +172,7 @@
 			r.refuse()
 			return
 		}
-		runner := r.runners[step.Place]
+		runner := r.runners[step.Rank]
 		if r.tried[runner.ID] || (!last && r.host.board.View(runner.ID, w.clock.now).Suspect) {
 			continue
 		}
@@ -184,7 +184,7 @@
 
 func (r *request) askOwner() {
 	w := r.w
-	runner := r.runners[r.step.Place]
+	runner := r.runners[r.step.Rank]
 	way := w.way(r.host.centre, runner.DataCentre)
 	w.result.Asks++
 	w.clock.after(way, func() {
@@ -197,7 +197,7 @@
 		admitted, err := k.Admit(adapters.Admission{
 			Key: r.key, Tokens: r.prompt, Output: r.output, Likely: r.output, Patience: target / patienceShare,
 			Target: r.arrived.Add(target - firstMargin).Sub(w.clock.now), Within: r.within(), Last: r.last,
-			Home: r.step.Home && r.key.Name != "" && w.policy == Product, Anew: r.step.Anew, Waited: r.waited,
+			Home: r.step.Home && r.key.Name != "" && w.policy == Product, Anew: r.step.Retry, Waited: r.waited,
 		})
 		w.wake(k, 0)
 		if err != nil {
@@ -259,7 +259,7 @@
 			r.askOwner()
 			return
 		}
-		r.search.Admitted(r.step.Place)
+		r.search.Admitted(r.step.Rank)
 		r.send(runner)
 	})
 }
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -86,7 +86,7 @@
 type host struct {
 	name    string
 	centre  string
-	spreads *placing.Spreads
+	spreads *placing.SpreadEstimator
 	board   *board.Board
 	budget  *retrybudget.Budget
 }
@@ -154,7 +154,7 @@
 func (w *world) startHosts() {
 	limit := retrybudget.Limit{Ratio: w.cfg.Retries.Ratio, Slack: w.cfg.Retries.Slack, Window: seconds(w.cfg.Retries.WindowS)}
 	for _, h := range w.hosts {
-		h.spreads = placing.NewSpreads()
+		h.spreads = placing.NewSpreadEstimator()
 		h.board = board.New()
 		h.budget = retrybudget.New(limit, w.clock.now)
 	}
--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -101,16 +101,16 @@
 	return host, ok
 }
 
-// Gone says that the platform once listed the host and no longer does. A host
+// Removed says that the platform once listed the host and no longer does. A host
 // never seen is not gone: the list may lag behind its start.
-func (t *Table) Gone(id string) bool {
+func (t *Table) Removed(id string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.gone[id]
 }
 
-// Stale gives the number of lists that were not believed.
-func (t *Table) Stale() int {
+// StaleLists gives the number of lists that were not believed.
+func (t *Table) StaleLists() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
 	return t.stale
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -14,12 +14,12 @@
 	must.False(t, table.Update(List{Version: 1, Hosts: []Host{{ID: "a", State: StateLeaving}}}))
 	must.False(t, table.Update(List{Version: 3}))
 	must.True(t, table.MayReceive("a"))
-	must.False(t, table.Gone("b"))
+	must.False(t, table.Removed("b"))
 	must.True(t, table.Update(List{Version: 4, Hosts: []Host{{ID: "a", State: StateLeaving}}}))
 	must.False(t, table.MayReceive("a"))
-	must.True(t, table.Gone("b"))
-	must.False(t, table.Gone("never seen"))
-	must.Eq(t, 2, table.Stale())
+	must.True(t, table.Removed("b"))
+	must.False(t, table.Removed("never seen"))
+	must.Eq(t, 2, table.StaleLists())
 }
 
 func TestRendezvousMovesOnlyWhatItMust(t *testing.T) {
@@ -64,14 +64,14 @@
 func TestCandidates(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := NewMembers(2 * time.Second)
-	m.Heard(Member{Host: "a", Ready: true, DataCentre: "x"}, now)
-	m.Heard(Member{Host: "b", Ready: true, DataCentre: "y"}, now)
-	m.Heard(Member{Host: "c", Ready: true, Leaving: true, DataCentre: "x"}, now)
-	m.Heard(Member{Host: "d", DataCentre: "x"}, now)
+	m.Observe(Member{Host: "a", Ready: true, DataCentre: "x"}, now)
+	m.Observe(Member{Host: "b", Ready: true, DataCentre: "y"}, now)
+	m.Observe(Member{Host: "c", Ready: true, Leaving: true, DataCentre: "x"}, now)
+	m.Observe(Member{Host: "d", DataCentre: "x"}, now)
 	must.Eq(t, []string{"a"}, m.Candidates("x", now))
 	must.Eq(t, []string{"a", "b"}, m.Candidates("", now))
 	must.Eq(t, []string{"a", "b"}, m.Candidates("z", now))
 	must.SliceEmpty(t, m.Candidates("", now.Add(3*time.Second)))
-	must.True(t, m.Heard(Member{Host: "a", Incarnation: "2"}, now))
-	must.False(t, m.Heard(Member{Host: "a", Incarnation: "2"}, now))
+	must.True(t, m.Observe(Member{Host: "a", Incarnation: "2"}, now))
+	must.False(t, m.Observe(Member{Host: "a", Incarnation: "2"}, now))
 }
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -18,8 +18,8 @@
 	// Ready: the process has an inventory and may own runners.
 	Ready    bool   `json:"ready,omitempty"`
 	Revision uint64 `json:"revision"`
-	// Wanted is the number of loads that callers wait for on its runners.
-	Wanted int `json:"wanted,omitempty"`
+	// WaitingLoads is the number of loads that callers wait for on its runners.
+	WaitingLoads int `json:"wanted,omitempty"`
 	// LoadWaitMS is the time, in milliseconds, until a load asked of this
 	// member now would be done; of use from the member that orders loads.
 	LoadWaitMS int64 `json:"load_wait_ms,omitempty"`
@@ -44,9 +44,9 @@
 	return &Members{silence: silence, heard: map[string]heardMember{}}
 }
 
-// Heard notes a message of a member and reports whether a new process speaks
+// Observe notes a message of a member and reports whether a new process speaks
 // for the host.
-func (m *Members) Heard(member Member, now time.Time) bool {
+func (m *Members) Observe(member Member, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old, known := m.heard[member.Host]
@@ -54,8 +54,8 @@
 	return !known || old.Incarnation != member.Incarnation
 }
 
-// Forget drops a member that the platform no longer lists.
-func (m *Members) Forget(host string) {
+// Remove drops a member that the platform no longer lists.
+func (m *Members) Remove(host string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	delete(m.heard, host)
@@ -69,8 +69,8 @@
 	return heard.Member, ok
 }
 
-// Speaking says whether a member was heard of late.
-func (m *Members) Speaking(host string, now time.Time) bool {
+// Alive says whether a member was heard of late.
+func (m *Members) Alive(host string, now time.Time) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	heard, ok := m.heard[host]
--- a/internal/loading/service.go
+++ b/internal/loading/service.go
@@ -226,7 +226,7 @@
 
 func (s *Service) borrowAll(ctx context.Context) {
 	for _, member := range s.members.All() {
-		if member.Host == s.self || !s.members.Speaking(member.Host, time.Now()) {
+		if member.Host == s.self || !s.members.Alive(member.Host, time.Now()) {
 			continue
 		}
 		go s.borrow(ctx, member)
@@ -250,7 +250,7 @@
 func (s *Service) Expected() time.Duration {
 	wanted := 0
 	for _, member := range s.members.All() {
-		wanted += member.Wanted
+		wanted += member.WaitingLoads
 	}
 	return s.queue.Expected(wanted, time.Now())
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -104,7 +104,7 @@
 
 func (s *Service) take(member fleet.Member, views []residency.View) {
 	now := time.Now()
-	s.deps.Members.Heard(member, now)
+	s.deps.Members.Observe(member, now)
 	s.deps.Seen(views)
 	s.deps.Heard(member)
 }
@@ -140,7 +140,7 @@
 // next round up; it is sent to again once it has answered.
 func (s *Service) Round(ctx context.Context) {
 	self := s.deps.Self()
-	s.deps.Members.Heard(self, time.Now())
+	s.deps.Members.Observe(self, time.Now())
 	s.forgetGone()
 	for _, to := range s.targets(self) {
 		go s.send(ctx, to)
@@ -149,8 +149,8 @@
 
 func (s *Service) forgetGone() {
 	for _, member := range s.deps.Members.All() {
-		if s.deps.Hosts.Gone(member.Host) {
-			s.deps.Members.Forget(member.Host)
+		if s.deps.Hosts.Removed(member.Host) {
+			s.deps.Members.Remove(member.Host)
 		}
 	}
 }
--- a/internal/node/foresight.go
+++ b/internal/node/foresight.go
@@ -69,7 +69,7 @@
 		n.addVersions(snapshot, forecast, add)
 	}
 	if until := now.Truncate(time.Hour).Add(time.Hour).Sub(now); until < habitLead {
-		for _, forecast := range n.demand.estimator.Habitual(now.Add(habitLead), foresightLimit) {
+		for _, forecast := range n.demand.estimator.UsualAtHour(now.Add(habitLead), foresightLimit) {
 			add(forecast.Model, max(forecast.PerSecond, habitRate))
 		}
 	}
@@ -147,7 +147,7 @@
 
 // prefetch asks for a load of a model that is nowhere; it reports whether it did.
 func (n *Node) prefetch(ctx context.Context, forecast demand.Forecast, now time.Time) bool {
-	if dispatch.Home(forecast.Model, n.candidates(now)) != n.cfg.Host || len(n.table.With(forecast.Model)) > 0 {
+	if dispatch.Home(forecast.Model, n.candidates(now)) != n.cfg.Host || len(n.table.RunnersWith(forecast.Model)) > 0 {
 		return false
 	}
 	name, _ := inventory.SplitModel(forecast.Model)
@@ -195,14 +195,14 @@
 	if err != nil {
 		return 0
 	}
-	var saved []demand.Saved
+	var saved []demand.SavedEstimate
 	if err := json.Unmarshal(object.Value, &saved); err != nil {
 		n.log.Warn("stored demand not readable", "host", host, "error", err)
 		return object.Version
 	}
 	now := time.Now()
 	candidates := n.candidates(now)
-	saved = slices.DeleteFunc(saved, func(item demand.Saved) bool {
+	saved = slices.DeleteFunc(saved, func(item demand.SavedEstimate) bool {
 		return dispatch.Home(item.Model, candidates) != n.cfg.Host
 	})
 	n.demand.estimator.Restore(saved, now)
@@ -234,7 +234,7 @@
 func (n *Node) handDemand(ctx context.Context) {
 	now := time.Now()
 	candidates := n.candidates(now)
-	byHome := map[string][]demand.Saved{}
+	byHome := map[string][]demand.SavedEstimate{}
 	for _, item := range n.demand.estimator.Save(now, demandSaved) {
 		if home := dispatch.Home(item.Model, candidates); home != "" && home != n.cfg.Host {
 			byHome[home] = append(byHome[home], item)
@@ -252,5 +252,5 @@
 }
 
 type demandParams struct {
-	Items []demand.Saved `json:"items"`
+	Items []demand.SavedEstimate `json:"items"`
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -43,7 +43,7 @@
 		PinsHeld: n.holder.Count(), RunnersOwned: len(n.controller.Owned()),
 		LeaseSeconds: max(0, n.controller.Lease().Sub(now).Seconds()), LoadsWanted: n.controller.Wanted(),
 		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.Calls(), HeartbeatsSent: n.membership.Beats(),
-		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.Stale(), DemandModels: n.demand.estimator.Len(),
+		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
 		UptimeSeconds: now.Sub(n.started).Seconds(),
 	}
 	for _, view := range n.ownedViews() {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -129,7 +129,7 @@
 		}
 	}
 	for _, host := range n.hosts.ByRole(fleet.RoleEntry) {
-		if !n.members.Speaking(host.ID, now) && now.Sub(n.started) < startGrace {
+		if !n.members.Alive(host.ID, now) && now.Sub(n.started) < startGrace {
 			return false
 		}
 	}
@@ -237,7 +237,7 @@
 	for _, runner := range runners {
 		if runner.Live {
 			places += runner.MaxBatch
-			elsewhere += max(0, runner.Occupancy-runner.Own)
+			elsewhere += max(0, runner.Occupancy-runner.OwnRequests)
 		}
 	}
 	if places == 0 {
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -67,10 +67,10 @@
 // processEnded says whether a process is proven over: its host is gone from
 // the list, or its lease has ended.
 func (n *Node) processEnded(ctx context.Context, owner loading.Owner) bool {
-	if n.hosts.Gone(owner.Host) {
+	if n.hosts.Removed(owner.Host) {
 		return true
 	}
-	if n.members.Speaking(owner.Host, time.Now()) {
+	if n.members.Alive(owner.Host, time.Now()) {
 		member, _ := n.members.Get(owner.Host)
 		return member.Incarnation != owner.Incarnation
 	}
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -23,7 +23,7 @@
 	return fleet.Member{
 		Host: n.cfg.Host, Incarnation: n.self.Incarnation, Address: n.cfg.AdvertisedPeer(),
 		DataCentre: n.cfg.DataCentre, Region: n.cfg.Region, Leaving: leaving, Ready: n.started.Before(time.Now()),
-		Revision: uint64(revision), LoadWaitMS: n.loads.Expected().Milliseconds(), Wanted: n.controller.Wanted(),
+		Revision: uint64(revision), LoadWaitMS: n.loads.Expected().Milliseconds(), WaitingLoads: n.controller.Wanted(),
 	}
 }
 
@@ -118,7 +118,7 @@
 	}
 	for _, member := range n.members.All() {
 		host, _ := n.hosts.Host(member.Host)
-		status.Hosts = append(status.Hosts, adminapi.HostStatus{Member: member, State: host.State, Speaking: n.members.Speaking(member.Host, now)})
+		status.Hosts = append(status.Hosts, adminapi.HostStatus{Member: member, State: host.State, Speaking: n.members.Alive(member.Host, now)})
 	}
 	for _, view := range n.table.Views() {
 		host, _ := n.hosts.Host(view.Runner)
@@ -165,7 +165,7 @@
 		return story, true
 	}
 	for _, member := range n.members.All() {
-		if member.Host == n.cfg.Host || !n.members.Speaking(member.Host, time.Now()) {
+		if member.Host == n.cfg.Host || !n.members.Alive(member.Host, time.Now()) {
 			continue
 		}
 		var result explainResult
--- a/internal/placing/placing.go
+++ b/internal/placing/placing.go
@@ -31,20 +31,20 @@
 
 // Limits are the numbers of requests that a runner may have.
 type Limits struct {
-	// Fair is the number up to which it takes requests whose adapter would have
-	// to be loaded, Held that for adapters which lie there, Most the one that it
+	// NotLoaded is the number up to which it takes requests whose adapter would have
+	// to be loaded, Loaded that for adapters which lie there, Max the one that it
 	// never exceeds.
-	Fair, Held, Most int
+	NotLoaded, Loaded, Max int
 }
 
-// For gives the limits of a runner with so many slots while the runners are
+// LimitsFor gives the limits of a runner with so many slots while the runners are
 // filled to a share of theirs on average.
-func For(slots int, share float64) Limits {
+func LimitsFor(slots int, share float64) Limits {
 	fair := int(max(share*balance, quietShare)*float64(slots)) + 1
 	return Limits{
-		Fair: min(fair, slots),
-		Held: int(heldShare * float64(slots)),
-		Most: slots + max(1, int(float64(slots)*overfull)),
+		NotLoaded: min(fair, slots),
+		Loaded:    int(heldShare * float64(slots)),
+		Max:       slots + max(1, int(float64(slots)*overfull)),
 	}
 }
 
@@ -56,17 +56,17 @@
 	Slots int
 	// Suspect runners failed requests lately.
 	Suspect bool
-	// Near runners are in the host's own data centre.
-	Near bool
+	// Local runners are in the host's own data centre.
+	Local bool
 }
 
-// Plain chooses a runner for a request that any runner of the service serves,
+// LeastLoaded chooses a runner for a request that any runner of the service serves,
 // and gives -1 where none has room.
-func Plain(candidates []Candidate) int {
-	if i := least(candidates, func(c Candidate) bool { return !c.Suspect && c.Load < For(c.Slots, 0).Most }); i >= 0 {
+func LeastLoaded(candidates []Candidate) int {
+	if i := least(candidates, func(c Candidate) bool { return !c.Suspect && c.Load < LimitsFor(c.Slots, 0).Max }); i >= 0 {
 		return i
 	}
-	return least(candidates, func(c Candidate) bool { return c.Load < For(c.Slots, 0).Most })
+	return least(candidates, func(c Candidate) bool { return c.Load < LimitsFor(c.Slots, 0).Max })
 }
 
 // least gives the fitting candidate with the smallest share of its slots in
@@ -86,5 +86,5 @@
 	if left != right {
 		return left < right
 	}
-	return a.Near && !b.Near
+	return a.Local && !b.Local
 }
--- a/internal/placing/placing_test.go
+++ b/internal/placing/placing_test.go
@@ -13,26 +13,26 @@
 		share float64
 		want  Limits
 	}{
-		{"quiet: no copies while runners are nine tenths full", 64, 0.1, Limits{Fair: 58, Held: 72, Most: 80}},
-		{"busy: a runner may be half as busy again as the mean", 64, 0.65, Limits{Fair: 63, Held: 72, Most: 80}},
-		{"full: no runner is better than another", 64, 1.2, Limits{Fair: 64, Held: 72, Most: 80}},
-		{"few slots", 12, 0.1, Limits{Fair: 11, Held: 13, Most: 15}},
-		{"one slot", 1, 0, Limits{Fair: 1, Held: 1, Most: 2}},
+		{"quiet: no copies while runners are nine tenths full", 64, 0.1, Limits{NotLoaded: 58, Loaded: 72, Max: 80}},
+		{"busy: a runner may be half as busy again as the mean", 64, 0.65, Limits{NotLoaded: 63, Loaded: 72, Max: 80}},
+		{"full: no runner is better than another", 64, 1.2, Limits{NotLoaded: 64, Loaded: 72, Max: 80}},
+		{"few slots", 12, 0.1, Limits{NotLoaded: 11, Loaded: 13, Max: 15}},
+		{"one slot", 1, 0, Limits{NotLoaded: 1, Loaded: 1, Max: 2}},
 	} {
-		t.Run(test.name, func(t *testing.T) { must.Eq(t, test.want, For(test.slots, test.share)) })
+		t.Run(test.name, func(t *testing.T) { must.Eq(t, test.want, LimitsFor(test.slots, test.share)) })
 	}
 }
 
 func TestPlain(t *testing.T) {
 	small := func(id string, load int, near bool) Candidate {
-		return Candidate{ID: id, Load: load, Slots: 6, Near: near}
+		return Candidate{ID: id, Load: load, Slots: 6, Local: near}
 	}
-	must.Eq(t, 1, Plain([]Candidate{small("a", 3, true), small("b", 1, false)}))
-	must.Eq(t, 1, Plain([]Candidate{small("a", 1, false), small("b", 1, true)}))
-	must.Eq(t, -1, Plain([]Candidate{small("a", 7, true), small("b", 8, true)}))
-	must.Eq(t, -1, Plain(nil))
+	must.Eq(t, 1, LeastLoaded([]Candidate{small("a", 3, true), small("b", 1, false)}))
+	must.Eq(t, 1, LeastLoaded([]Candidate{small("a", 1, false), small("b", 1, true)}))
+	must.Eq(t, -1, LeastLoaded([]Candidate{small("a", 7, true), small("b", 8, true)}))
+	must.Eq(t, -1, LeastLoaded(nil))
 	suspect := small("a", 0, true)
 	suspect.Suspect = true
-	must.Eq(t, 1, Plain([]Candidate{suspect, small("b", 6, false)}))
-	must.Eq(t, 0, Plain([]Candidate{suspect}), must.Sprint("a suspect is better than a refusal"))
+	must.Eq(t, 1, LeastLoaded([]Candidate{suspect, small("b", 6, false)}))
+	must.Eq(t, 0, LeastLoaded([]Candidate{suspect}), must.Sprint("a suspect is better than a refusal"))
 }
--- a/internal/placing/search.go
+++ b/internal/placing/search.go
@@ -13,7 +13,7 @@
 // Search is the search of one request for a place on an engine: a walk over its
 // adapter's runners, and another one on which it takes any place at all.
 type Search struct {
-	spreads *Spreads
+	spreads *SpreadEstimator
 	// key is that of the adapter's spread, whole the one over all data centres.
 	key, whole string
 	places     int
@@ -28,18 +28,18 @@
 const nearPrefix = "near "
 
 // Search begins a search over so many runners.
-func (s *Spreads) Search(key string, places int) *Search {
+func (s *SpreadEstimator) Search(key string, places int) *Search {
 	search := &Search{spreads: s, key: key, whole: key, places: places}
-	if s.Wide(key) {
+	if s.IsWide(key) {
 		search.key = nearPrefix + key
 	}
 	search.walk = s.Walk(search.key, places)
 	return search
 }
 
-// Near says that the runners are to be ordered with those of the request's data
+// PreferLocal says that the runners are to be ordered with those of the request's data
 // centre first.
-func (s *Search) Near() bool { return s.key != s.whole }
+func (s *Search) PreferLocal() bool { return s.key != s.whole }
 
 // Next gives the next place to ask, and whether for any place at all; false after
 // the last. The draw is uniform in [0, 1).
@@ -73,14 +73,14 @@
 		s.busy++
 	}
 	if len(named) > 0 {
-		s.walk.Named(named, elsewhere)
+		s.walk.AddReplicas(named, elsewhere)
 	}
 }
 
 // Admitted notes where the request was admitted.
 func (s *Search) Admitted(place int) {
 	s.spreads.Admitted(s.key, place, s.busy)
-	if s.Near() && place == 0 && s.busy == 0 {
+	if s.PreferLocal() && place == 0 && s.busy == 0 {
 		// One runner of the data centre is enough: the adapter may be less wanted
 		// than it was.
 		s.spreads.Admitted(s.whole, 0, 0)
--- a/internal/placing/spread.go
+++ b/internal/placing/spread.go
@@ -2,13 +2,13 @@
 
 import "sync"
 
-// Spreads learns over how many runners each adapter is spread, from where its
+// SpreadEstimator learns over how many runners each adapter is spread, from where its
 // requests were admitted. It is safe for concurrent use.
 //
 // The load it answers: of 112 runners with 12 slots each, the most wanted adapter
 // keeps 25 busy. Asked one after the other, the first three were always full, and
 // a sixth of all requests was refused while half of the slots were free.
-type Spreads struct {
+type SpreadEstimator struct {
 	mu     sync.Mutex
 	widths map[string]spread
 }
@@ -35,10 +35,10 @@
 	maxSpreads = 4096
 )
 
-// NewSpreads makes spreads that know nothing: each adapter on one runner.
-func NewSpreads() *Spreads { return &Spreads{widths: map[string]spread{}} }
+// NewSpreadEstimator makes spreads that know nothing: each adapter on one runner.
+func NewSpreadEstimator() *SpreadEstimator { return &SpreadEstimator{widths: map[string]spread{}} }
 
-func (s *Spreads) of(key string) spread {
+func (s *SpreadEstimator) of(key string) spread {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known, ok := s.widths[key]
@@ -51,7 +51,7 @@
 // Admitted notes that a request was admitted at a place in the adapter's order
 // of runners, after so many refusals of busy ones. Other refusals say nothing of
 // how much the adapter is wanted.
-func (s *Spreads) Admitted(key string, place, busy int) {
+func (s *SpreadEstimator) Admitted(key string, place, busy int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	width := max(1, s.widths[key].width)
@@ -72,10 +72,10 @@
 // adapter to fill a runner of its own.
 const wide = 4
 
-// Wide says that an adapter is spread over so many runners that its requests can
+// IsWide says that an adapter is spread over so many runners that its requests can
 // stay in their data centre.
 //
 // The load it answers: bytes between data centres are the dearest thing after
 // fetches, and three quarters of all answers crossed, those of the ten most
 // wanted adapters too, which lie everywhere.
-func (s *Spreads) Wide(key string) bool { return s.of(key).width >= wide }
+func (s *SpreadEstimator) IsWide(key string) bool { return s.of(key).width >= wide }
--- a/internal/placing/spread_test.go
+++ b/internal/placing/spread_test.go
@@ -8,16 +8,16 @@
 )
 
 func TestWalkTriesEachPlaceOnce(t *testing.T) {
-	walk := NewSpreads().Walk("a", 5)
+	walk := NewSpreadEstimator().Walk("a", 5)
 	seen := map[int]bool{}
 	first, _ := walk.Next(0.99)
-	must.Eq(t, Step{Place: 0, Home: true}, first, must.Sprint("a cold adapter's home comes first"))
-	seen[first.Place] = true
+	must.Eq(t, Step{Rank: 0, Home: true}, first, must.Sprint("a cold adapter's home comes first"))
+	seen[first.Rank] = true
 	for range 4 {
 		step, ok := walk.Next(0.5)
 		must.True(t, ok)
-		must.False(t, seen[step.Place])
-		seen[step.Place] = true
+		must.False(t, seen[step.Rank])
+		seen[step.Rank] = true
 	}
 	_, ok := walk.Next(0)
 	must.False(t, ok)
@@ -27,10 +27,10 @@
 // Both go on to the same runner, whatever they draw: one copy is made and not two.
 func TestRequestsForAColdAdapterMeet(t *testing.T) {
 	for _, draw := range []float64{0, 0.3, 0.6, 0.99} {
-		walk := NewSpreads().Walk("a", 112)
+		walk := NewSpreadEstimator().Walk("a", 112)
 		for want := range 6 {
 			step, _ := walk.Next(draw)
-			must.Eq(t, want, step.Place)
+			must.Eq(t, want, step.Rank)
 		}
 	}
 }
@@ -38,16 +38,16 @@
 // The home of an adapter names two runners that have it. They are asked before any
 // runner that would have to load it, and then the home once more.
 func TestNamedRunnersComeBeforeCopies(t *testing.T) {
-	walk := NewSpreads().Walk("a", 5)
+	walk := NewSpreadEstimator().Walk("a", 5)
 	_, _ = walk.Next(0)
-	walk.Named([]int{3, 7, 0, 1}, true)
+	walk.AddReplicas([]int{3, 7, 0, 1}, true)
 	var steps []Step
 	for range 5 {
 		step, ok := walk.Next(0)
 		must.True(t, ok)
 		steps = append(steps, step)
 	}
-	must.Eq(t, []Step{{Place: 3}, {Place: 1}, {Home: true, Anew: true}, {Place: 2}, {Place: 4}}, steps)
+	must.Eq(t, []Step{{Rank: 3}, {Rank: 1}, {Home: true, Retry: true}, {Rank: 2}, {Rank: 4}}, steps)
 	_, ok := walk.Next(0)
 	must.False(t, ok)
 }
@@ -62,9 +62,9 @@
 		asks                 = 6
 	)
 	rng := rand.New(rand.NewPCG(1, 2))
-	spreads := make([]*Spreads, hosts)
+	spreads := make([]*SpreadEstimator, hosts)
 	for i := range spreads {
-		spreads[i] = NewSpreads()
+		spreads[i] = NewSpreadEstimator()
 	}
 	load := make([]int, runners)
 	var running []int
@@ -85,7 +85,7 @@
 		admitted := false
 		for try := range asks {
 			step, _ := walk.Next(rng.Float64())
-			place := step.Place
+			place := step.Rank
 			if request >= 10_000 {
 				asked++
 			}
@@ -102,7 +102,7 @@
 			}
 			if step.Home && len(copies) > 0 {
 				turn++
-				walk.Named([]int{copies[turn%len(copies)], copies[(turn+1)%len(copies)], copies[(turn+2)%len(copies)]}, false)
+				walk.AddReplicas([]int{copies[turn%len(copies)], copies[(turn+1)%len(copies)], copies[(turn+2)%len(copies)]}, false)
 			}
 		}
 		if request >= 10_000 {
@@ -125,7 +125,7 @@
 }
 
 func TestSpreadsForget(t *testing.T) {
-	s := NewSpreads()
+	s := NewSpreadEstimator()
 	s.Admitted("a", 19, 3)
 	must.Greater(t, 10, s.of("a").width)
 	for range 400 {
--- a/internal/placing/walk.go
+++ b/internal/placing/walk.go
@@ -3,11 +3,11 @@
 // Step is the next runner that a request asks for a place. Places count in the
 // order of the adapter's runners.
 type Step struct {
-	Place int
+	Rank int
 	// Home is set at the first place: the runner's owner keeps on which others
-	// the adapter lies. Anew: it is asked once more, since none of those took the
+	// the adapter lies. Retry: it is asked once more, since none of those took the
 	// request.
-	Home, Anew bool
+	Home, Retry bool
 }
 
 // Walk is the order in which one request tries its adapter's runners: where the
@@ -25,14 +25,14 @@
 }
 
 // Walk begins a request's walk over so many runners.
-func (s *Spreads) Walk(key string, places int) *Walk {
+func (s *SpreadEstimator) Walk(key string, places int) *Walk {
 	known := s.of(key)
 	return &Walk{spread: known, known: known.width > single, places: places, tried: map[int]bool{}}
 }
 
-// Named takes the places that the home named when it refused. With elsewhere it
+// AddReplicas takes the places that the home named when it refused. With elsewhere it
 // refused since the adapter lies there.
-func (w *Walk) Named(places []int, elsewhere bool) {
+func (w *Walk) AddReplicas(places []int, elsewhere bool) {
 	w.named = places
 	w.anew = elsewhere
 }
@@ -51,7 +51,7 @@
 	}
 	if w.anew {
 		w.anew = false
-		return Step{Home: true, Anew: true}, true
+		return Step{Home: true, Retry: true}, true
 	}
 	if len(w.tried) >= w.places {
 		return Step{}, false
@@ -94,5 +94,5 @@
 
 func (w *Walk) try(place int) Step {
 	w.tried[place] = true
-	return Step{Place: place, Home: place == 0}
+	return Step{Rank: place, Home: place == 0}
 }
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -12,9 +12,9 @@
 	// Pack: among runners that can take a request at once, the fuller goes
 	// first, so that engines fill their steps; otherwise the emptier does.
 	Pack bool
-	// CopyWait is the least expected wait for a busy copy at which another
+	// ReplicaWait is the least expected wait for a busy copy at which another
 	// copy is loaded.
-	CopyWait time.Duration
+	ReplicaWait time.Duration
 	// BatchDepth is how many times its batch a runner is filled before its
 	// requests count as waiting.
 	BatchDepth float64
@@ -23,9 +23,9 @@
 // Presets for the two deployments.
 var (
 	// PresetStalls weighs short stalls more (Kushiro).
-	PresetStalls = Weights{CopyWait: 500 * time.Millisecond, BatchDepth: 1}
+	PresetStalls = Weights{ReplicaWait: 500 * time.Millisecond, BatchDepth: 1}
 	// PresetBatches weighs full batches more (Caroni).
-	PresetBatches = Weights{Pack: true, CopyWait: 3 * time.Second, BatchDepth: 1}
+	PresetBatches = Weights{Pack: true, ReplicaWait: 3 * time.Second, BatchDepth: 1}
 )
 
 // PresetNamed gives the preset that a setting names.
@@ -57,9 +57,9 @@
 	Runner Runner
 	// Wait is the expected wait before the request is in a batch.
 	Wait time.Duration
-	// Spread: the best copy is so busy that another is worth a load.
-	Spread bool
-	Reason string
+	// NeedsReplica: the best copy is so busy that another is worth a load.
+	NeedsReplica bool
+	Reason       string
 }
 
 // Times are the measured times that expected waits are made from.
@@ -93,8 +93,8 @@
 		}
 	}
 	if best != nil {
-		spread := bestWait > weights.CopyWait && bestWait > times.Load && joining == nil
-		return Decision{Action: ActionSend, Runner: best.Runner, Wait: bestWait, Spread: spread, Reason: "resident"}
+		spread := bestWait > weights.ReplicaWait && bestWait > times.Load && joining == nil
+		return Decision{Action: ActionSend, Runner: best.Runner, Wait: bestWait, NeedsReplica: spread, Reason: "resident"}
 	}
 	if joining != nil {
 		return Decision{Action: ActionJoin, Runner: joining.Runner, Wait: times.Load, Reason: "being loaded"}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -45,7 +45,7 @@
 			got := Choose(row.located, row.weights, usual, nobody)
 			must.Eq(t, row.action, got.Action)
 			must.Eq(t, row.runner, got.Runner.ID)
-			must.Eq(t, row.spread, got.Spread)
+			must.Eq(t, row.spread, got.NeedsReplica)
 		})
 	}
 }
@@ -88,9 +88,9 @@
 	table.SetHosts([]fleet.Host{{ID: "r", Role: fleet.RoleRunner, State: fleet.StateLive}})
 	must.True(t, table.Update(residency.View{Runner: "r", Owner: "new", Fence: 2, Models: []residency.SlotView{{Model: "a@1", State: residency.SlotResident}}}))
 	must.False(t, table.Update(residency.View{Runner: "r", Owner: "old", Fence: 1}))
-	must.Len(t, 1, table.With("a@1"))
+	must.Len(t, 1, table.RunnersWith("a@1"))
 	table.SetHosts(nil)
-	must.SliceEmpty(t, table.With("a@1"))
+	must.SliceEmpty(t, table.RunnersWith("a@1"))
 }
 
 // bigTable has so many runners of 16 slots; model i is resident on runner i/16.
@@ -121,7 +121,7 @@
 			table := bigTable(runners)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				Choose(table.With("adapter-000017@1"), PresetStalls, usual, nobody)
+				Choose(table.RunnersWith("adapter-000017@1"), PresetStalls, usual, nobody)
 			}
 		})
 		b.Run(fmt.Sprintf("cold/%d-runners", runners), func(b *testing.B) {
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -184,8 +184,8 @@
 	MaxBatch  int
 	// Occupancy is the number of requests on the runner, by the owner's last
 	// word and this host's own count since.
-	Occupancy int
-	Own       int
+	Occupancy   int
+	OwnRequests int
 }
 
 func (info *runnerInfo) decisionView() Runner {
@@ -202,7 +202,7 @@
 		ID: info.host.ID, Address: info.host.Address, Owner: view.Owner, Base: info.host.Base,
 		Live: info.host.State == fleet.StateLive, Known: info.known, Fence: view.Fence,
 		Slots: view.Slots, Free: view.Slots - len(view.Models), Loading: loading,
-		Evictable: view.Evictable, MaxBatch: view.MaxBatch, Occupancy: occupancy, Own: own,
+		Evictable: view.Evictable, MaxBatch: view.MaxBatch, Occupancy: occupancy, OwnRequests: own,
 	}
 }
 
@@ -218,8 +218,8 @@
 	return info.decisionView(), true
 }
 
-// With gives the runners on which a model has a slot, with the slot's state.
-func (t *Table) With(model string) []Located {
+// RunnersWith gives the runners on which a model has a slot, with the slot's state.
+func (t *Table) RunnersWith(model string) []Located {
 	s := &t.models[shardIndex(model)]
 	s.mu.RLock()
 	ids := s.runners[model]
--- a/internal/serve/choose.go
+++ b/internal/serve/choose.go
@@ -45,14 +45,14 @@
 			Load:    view.Load,
 			Slots:   runner.Slots,
 			Suspect: view.Suspect || view.Refusing,
-			Near:    runner.DataCentre == l.s.DataCentre,
+			Local:   runner.DataCentre == l.s.DataCentre,
 		})
 	}
 	if len(candidates) == 0 && l.comeBack > 0 {
 		l.refuseOrFail(l.comeBack, reasonBarred)
 		return false
 	}
-	choice := placing.Plain(candidates)
+	choice := placing.LeastLoaded(candidates)
 	if choice < 0 {
 		l.refuseOrFail(retrySoon, "no runner has room")
 		return false
--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -16,7 +16,7 @@
 // and returns false where none can take it.
 func (l *life) placeOnEngine(ctx context.Context, runners []*site.Runner) bool {
 	search := l.s.spreads.Search(l.placementKey(), len(runners))
-	if search.Near() {
+	if search.PreferLocal() {
 		runners = nearFirst(runners, l.s.DataCentre)
 	}
 	for {
@@ -24,7 +24,7 @@
 		if !more {
 			break
 		}
-		l.runner = runners[step.Place]
+		l.runner = runners[step.Rank]
 		view := l.s.Board.View(l.runner.ID, l.s.Now())
 		if view.Barred > 0 {
 			l.passOver(l.runner.ID, view.Barred)
@@ -43,8 +43,8 @@
 		}
 		err := l.admitted(ctx, runners[0], step, last, barred)
 		if err == nil {
-			l.rank, l.near = step.Place, search.Near()
-			search.Admitted(step.Place)
+			l.rank, l.near = step.Rank, search.PreferLocal()
+			search.Admitted(step.Rank)
 			return true
 		}
 		if ctx.Err() != nil || l.startWithin() <= 0 {
@@ -122,7 +122,7 @@
 			Within:   within,
 			Last:     last,
 			Home:     step.Home && l.key.Name != "",
-			Anew:     step.Anew,
+			Anew:     step.Retry,
 			Waited:   waited,
 			Barred:   barred,
 		})
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -82,7 +82,7 @@
 	Deps
 	Counters Counters
 
-	spreads *placing.Spreads
+	spreads *placing.SpreadEstimator
 	started time.Time
 
 	mu      sync.Mutex
@@ -91,7 +91,7 @@
 
 // New makes a server.
 func New(deps Deps) *Server {
-	return &Server{Deps: deps, spreads: placing.NewSpreads(), started: deps.Now(), budgets: map[string]*retrybudget.Budget{}}
+	return &Server{Deps: deps, spreads: placing.NewSpreadEstimator(), started: deps.Now(), budgets: map[string]*retrybudget.Budget{}}
 }
 
 // budget gives a service's retry budget, which fills from the process's start on.
