--- a/cmd/cherrystaged/platform.go
+++ b/cmd/cherrystaged/platform.go
@@ -142,7 +142,7 @@
 			Overshoot: placed.Bounds.QuotaOvershoot,
 			Slack:     placed.Bounds.QuotaSlack,
 		},
-		Models: adapters.LoadLimit{Window: placed.Bounds.LoadWindow, Overshoot: placed.Bounds.LoadOvershoot},
+		Models: adapters.ModelLoadLimit{Window: placed.Bounds.LoadWindow, Overshoot: placed.Bounds.LoadOvershoot},
 	}
 }
 
--- a/internal/adapters/forecast_test.go
+++ b/internal/adapters/forecast_test.go
@@ -10,7 +10,7 @@
 
 // inUse makes a keeper whose only place is used by one request that will likely run
 // for a time, and that held adapter 2 a moment ago.
-func inUse(t *testing.T, now *time.Time, engine Engines, likely int) *Keeper {
+func inUse(t *testing.T, now *time.Time, engine Engines, likely int) *Controller {
 	k := keeperAt(now, 1, engine)
 	k.slots.Loading(keyed(2), *now, *now)
 	k.slots.Left(named(2))
@@ -18,7 +18,7 @@
 	*now = now.Add(time.Second)
 	k.slots.Settle(*now)
 	ask := admission(1, time.Second)
-	ask.Output, ask.Likely = 600, likely
+	ask.MaxOutputTokens, ask.ExpectedOutputTokens = 600, likely
 	_, err := k.Admit(ask)
 	must.NoError(t, err)
 	return k
@@ -33,16 +33,16 @@
 	engine := &fakeEngine{answers: []Outcome{OutcomeDone}}
 	k := inUse(t, &now, engine, 10)
 	_, err := k.Admit(admission(3, 800*time.Millisecond))
-	must.ErrorIs(t, err, ErrNoRoom)
+	must.ErrorIs(t, err, ErrNoFreeSlot)
 	asked := now
 	admitted, err := k.Admit(admission(2, 800*time.Millisecond))
 	must.NoError(t, err)
-	must.True(t, admitted.Again)
+	must.True(t, admitted.AskAgain)
 	must.Between(t, 150*time.Millisecond, admitted.At.Sub(now), 350*time.Millisecond)
 	must.Eq(t, transitPoll, k.next(t.Context()))
 
 	now = now.Add(200 * time.Millisecond)
-	k.Ended(map[site.Adapter]int{named(1): 1})
+	k.RequestsEnded(map[site.Adapter]int{named(1): 1})
 	must.Eq(t, 0, k.next(t.Context()))
 	must.Eq(t, 0, k.next(t.Context()))
 	now = now.Add(firstReloadTime)
@@ -50,7 +50,7 @@
 	ask.Waited = true
 	admitted, err = k.Admit(ask)
 	must.NoError(t, err)
-	must.False(t, admitted.Again)
+	must.False(t, admitted.AskAgain)
 	must.Less(t, 800*time.Millisecond, admitted.At.Sub(asked))
 	must.Len(t, 2, engine.orders)
 }
@@ -61,7 +61,7 @@
 	now := epoch
 	k := inUse(t, &now, &fakeEngine{}, 400)
 	_, err := k.Admit(admission(2, 10*time.Second))
-	must.ErrorIs(t, err, ErrNoRoom)
+	must.ErrorIs(t, err, ErrNoFreeSlot)
 }
 
 // The answer that should have ended does not. Who waits for its place is told so
--- a/internal/adapters/keeper.go
+++ b/internal/adapters/keeper.go
@@ -56,9 +56,9 @@
 	MayOrder(address string, now time.Time) (token uint64, ok bool)
 }
 
-// Keeper gives the orders to one runner, one at a time.
-type Keeper struct {
-	KeeperDeps
+// Controller gives the orders to one runner, one at a time.
+type Controller struct {
+	ControllerDeps
 	runner *site.Runner
 	log    hclog.Logger
 
@@ -67,7 +67,7 @@
 	slots *Slots
 	pacer Pacer
 	// reading is how fast the runner reads prompts.
-	reading Reading
+	reading PrefillEstimator
 	// replicas tells where else the adapters lie whose home the runner is.
 	replicas *Replicas
 	synced   bool
@@ -86,59 +86,59 @@
 	transit atomic.Int32
 }
 
-// KeeperDeps are what a keeper works with.
-type KeeperDeps struct {
+// ControllerDeps are what a keeper works with.
+type ControllerDeps struct {
 	Holder    string
 	Engines   Engines
 	Authority Authority
 	Times     *LoadTimes
-	Crowd     func() Crowd
-	// Load gives what is known of a runner's requests, Share how full all
+	StoreLoad func() StoreLoad
+	// RunnerView gives what is known of a runner's requests, Share how full all
 	// runners are on average.
-	Load  func(runner string, now time.Time) board.View
-	Share func() float64
-	// Reading gives the time that most runners take for a token of a prompt, in
+	RunnerView  func(runner string, now time.Time) board.View
+	Utilization func() float64
+	// TypicalPrefill gives the time that most runners take for a token of a prompt, in
 	// nanoseconds, 0 while that is not known.
-	Reading func() float64
-	// Models and Hosts bound the loads of base models.
-	Models *ModelLoads
-	Hosts  func() int
-	// Restarted is told that a runner has started again under its instance.
-	Restarted func(instance string, born int64)
-	// Signalled is told what a runner's answer to a call says of the requests that it can take.
-	Signalled func(runner string, signal *board.Signal)
-	Now       func() time.Time
-	Log       hclog.Logger
+	TypicalPrefill func() float64
+	// ModelLoads and Hosts bound the loads of base models.
+	ModelLoads *ModelLoadLimiter
+	HostCount  func() int
+	// OnRestart is told that a runner has started again under its instance.
+	OnRestart func(instance string, born int64)
+	// OnSignal is told what a runner's answer to a call says of the requests that it can take.
+	OnSignal func(runner string, signal *board.Signal)
+	Now      func() time.Time
+	Log      hclog.Logger
 }
 
-// NewKeeper makes a keeper that has read nothing of its runner yet.
-func NewKeeper(runner *site.Runner, spec Spec, deps KeeperDeps) *Keeper {
-	return &Keeper{
-		KeeperDeps: deps,
-		runner:     runner,
-		log:        deps.Log.With("runner", runner.ID, "address", runner.Address),
-		spec:       spec,
-		slots:      NewSlots(spec.Capacity),
-		replicas:   NewReplicas(),
-		wake:       make(chan struct{}, 1),
+// NewController makes a keeper that has read nothing of its runner yet.
+func NewController(runner *site.Runner, spec Spec, deps ControllerDeps) *Controller {
+	return &Controller{
+		ControllerDeps: deps,
+		runner:         runner,
+		log:            deps.Log.With("runner", runner.ID, "address", runner.Address),
+		spec:           spec,
+		slots:          NewSlots(spec.Capacity),
+		replicas:       NewReplicas(),
+		wake:           make(chan struct{}, 1),
 	}
 }
 
-func (k *Keeper) nudge() {
+func (k *Controller) nudge() {
 	select {
 	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Transit gives the number of adapters on their way from the weight store to the
+// Fetches gives the number of adapters on their way from the weight store to the
 // runner.
-func (k *Keeper) Transit() int { return int(k.transit.Load()) }
+func (k *Controller) Fetches() int { return int(k.transit.Load()) }
 
 // Run works until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Controller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := k.Pass(ctx)
+		pause := k.Step(ctx)
 		if pause > 0 {
 			k.sleep(ctx, pause)
 		}
@@ -147,7 +147,7 @@
 }
 
 // refuse turns requests away until the runner's report is read.
-func (k *Keeper) refuse(err error) {
+func (k *Controller) refuse(err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.refusing = err
@@ -155,7 +155,7 @@
 	k.waiting = nil
 }
 
-func (k *Keeper) sleep(ctx context.Context, pause time.Duration) {
+func (k *Controller) sleep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
@@ -165,8 +165,8 @@
 	}
 }
 
-// Pass does the next thing and gives the pause before the one after it.
-func (k *Keeper) Pass(ctx context.Context) time.Duration {
+// Step does the next thing and gives the pause before the one after it.
+func (k *Controller) Step(ctx context.Context) time.Duration {
 	if _, ok := k.Authority.MayOrder(k.runner.Address, k.Now()); !ok {
 		// Whoever waits finds another runner sooner than the lease comes back.
 		k.refuse(ErrNotOwner)
@@ -181,27 +181,27 @@
 	return k.next(ctx)
 }
 
-func (k *Keeper) isSynced() bool {
+func (k *Controller) isSynced() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.synced
 }
 
-func (k *Keeper) hasModel() bool {
+func (k *Controller) hasModel() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.modelHeld
 }
 
 // sync reads the runner's report.
-func (k *Keeper) sync(ctx context.Context) time.Duration {
+func (k *Controller) sync(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	report, err := k.Engines.Report(ctx, k.runner.Address)
 	k.signalled(report.Signal)
 	if err != nil {
 		k.log.Debug("report not read", "error", err.Error())
-		k.refuse(ErrSilent)
+		k.refuse(ErrUnresponsive)
 		return syncPause
 	}
 	if report.Born != 0 && report.Born != k.runner.Born {
@@ -230,31 +230,31 @@
 }
 
 // signalled passes on what an answer says of the requests that the runner can take.
-func (k *Keeper) signalled(signal *board.Signal) {
+func (k *Controller) signalled(signal *board.Signal) {
 	if signal != nil {
-		k.Signalled(k.runner.ID, signal)
+		k.OnSignal(k.runner.ID, signal)
 	}
 }
 
 // otherLifetime passes over a report of another lifetime than the keeper's. One of
 // a later lifetime ends what is believed of this one; an earlier one is late.
-func (k *Keeper) otherLifetime(born int64) time.Duration {
+func (k *Controller) otherLifetime(born int64) time.Duration {
 	k.log.Info("report of another lifetime", "born", born, "keeper_born", k.runner.Born)
-	k.refuse(ErrSilent)
+	k.refuse(ErrUnresponsive)
 	if born > k.runner.Born {
-		k.Restarted(k.runner.Instance, born)
+		k.OnRestart(k.runner.Instance, born)
 	}
 	return syncPause
 }
 
 // estimate gives the time of a load that begins now; the lock is held.
-func (k *Keeper) estimate(recent bool) time.Duration {
-	return k.Times.Estimate(recent, k.Crowd().withOneMore())
+func (k *Controller) estimate(recent bool) time.Duration {
+	return k.Times.Estimate(recent, k.StoreLoad().withOneMore())
 }
 
 // loadModel orders the base model and waits for it.
-func (k *Keeper) loadModel(ctx context.Context) time.Duration {
-	if wait := k.Models.Take(k.Now(), k.spec.LoadsPerSecond, k.Hosts()); wait > 0 {
+func (k *Controller) loadModel(ctx context.Context) time.Duration {
+	if wait := k.ModelLoads.Take(k.Now(), k.spec.LoadsPerSecond, k.HostCount()); wait > 0 {
 		return min(wait, modelPoll)
 	}
 	outcome := k.order(ctx, true, Key{Adapter: site.Adapter{Model: k.spec.Model.Name}})
@@ -290,7 +290,7 @@
 }
 
 // next does the next thing and gives the pause after it.
-func (k *Keeper) next(ctx context.Context) time.Duration {
+func (k *Controller) next(ctx context.Context) time.Duration {
 	planned := k.plan()
 	switch planned.action {
 	case loadIt:
@@ -307,7 +307,7 @@
 
 // plan decides what comes next: the load that is wanted first, room for it, or
 // room for the next one.
-func (k *Keeper) plan() step {
+func (k *Controller) plan() step {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
@@ -334,7 +334,7 @@
 	return step{action: unloadIt, key: Key{Adapter: victim}}
 }
 
-func (k *Keeper) planRoom(now time.Time) step {
+func (k *Controller) planRoom(now time.Time) step {
 	if k.slots.Free() >= keptFree {
 		return step{pause: idlePass}
 	}
@@ -353,7 +353,7 @@
 // quarter of a second and those that wait least are served in time. What the
 // runner held lately does not come from the store and waits for nothing: behind
 // fetches, a fifth of all loads took 270 ms and not 25.
-func (k *Keeper) mayLoad(key Key) bool {
+func (k *Controller) mayLoad(key Key) bool {
 	transit, _ := k.slots.Transit()
 	if transit >= maxTransit {
 		return false
@@ -361,8 +361,8 @@
 	if k.slots.Recent(key) {
 		return true
 	}
-	crowd := k.Crowd()
-	if float64(crowd.Transit) < crowd.Full {
+	crowd := k.StoreLoad()
+	if float64(crowd.Fetches) < crowd.Capacity {
 		return true
 	}
 	now := k.Now()
@@ -373,17 +373,17 @@
 // the lock is held. With more runners than loads at full speed each fetches for a
 // part of the time only: at once, 112 loads took half a second each and none was
 // in time, while 64 at a time take 0.29 s.
-func (k *Keeper) turn(crowd Crowd) time.Duration {
-	return time.Duration(float64(k.Times.Estimate(false, Crowd{})-overlap) / max(leastShare, min(1, crowd.Share)))
+func (k *Controller) turn(crowd StoreLoad) time.Duration {
+	return time.Duration(float64(k.Times.Estimate(false, StoreLoad{})-overlap) / max(leastShare, min(1, crowd.PerRunner)))
 }
 
 // countTransit keeps the number of fetches for other keepers; the lock is held.
-func (k *Keeper) countTransit() {
+func (k *Controller) countTransit() {
 	_, fetched := k.slots.Transit()
 	k.transit.Store(int32(fetched))
 }
 
-func (k *Keeper) isRecent(key Key) bool {
+func (k *Controller) isRecent(key Key) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.slots.Recent(key)
--- a/internal/adapters/keeper_test.go
+++ b/internal/adapters/keeper_test.go
@@ -13,25 +13,25 @@
 
 // keeperAt makes a keeper whose clock is set by the test and whose runner holds
 // the base model.
-func keeperAt(now *time.Time, capacity int, engines Engines) *Keeper {
-	k := NewKeeper(&site.Runner{ID: "r", Instance: "r", Address: "r:1", Slots: 64}, Spec{Model: site.Model{Name: "m"}, Capacity: capacity}, KeeperDeps{
-		Signalled: func(string, *board.Signal) {},
-		Holder:    "h", Engines: engines, Authority: always{}, Times: NewLoadTimes(),
-		Crowd:   func() Crowd { return Crowd{Full: 8} },
-		Load:    func(string, time.Time) board.View { return board.View{} },
-		Share:   func() float64 { return 0 },
-		Reading: func() float64 { return 0 },
-		Models:  NewModelLoads(LoadLimit{}),
-		Hosts:   func() int { return 1 },
-		Now:     func() time.Time { return *now },
-		Log:     hclog.NewNullLogger(),
+func keeperAt(now *time.Time, capacity int, engines Engines) *Controller {
+	k := NewController(&site.Runner{ID: "r", Instance: "r", Address: "r:1", Slots: 64}, Spec{Model: site.Model{Name: "m"}, Capacity: capacity}, ControllerDeps{
+		OnSignal: func(string, *board.Signal) {},
+		Holder:   "h", Engines: engines, Authority: always{}, Times: NewLoadTimes(),
+		StoreLoad:      func() StoreLoad { return StoreLoad{Capacity: 8} },
+		RunnerView:     func(string, time.Time) board.View { return board.View{} },
+		Utilization:    func() float64 { return 0 },
+		TypicalPrefill: func() float64 { return 0 },
+		ModelLoads:     NewModelLoadLimiter(ModelLoadLimit{}),
+		HostCount:      func() int { return 1 },
+		Now:            func() time.Time { return *now },
+		Log:            hclog.NewNullLogger(),
 	})
 	k.synced, k.modelHeld = true, true
 	return k
 }
 
 // crowded is a weight store that is busy with as much as it serves at full speed.
-func crowded() Crowd { return Crowd{Transit: 8, Full: 8, Share: 0.89} }
+func crowded() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.89} }
 
 type always struct{}
 
@@ -57,8 +57,8 @@
 	return Report{Models: []string{"m"}}, nil
 }
 
-func admission(i int, target time.Duration) Admission {
-	return Admission{Key: keyed(i), Tokens: 800, Output: 100, Patience: time.Second, Target: target, Within: 2 * time.Second}
+func admission(i int, target time.Duration) AdmissionRequest {
+	return AdmissionRequest{Key: keyed(i), PromptTokens: 800, MaxOutputTokens: 100, PromptWait: time.Second, LatencyBudget: target, MaxWait: 2 * time.Second}
 }
 
 // Loads are wanted twice as fast as the weight store can do them, for ten
@@ -103,11 +103,11 @@
 	k := keeperAt(&now, 1000, &fakeEngine{})
 	refused := 0
 	for i := range 30 {
-		k.Crowd = crowded
+		k.StoreLoad = crowded
 		ask := admission(i, 0)
-		ask.Last = true
+		ask.LastResort = true
 		if _, err := k.Admit(ask); err != nil {
-			must.ErrorIs(t, err, ErrCrowded)
+			must.ErrorIs(t, err, ErrLoadTooSlow)
 			refused++
 		}
 	}
@@ -119,12 +119,12 @@
 func TestQueuedLoadSendsOn(t *testing.T) {
 	now := epoch
 	k := keeperAt(&now, 1000, &fakeEngine{})
-	k.Crowd = crowded
+	k.StoreLoad = crowded
 	target := firstLoadTime + 100*time.Millisecond
 	_, err := k.Admit(admission(1, target))
 	must.NoError(t, err)
 	_, err = k.Admit(admission(2, target))
-	must.ErrorIs(t, err, ErrCrowded)
+	must.ErrorIs(t, err, ErrLoadTooSlow)
 	_, err = k.Admit(admission(3, 2*target))
 	must.NoError(t, err)
 }
@@ -136,7 +136,7 @@
 	now := epoch
 	engine := &fakeEngine{}
 	k := keeperAt(&now, 1000, engine)
-	k.Crowd = func() Crowd { return Crowd{Transit: 2, Full: 8, Share: 0.89} }
+	k.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 2, Capacity: 8, PerRunner: 0.89} }
 	for i := range 4 {
 		admitted, err := k.Admit(admission(i, 450*time.Millisecond))
 		must.NoError(t, err)
@@ -153,7 +153,7 @@
 func TestRunnersTakeTurnsAtACrowdedStore(t *testing.T) {
 	now := epoch
 	k := keeperAt(&now, 8, &fakeEngine{})
-	k.Crowd = func() Crowd { return Crowd{Transit: 8, Full: 8, Share: 0.5} }
+	k.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.5} }
 	k.loadAdapter(t.Context(), keyed(1))
 	now = now.Add(firstLoadTime)
 	k.slots.Settle(now)
@@ -174,11 +174,11 @@
 	_, err := k.Admit(admission(1, time.Second))
 	must.NoError(t, err)
 	_, err = k.Admit(admission(2, time.Second))
-	must.ErrorIs(t, err, ErrNoRoom)
-	k.Ended(map[site.Adapter]int{named(1): 1})
+	must.ErrorIs(t, err, ErrNoFreeSlot)
+	k.RequestsEnded(map[site.Adapter]int{named(1): 1})
 	admitted, err := k.Admit(admission(2, time.Second))
 	must.NoError(t, err)
-	must.True(t, admitted.Again)
+	must.True(t, admitted.AskAgain)
 }
 
 // A clump of requests for five cold adapters meets a runner with three places, of
@@ -201,11 +201,11 @@
 	for i := range 5 {
 		admitted, err := k.Admit(admission(10+i, time.Second))
 		if err != nil {
-			must.ErrorIs(t, err, ErrNoRoom)
+			must.ErrorIs(t, err, ErrNoFreeSlot)
 			refused++
 			continue
 		}
-		must.True(t, admitted.Again)
+		must.True(t, admitted.AskAgain)
 		waiting++
 	}
 	must.Eq(t, 1, waiting)
@@ -274,18 +274,18 @@
 
 func TestLoadTimesLearn(t *testing.T) {
 	times := NewLoadTimes()
-	must.Eq(t, firstLoadTime, times.Estimate(false, Crowd{Full: 8}))
-	must.Eq(t, firstReloadTime, times.Estimate(true, Crowd{Transit: 100, Full: 8}))
-	must.Greater(t, firstLoadTime, times.Estimate(false, Crowd{Transit: 18, Full: 8}))
+	must.Eq(t, firstLoadTime, times.Estimate(false, StoreLoad{Capacity: 8}))
+	must.Eq(t, firstReloadTime, times.Estimate(true, StoreLoad{Fetches: 100, Capacity: 8}))
+	must.Greater(t, firstLoadTime, times.Estimate(false, StoreLoad{Fetches: 18, Capacity: 8}))
 	for range 20 {
 		times.TooEarly(false)
 	}
-	slow := times.Estimate(false, Crowd{Full: 8})
+	slow := times.Estimate(false, StoreLoad{Capacity: 8})
 	must.Greater(t, 2*firstLoadTime, slow)
 	for range 2000 {
 		times.InTime(false)
 	}
-	must.Eq(t, minLoad, times.Estimate(false, Crowd{Full: 8}))
+	must.Eq(t, minLoad, times.Estimate(false, StoreLoad{Capacity: 8}))
 }
 
 // The weight store is crowded and the runner has just begun a fetch. A request that
@@ -299,23 +299,23 @@
 	_, err := k.Admit(admission(2, target))
 	must.NoError(t, err)
 	k.drop(keyed(2))
-	k.Crowd = crowded
+	k.StoreLoad = crowded
 	_, err = k.Admit(admission(2, target))
-	must.ErrorIs(t, err, ErrCrowded)
+	must.ErrorIs(t, err, ErrLoadTooSlow)
 }
 
 // A load waits at a crowded store, and behind it a second could be in time. A request
 // with a short prompt waits for it; one with a long prompt would be late here, since
 // its prompt has to be read as well, and is sent on.
 func TestLongPromptsNeedTheirTime(t *testing.T) {
-	for tokens, want := range map[int]error{200: nil, 7000: ErrCrowded} {
+	for tokens, want := range map[int]error{200: nil, 7000: ErrLoadTooSlow} {
 		now := epoch
 		k := keeperAt(&now, 8, &fakeEngine{})
-		k.Crowd = crowded
+		k.StoreLoad = crowded
 		_, err := k.Admit(admission(1, time.Second))
 		must.NoError(t, err)
 		ask := admission(2, 600*time.Millisecond)
-		ask.Tokens = tokens
+		ask.PromptTokens = tokens
 		_, err = k.Admit(ask)
 		must.Eq(t, want, err, must.Sprint(tokens))
 	}
--- a/internal/adapters/late_test.go
+++ b/internal/adapters/late_test.go
@@ -132,14 +132,14 @@
 			k := keeperAt(&now, 3, engine)
 			k.runner = &site.Runner{ID: "r~200", Instance: "r", Born: 200, Slots: 64}
 			var told []int64
-			k.Restarted = func(instance string, born int64) {
+			k.OnRestart = func(instance string, born int64) {
 				must.Eq(t, "r", instance)
 				told = append(told, born)
 			}
 			must.Eq(t, syncPause, k.sync(t.Context()))
 			must.Eq(t, test.told, told)
 			_, err := k.Admit(admission(1, time.Second))
-			must.ErrorIs(t, err, ErrSilent)
+			must.ErrorIs(t, err, ErrUnresponsive)
 		})
 	}
 }
--- a/internal/adapters/limited_test.go
+++ b/internal/adapters/limited_test.go
@@ -15,18 +15,18 @@
 	now := epoch
 	k := keeperAt(&now, 4, &fakeEngine{})
 	k.slots.Reported(0, []Held{{Key: keyed(1)}}, 0, now, now)
-	k.Load = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
+	k.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
 
 	_, err := k.Admit(admission(2, time.Second))
 	must.ErrorIs(t, err, ErrBusy)
 	_, err = k.Admit(admission(1, time.Second))
 	must.NoError(t, err, must.Sprint("it lies there"))
-	k.Load = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2, SaidAgo: limitRecheck} }
+	k.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2, SaidAgo: limitRecheck} }
 	_, err = k.Admit(admission(3, time.Second))
 	must.NoError(t, err, must.Sprint("its limit may be over"))
-	k.Load = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
+	k.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
 	last := admission(2, time.Second)
-	last.Last = true
+	last.LastResort = true
 	_, err = k.Admit(last)
 	must.NoError(t, err, must.Sprint("no other runner takes it"))
 }
@@ -37,7 +37,7 @@
 	now := epoch
 	k := keeperAt(&now, 4, &fakeEngine{})
 	k.slots.Reported(0, []Held{{Key: keyed(1)}}, 0, now, now)
-	k.Placed(keyed(1), "other")
+	k.AddReplica(keyed(1), "other")
 	ask := admission(1, time.Second)
 	ask.Home, ask.Barred = true, true
 
--- a/internal/adapters/loadtime.go
+++ b/internal/adapters/loadtime.go
@@ -33,23 +33,23 @@
 	maxLoad   = 3 * time.Second
 )
 
-// Crowd is the weight store's load, as far as it is known.
-type Crowd struct {
-	// Transit is the number of adapters on their way to the runners that are
+// StoreLoad is the weight store's load, as far as it is known.
+type StoreLoad struct {
+	// Fetches is the number of adapters on their way to the runners that are
 	// known of, Full the part of what the store serves at full speed that falls
 	// to them.
-	Transit int
-	Full    float64
-	// Share is that part for one runner.
-	Share float64
+	Fetches  int
+	Capacity float64
+	// PerRunner is that part for one runner.
+	PerRunner float64
 }
 
 // factor says how many times as long a load takes.
-func (c Crowd) factor() float64 {
-	if c.Full <= 0 {
+func (c StoreLoad) factor() float64 {
+	if c.Capacity <= 0 {
 		return 1
 	}
-	return max(1, float64(c.Transit)/c.Full)
+	return max(1, float64(c.Fetches)/c.Capacity)
 }
 
 // fewKnown is the part of the weight store below which a host knows too little of
@@ -60,16 +60,16 @@
 // all runners begin to load at once, and a host that knows of its own runner only
 // would otherwise see an idle store. What is known of many runners is taken as it
 // is: counted once more, a load was thought to take 335 ms where it took 281.
-func (c Crowd) withOneMore() Crowd {
-	if c.Full < fewKnown {
-		c.Transit++
+func (c StoreLoad) withOneMore() StoreLoad {
+	if c.Capacity < fewKnown {
+		c.Fetches++
 	}
 	return c
 }
 
-// FullShare is the number of loads at a time, per runner, that the weight store
+// FetchCapacityPerRunner is the number of loads at a time, per runner, that the weight store
 // serves at full speed.
-func FullShare(loadsPerSecond float64, runners int) float64 {
+func FetchCapacityPerRunner(loadsPerSecond float64, runners int) float64 {
 	if loadsPerSecond <= 0 || runners <= 0 {
 		return transitShare
 	}
@@ -106,7 +106,7 @@
 }
 
 // Estimate gives the likely time of a load while so much else is on its way.
-func (t *LoadTimes) Estimate(recent bool, crowd Crowd) time.Duration {
+func (t *LoadTimes) Estimate(recent bool, crowd StoreLoad) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if recent {
--- a/internal/adapters/modelloads.go
+++ b/internal/adapters/modelloads.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// LoadLimit is the weight store's bound on loads of base models, over all hosts
+// ModelLoadLimit is the weight store's bound on loads of base models, over all hosts
 // together: in each window, the store's rate over the window times Overshoot, and
 // a few more.
-type LoadLimit struct {
+type ModelLoadLimit struct {
 	Window    time.Duration
 	Overshoot float64
 }
@@ -21,24 +21,26 @@
 	usedLoads = 0.5
 )
 
-// ModelLoads keeps one host's part of the bound. It is safe for concurrent use.
+// ModelLoadLimiter keeps one host's part of the bound. It is safe for concurrent use.
 //
 // The load it answers: all runners come back empty at once. Each owner orders
 // the base model for each of its runners, and more loads begin than the weight
 // store allows.
-type ModelLoads struct {
-	limit LoadLimit
+type ModelLoadLimiter struct {
+	limit ModelLoadLimit
 
 	mu sync.Mutex
 	// next is when the loads that were taken are paid for.
 	next time.Time
 }
 
-// NewModelLoads makes a host's part.
-func NewModelLoads(limit LoadLimit) *ModelLoads { return &ModelLoads{limit: limit} }
+// NewModelLoadLimiter makes a host's part.
+func NewModelLoadLimiter(limit ModelLoadLimit) *ModelLoadLimiter {
+	return &ModelLoadLimiter{limit: limit}
+}
 
 // Take takes one load, or gives how long to wait for it.
-func (m *ModelLoads) Take(now time.Time, perSecond float64, hosts int) time.Duration {
+func (m *ModelLoadLimiter) Take(now time.Time, perSecond float64, hosts int) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	window := m.limit.Window
--- a/internal/adapters/modelloads_test.go
+++ b/internal/adapters/modelloads_test.go
@@ -13,13 +13,13 @@
 // stay within the weight store's bound, and all runners get their model.
 func TestModelLoadsWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		limit := LoadLimit{Window: 5 * time.Second, Overshoot: 1.1}
+		limit := ModelLoadLimit{Window: 5 * time.Second, Overshoot: 1.1}
 		perSecond := float64(rapid.IntRange(1, 32).Draw(t, "loads a second"))
 		hosts := rapid.IntRange(1, 100).Draw(t, "hosts")
 		runners := rapid.IntRange(1, 150).Draw(t, "runners")
-		parts := make([]*ModelLoads, hosts)
+		parts := make([]*ModelLoadLimiter, hosts)
 		for i := range parts {
-			parts[i] = NewModelLoads(limit)
+			parts[i] = NewModelLoadLimiter(limit)
 		}
 		waiting := make([]int, hosts)
 		for i := range runners {
@@ -54,9 +54,9 @@
 }
 
 func TestModelLoadsOfASmallFleet(t *testing.T) {
-	loads := NewModelLoads(LoadLimit{Window: 5 * time.Second, Overshoot: 1.1})
+	loads := NewModelLoadLimiter(ModelLoadLimit{Window: 5 * time.Second, Overshoot: 1.1})
 	must.Eq(t, 0, loads.Take(epoch, 3.5, 7))
 	must.Positive(t, loads.Take(epoch, 3.5, 7))
 	must.Eq(t, 0, loads.Take(epoch.Add(5*time.Second), 3.5, 7))
-	must.Eq(t, 0, NewModelLoads(LoadLimit{}).Take(epoch, 3.5, 7), must.Sprint("no bound"))
+	must.Eq(t, 0, NewModelLoadLimiter(ModelLoadLimit{}).Take(epoch, 3.5, 7), must.Sprint("no bound"))
 }
--- a/internal/adapters/orders.go
+++ b/internal/adapters/orders.go
@@ -9,7 +9,7 @@
 )
 
 // order gives one order.
-func (k *Keeper) order(ctx context.Context, load bool, key Key) Outcome {
+func (k *Controller) order(ctx context.Context, load bool, key Key) Outcome {
 	now := k.Now()
 	token, ok := k.Authority.MayOrder(k.runner.Address, now)
 	if !ok {
@@ -30,7 +30,7 @@
 	k.signalled(answer.Signal)
 	outcome := answer.Outcome
 	fields := []any{"load", load, "adapter", key.Adapter.String(), "version", key.Version, "sequence", sequence, "token", token, "outcome", outcome.String(), "took_ms", k.Now().Sub(now).Milliseconds(),
-		"free", free, "transit", transit, "fetched", fetched, "reload", load && k.isRecent(key), "waiting", waiting, "estimate_ms", k.Times.Estimate(false, Crowd{}).Milliseconds()}
+		"free", free, "transit", transit, "fetched", fetched, "reload", load && k.isRecent(key), "waiting", waiting, "estimate_ms", k.Times.Estimate(false, StoreLoad{}).Milliseconds()}
 	if err != nil {
 		fields = append(fields, "error", err.Error())
 	}
@@ -44,7 +44,7 @@
 }
 
 // unanswered gives the orders that may still be carried out in a later lifetime.
-func (k *Keeper) unanswered(now time.Time) LateOrders {
+func (k *Controller) unanswered(now time.Time) LateOrders {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	late := maps.Clone(k.slots.Inherited)
@@ -53,7 +53,7 @@
 	return late
 }
 
-func (k *Keeper) loadAdapter(ctx context.Context, key Key) time.Duration {
+func (k *Controller) loadAdapter(ctx context.Context, key Key) time.Duration {
 	k.mu.Lock()
 	recent := k.slots.Recent(key)
 	took := k.estimate(recent)
@@ -92,7 +92,7 @@
 //
 // Without the further orders all who wait for the runner would wait out the
 // timeout and a report, 0.5 s, for each answer that is lost.
-func (k *Keeper) orderLoad(ctx context.Context, key Key) Outcome {
+func (k *Controller) orderLoad(ctx context.Context, key Key) Outcome {
 	outcome := k.order(ctx, true, key)
 	for try := 1; try < orderTries && outcome == OutcomeUnknown; try++ {
 		outcome = k.order(ctx, true, key)
@@ -104,12 +104,12 @@
 }
 
 // resync has the report read; the lock is held.
-func (k *Keeper) resync() time.Duration {
+func (k *Controller) resync() time.Duration {
 	k.synced = false
 	return syncPause
 }
 
-func (k *Keeper) unload(ctx context.Context, adapter site.Adapter) time.Duration {
+func (k *Controller) unload(ctx context.Context, adapter site.Adapter) time.Duration {
 	outcome := k.order(ctx, false, Key{Adapter: adapter})
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/adapters/owner.go
+++ b/internal/adapters/owner.go
@@ -17,7 +17,7 @@
 // Owner runs a keeper for each runner that this host owns.
 type Owner struct {
 	host      string
-	deps      KeeperDeps
+	deps      ControllerDeps
 	owns      func(address string) bool
 	now       func() time.Time
 	log       hclog.Logger
@@ -34,7 +34,7 @@
 }
 
 type running struct {
-	*Keeper
+	*Controller
 	stop context.CancelFunc
 }
 
@@ -45,106 +45,106 @@
 	Authority Authority
 	// Owns says whether this host owns the runner at an address.
 	Owns func(address string) bool
-	// Crowd gives the adapters on their way and the runners, as far as other
+	// PeerFetches gives the adapters on their way and the runners, as far as other
 	// hosts told of theirs.
-	Crowd func() (transit, runners int)
-	// Load gives what is known of a runner's requests.
-	Load func(runner string, now time.Time) board.View
-	// Share gives how full the runners are on average.
-	Share func() float64
-	// Reading gives the time that most runners take for a token of a prompt, in
+	PeerFetches func() (transit, runners int)
+	// RunnerView gives what is known of a runner's requests.
+	RunnerView func(runner string, now time.Time) board.View
+	// Utilization gives how full the runners are on average.
+	Utilization func() float64
+	// TypicalPrefill gives the time that most runners take for a token of a prompt, in
 	// nanoseconds, 0 while that is not known.
-	Reading func() float64
-	// Hosts gives the number of hosts, which share the bound on loads of base
+	TypicalPrefill func() float64
+	// HostCount gives the number of hosts, which share the bound on loads of base
 	// models.
-	Hosts  func() int
-	Models LoadLimit
-	// Restarted is told that a runner has started again under its instance.
-	Restarted func(instance string, born int64)
-	// Signalled is told what a runner's answer to a call says of the requests that it can take.
-	Signalled func(runner string, signal *board.Signal)
-	Now       func() time.Time
-	Log       hclog.Logger
+	HostCount  func() int
+	ModelLoads ModelLoadLimit
+	// OnRestart is told that a runner has started again under its instance.
+	OnRestart func(instance string, born int64)
+	// OnSignal is told what a runner's answer to a call says of the requests that it can take.
+	OnSignal func(runner string, signal *board.Signal)
+	Now      func() time.Time
+	Log      hclog.Logger
 }
 
 // NewOwner makes an owner of nothing.
 func NewOwner(deps OwnerDeps) *Owner {
 	o := &Owner{
-		host: deps.Host, owns: deps.Owns, elsewhere: deps.Crowd,
+		host: deps.Host, owns: deps.Owns, elsewhere: deps.PeerFetches,
 		now: deps.Now, log: deps.Log, times: NewLoadTimes(), keepers: map[string]*running{}, late: map[string]LateOrders{},
 	}
-	o.deps = KeeperDeps{
-		Holder: deps.Host, Engines: deps.Engines, Authority: deps.Authority, Times: o.times, Crowd: o.crowd, Load: deps.Load,
-		Share: deps.Share, Reading: deps.Reading, Models: NewModelLoads(deps.Models), Hosts: deps.Hosts, Restarted: deps.Restarted, Signalled: deps.Signalled, Now: deps.Now, Log: deps.Log,
+	o.deps = ControllerDeps{
+		Holder: deps.Host, Engines: deps.Engines, Authority: deps.Authority, Times: o.times, StoreLoad: o.crowd, RunnerView: deps.RunnerView,
+		Utilization: deps.Utilization, TypicalPrefill: deps.TypicalPrefill, ModelLoads: NewModelLoadLimiter(deps.ModelLoads), HostCount: deps.HostCount, OnRestart: deps.OnRestart, OnSignal: deps.OnSignal, Now: deps.Now, Log: deps.Log,
 	}
 	return o
 }
 
-func (o *Owner) crowd() Crowd {
+func (o *Owner) crowd() StoreLoad {
 	transit, runners := o.elsewhere()
-	own, ownRunners := o.Transit()
+	own, ownRunners := o.Fetches()
 	share := math.Float64frombits(o.fullShare.Load())
-	return Crowd{Transit: transit + own, Full: share * float64(runners+ownRunners), Share: share}
+	return StoreLoad{Fetches: transit + own, Capacity: share * float64(runners+ownRunners), PerRunner: share}
 }
 
-// Transit gives the adapters on their way to this host's runners, and the
+// Fetches gives the adapters on their way to this host's runners, and the
 // number of these runners.
-func (o *Owner) Transit() (transit, runners int) {
+func (o *Owner) Fetches() (transit, runners int) {
 	for _, keeper := range o.all() {
-		transit += keeper.Transit()
+		transit += keeper.Fetches()
 		runners++
 	}
 	return transit, runners
 }
 
-// Readings gives the time that each of this host's runners takes for a token of a
+// PrefillTimes gives the time that each of this host's runners takes for a token of a
 // prompt, in nanoseconds, as far as it is known.
-func (o *Owner) Readings() []float64 {
+func (o *Owner) PrefillTimes() []float64 {
 	var readings []float64
 	for _, keeper := range o.all() {
-		if perToken := keeper.ReadingPerToken(); perToken > 0 {
+		if perToken := keeper.PrefillPerToken(); perToken > 0 {
 			readings = append(readings, perToken)
 		}
 	}
 	return readings
 }
 
-// Full gives the requests on this host's runners and their slots.
-func (o *Owner) Full() (running, slots int) {
+// RequestLoad gives the requests on this host's runners and their slots.
+func (o *Owner) RequestLoad() (running, slots int) {
 	now := o.now()
 	for id, keeper := range o.all() {
-		running += o.deps.Load(id, now).Load
+		running += o.deps.RunnerView(id, now).Load
 		slots += keeper.runner.Slots
 	}
 	return running, slots
 }
 
-func (o *Owner) all() map[string]*Keeper {
+func (o *Owner) all() map[string]*Controller {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	all := make(map[string]*Keeper, len(o.keepers))
+	all := make(map[string]*Controller, len(o.keepers))
 	for id, keeper := range o.keepers {
-		all[id] = keeper.Keeper
+		all[id] = keeper.Controller
 	}
 	return all
 }
 
-// Keeper gives the keeper of a runner's lifetime.
-func (o *Owner) Keeper(id string) (*Keeper, bool) {
+// Controller gives the keeper of a runner's lifetime.
+func (o *Owner) Controller(id string) (*Controller, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	keeper, ok := o.keepers[id]
 	if !ok {
 		return nil, false
 	}
-	return keeper.Keeper, true
+	return keeper.Controller, true
 }
 
-// Current gives the keeper of a runner's present lifetime, whichever lifetime the
+// CurrentController gives the keeper of a runner's present lifetime, whichever lifetime the
 // asker knows of. A host whose list of runners is behind, for the runner or the host
 // is cut off from the store, would else find no owner until the cut heals.
-func (o *Owner) Current(id string) (*Keeper, bool) {
-	if keeper, ok := o.Keeper(id); ok {
+func (o *Owner) CurrentController(id string) (*Controller, bool) {
+	if keeper, ok := o.Controller(id); ok {
 		return keeper, true
 	}
 	instance := site.InstanceOf(id)
@@ -184,7 +184,7 @@
 		if service == nil || service.Engine == nil || len(service.Engine.Models) == 0 {
 			continue
 		}
-		o.fullShare.Store(math.Float64bits(FullShare(service.Engine.LoadsPerSecond, len(runners))))
+		o.fullShare.Store(math.Float64bits(FetchCapacityPerRunner(service.Engine.LoadsPerSecond, len(runners))))
 		for _, runner := range runners {
 			if o.owns(runner.Address) {
 				wanted[runner.ID] = owned{runner: runner, engine: service.Engine}
@@ -195,17 +195,17 @@
 }
 
 // endAllBut stops the keepers of all runners but those wanted, and gives them.
-func (o *Owner) endAllBut(wanted map[string]owned) []*Keeper {
+func (o *Owner) endAllBut(wanted map[string]owned) []*Controller {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var ended []*Keeper
+	var ended []*Controller
 	for id, keeper := range o.keepers {
 		if _, ok := wanted[id]; ok {
 			continue
 		}
 		keeper.stop()
 		delete(o.keepers, id)
-		ended = append(ended, keeper.Keeper)
+		ended = append(ended, keeper.Controller)
 	}
 	return ended
 }
@@ -216,7 +216,7 @@
 // Keepers are asked without the owner's lock: one that holds its own asks the owner for what
 // is on its way to all runners. Each waiting for the other, the host would serve no adapter and
 // learn nothing any more until its process ends.
-func (o *Owner) inherit(ended []*Keeper) {
+func (o *Owner) inherit(ended []*Controller) {
 	now := o.now()
 	unanswered := make(map[string]LateOrders, len(ended))
 	for _, keeper := range ended {
@@ -235,10 +235,10 @@
 	maps.Copy(o.late, unanswered)
 }
 
-// Gone notes that a runner's lifetime has ended: no adapter lies there any more.
-func (o *Owner) Gone(runner string) {
+// RunnerRemoved notes that a runner's lifetime has ended: no adapter lies there any more.
+func (o *Owner) RunnerRemoved(runner string) {
 	for _, keeper := range o.all() {
-		keeper.Gone(runner)
+		keeper.RunnerRemoved(runner)
 	}
 }
 
@@ -246,12 +246,12 @@
 	model := modelFor(runner, engine)
 	spec := Spec{Model: model, Capacity: Capacity(engine, model), LoadsPerSecond: engine.LoadsPerSecond}
 	ctx, cancel := context.WithCancel(ctx)
-	keeper := NewKeeper(runner, spec, o.deps)
+	keeper := NewController(runner, spec, o.deps)
 	if late := o.late[runner.Instance]; late != nil {
 		keeper.slots.Inherited = late
 		delete(o.late, runner.Instance)
 	}
-	o.keepers[runner.ID] = &running{Keeper: keeper, stop: cancel}
+	o.keepers[runner.ID] = &running{Controller: keeper, stop: cancel}
 	o.log.Info("orders begin", "runner", runner.ID, "address", runner.Address, "model", model.Name, "places", spec.Capacity)
 	go keeper.Run(ctx)
 }
--- a/internal/adapters/owner_test.go
+++ b/internal/adapters/owner_test.go
@@ -16,10 +16,10 @@
 // ever: the host serves no adapter any more, and goes by the configuration of that moment.
 func TestKeeperThatEndsDoesNotBlockTheOwner(t *testing.T) {
 	owner := NewOwner(OwnerDeps{
-		Engines: &forgetfulEngine{}, Authority: never{}, Owns: func(string) bool { return true }, Hosts: func() int { return 1 },
-		Crowd: func() (int, int) { return 0, 0 }, Load: func(string, time.Time) board.View { return board.View{} },
-		Share: func() float64 { return 0 }, Reading: func() float64 { return 0 }, Restarted: func(string, int64) {},
-		Signalled: func(string, *board.Signal) {}, Now: time.Now, Log: hclog.NewNullLogger(),
+		Engines: &forgetfulEngine{}, Authority: never{}, Owns: func(string) bool { return true }, HostCount: func() int { return 1 },
+		PeerFetches: func() (int, int) { return 0, 0 }, RunnerView: func(string, time.Time) board.View { return board.View{} },
+		Utilization: func() float64 { return 0 }, TypicalPrefill: func() float64 { return 0 }, OnRestart: func(string, int64) {},
+		OnSignal: func(string, *board.Signal) {}, Now: time.Now, Log: hclog.NewNullLogger(),
 	})
 	engine := &site.Engine{Slots: 1, LoadsPerSecond: 1, Models: []site.Model{{Name: "m"}}}
 	config := &site.Config{Services: map[string]*site.Service{"s": {Engine: engine}}}
@@ -27,7 +27,7 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	owner.Reconcile(ctx, config, map[string][]*site.Runner{"s": {runner}})
-	keeper, ok := owner.Keeper("r")
+	keeper, ok := owner.Controller("r")
 	must.True(t, ok)
 	keeper.mu.Lock()
 	reconciled, asked := make(chan struct{}), make(chan struct{})
--- a/internal/adapters/queue.go
+++ b/internal/adapters/queue.go
@@ -30,7 +30,7 @@
 // While the weight store is not crowded, several fetches run side by side. Taken
 // one after the other, a request whose adapter was there after 290 ms was told to
 // come again after 580, too late for its target.
-func (k *Keeper) queueTime(w *want, now time.Time) time.Duration {
+func (k *Controller) queueTime(w *want, now time.Time) time.Duration {
 	own := k.loadTime(w.key)
 	inTime := !w.target.Before(now.Add(own))
 	var reloads time.Duration
@@ -47,8 +47,8 @@
 	if k.slots.Recent(w.key) {
 		return reloads + own
 	}
-	crowd := k.Crowd()
-	if float64(crowd.Transit) < crowd.Full {
+	crowd := k.StoreLoad()
+	if float64(crowd.Fetches) < crowd.Capacity {
 		return reloads + own*time.Duration(1+fetches/lanes(crowd))
 	}
 	return reloads + k.turnsTime(fetches, crowd, now)
@@ -58,25 +58,25 @@
 // this runner; the lock is held. Runners take turns there: a request was told that
 // its adapter would be there in time and came back to find that it was not even on
 // its way, too late to go anywhere else.
-func (k *Keeper) turnsTime(before int, crowd Crowd, now time.Time) time.Duration {
+func (k *Controller) turnsTime(before int, crowd StoreLoad, now time.Time) time.Duration {
 	turn := k.turn(crowd)
 	first := max(0, k.fetchedAt.Add(turn).Sub(now))
 	return first + time.Duration(before)*turn + k.Times.Estimate(false, crowd)
 }
 
 // lanes is the number of fetches that may run side by side.
-func lanes(crowd Crowd) int {
-	return min(maxTransit, max(1, 1+int(crowd.Full)-crowd.Transit))
+func lanes(crowd StoreLoad) int {
+	return min(maxTransit, max(1, 1+int(crowd.Capacity)-crowd.Fetches))
 }
 
 // loadTime gives the likely time of a load on an idle store; the lock is held.
-func (k *Keeper) loadTime(key Key) time.Duration {
-	return k.Times.Estimate(k.slots.Recent(key), Crowd{})
+func (k *Controller) loadTime(key Key) time.Duration {
+	return k.Times.Estimate(k.slots.Recent(key), StoreLoad{})
 }
 
 // before says whether a load goes before another one, which could be over in
 // time or not. Those that need nothing of the weight store go first.
-func (k *Keeper) before(other, w *want, inTime bool, now time.Time) bool {
+func (k *Controller) before(other, w *want, inTime bool, now time.Time) bool {
 	if reload := k.slots.Recent(other.key); reload != k.slots.Recent(w.key) {
 		return reload
 	}
@@ -97,7 +97,7 @@
 
 // want asks for an adapter and tells from when it is there; the lock is held.
 // A load that cannot be ordered at once is queued: the asker comes again.
-func (k *Keeper) want(ask Admission, now time.Time) (time.Time, error) {
+func (k *Controller) want(ask AdmissionRequest, now time.Time) (time.Time, error) {
 	if readyAt, ok := k.slots.Ready(ask.Key); ok {
 		k.slots.Touch(ask.Key.Adapter, now)
 		return readyAt, nil
@@ -109,16 +109,16 @@
 			return time.Time{}, err
 		}
 		k.wanted++
-		w = &want{key: ask.Key, target: now.Add(ask.Target), number: k.wanted}
+		w = &want{key: ask.Key, target: now.Add(ask.LatencyBudget), number: k.wanted}
 	}
 	took := k.queueTime(w, now)
 	if took > k.loadPatience(ask) {
-		return time.Time{}, ErrCrowded
+		return time.Time{}, ErrLoadTooSlow
 	}
 	if !known {
 		wait, ok := k.placeWait(ask, took, now)
 		if !ok {
-			return time.Time{}, ErrNoRoom
+			return time.Time{}, ErrNoFreeSlot
 		}
 		took += wait
 		w.placeAt = now.Add(wait)
@@ -126,7 +126,7 @@
 		k.nudge()
 	}
 	w.askedAt = now
-	w.until = now.Add(ask.Within)
+	w.until = now.Add(ask.MaxWait)
 	if !ask.Waited {
 		w.askers++
 	}
@@ -142,7 +142,7 @@
 // another runner could have served them. On busy days of twelve runners with five
 // places each, refusing them at once served 0.742 of what was owed and not 0.729
 // (means of the same 12 days of 34 s).
-func (k *Keeper) placeLeft(now time.Time) bool {
+func (k *Controller) placeLeft(now time.Time) bool {
 	return k.slots.Free()+k.slots.Idle(now) > len(k.waiting)
 }
 
@@ -157,7 +157,7 @@
 // placeLeft names, 0.777 of what was owed was served and not 0.741, with a tenth
 // fewer fetches. Others are sent on: where they waited for a place as the last
 // resort, 0.748 was served.
-func (k *Keeper) placeWait(ask Admission, took time.Duration, now time.Time) (time.Duration, bool) {
+func (k *Controller) placeWait(ask AdmissionRequest, took time.Duration, now time.Time) (time.Duration, bool) {
 	if k.placeLeft(now) {
 		return 0, true
 	}
@@ -166,7 +166,7 @@
 	}
 	at, ok := k.slots.PlaceAt(1+len(k.waiting), now)
 	wait := at.Sub(now)
-	if !ok || wait > k.estimate(false) || wait+took > ask.Target {
+	if !ok || wait > k.estimate(false) || wait+took > ask.LatencyBudget {
 		return 0, false
 	}
 	return wait, true
@@ -174,9 +174,9 @@
 
 // lies refuses the load of an adapter that lies on another runner already; the
 // lock is held.
-func (k *Keeper) lies(ask Admission) error {
-	if ask.Home && !ask.Anew && k.replicas.Known(ask.Key) {
-		return ErrElsewhere
+func (k *Controller) lies(ask AdmissionRequest) error {
+	if ask.Home && !ask.Retry && k.replicas.Known(ask.Key) {
+		return ErrHeldElsewhere
 	}
 	return nil
 }
@@ -184,11 +184,11 @@
 // loadPatience is how long a request waits for its adapter here; the lock is
 // held. While others may load it sooner it does not wait beyond its target, unless
 // a load alone takes longer than that: then it is late everywhere.
-func (k *Keeper) loadPatience(ask Admission) time.Duration {
-	if ask.Last || ask.Waited {
-		return ask.Within
+func (k *Controller) loadPatience(ask AdmissionRequest) time.Duration {
+	if ask.LastResort || ask.Waited {
+		return ask.MaxWait
 	}
-	return min(ask.Within, max(ask.Target, k.loadTime(ask.Key)))
+	return min(ask.MaxWait, max(ask.LatencyBudget, k.loadTime(ask.Key)))
 }
 
 // aheadTarget is how late a load that nobody waits for may be: after every load
@@ -196,28 +196,28 @@
 const aheadTarget = 2 * time.Second
 
 // Prefetch has an adapter loaded before anybody asks for it, if there is room.
-func (k *Keeper) Prefetch(key Key) {
+func (k *Controller) Prefetch(key Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.Now()
 	if _, there := k.slots.Ready(key); there || k.refusing != nil {
 		return
 	}
-	if _, err := k.want(Admission{Key: key, Target: aheadTarget, Within: 2 * aheadTarget}, now); err != nil {
+	if _, err := k.want(AdmissionRequest{Key: key, LatencyBudget: aheadTarget, MaxWait: 2 * aheadTarget}, now); err != nil {
 		k.log.Debug("not loaded ahead", "adapter", key.String(), "version", key.Version, "error", err.Error())
 	}
 }
 
 // Holds says whether any version of an adapter is on the runner.
-func (k *Keeper) Holds(adapter site.Adapter) bool {
+func (k *Controller) Holds(adapter site.Adapter) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	_, ok := k.slots.places[adapter]
 	return ok
 }
 
-// Holding gives the adapters on the runner whose version is in force.
-func (k *Keeper) Holding(versions map[site.Adapter]int64) []Key {
+// HeldKeys gives the adapters on the runner whose version is in force.
+func (k *Controller) HeldKeys(versions map[site.Adapter]int64) []Key {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	held := make([]Key, 0, len(k.slots.places))
@@ -230,7 +230,7 @@
 	return held
 }
 
-func (k *Keeper) queued(key Key) *want {
+func (k *Controller) queued(key Key) *want {
 	for _, w := range k.waiting {
 		if w.key == key {
 			return w
@@ -245,7 +245,7 @@
 // coming all then wait for seconds and none is in time. Those that can still be
 // in time go first, the most urgent before the others, and the late ones take
 // what is left: as many as the store can do are on time.
-func (k *Keeper) firstWaiting() *want {
+func (k *Controller) firstWaiting() *want {
 	var first *want
 	now := k.Now()
 	for _, w := range k.waiting {
@@ -263,14 +263,14 @@
 
 // forgetOld drops loads that are there or that nobody wants any more; the lock
 // is held.
-func (k *Keeper) forgetOld(now time.Time) {
+func (k *Controller) forgetOld(now time.Time) {
 	k.waiting = slices.DeleteFunc(k.waiting, func(w *want) bool {
 		_, there := k.slots.Ready(w.key)
 		return there || now.After(w.until) || now.Sub(w.askedAt) > k.queueTime(w, now)+staleWant
 	})
 }
 
-func (k *Keeper) drop(key Key) {
+func (k *Controller) drop(key Key) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.waiting = slices.DeleteFunc(k.waiting, func(w *want) bool { return w.key == key })
--- a/internal/adapters/reading.go
+++ b/internal/adapters/reading.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Reading learns how long a runner takes to read a token of a prompt, from when its
+// PrefillEstimator learns how long a runner takes to read a token of a prompt, from when its
 // answers begin. It is not safe for concurrent use.
 //
 // The load it answers: runners of one service differ in speed. Prompts that are handed
 // out as fast as most runners read them pile up on a slower one, and its running
 // streams pause for longer than callers allow: on runners a third slower than the
 // others 12 in 100 of 2,100 streams did, 2 in 100 of 4,200 on the others (one busy day).
-type Reading struct {
+type PrefillEstimator struct {
 	// perToken is in nanoseconds; answers counts what it was learnt from.
 	perToken float64
 	answers  int
@@ -32,9 +32,9 @@
 	readingDown  = 9
 )
 
-// ReadingOf gives the time a token that an answer's beginning tells of, in
+// PrefillPerToken gives the time a token that an answer's beginning tells of, in
 // nanoseconds, or 0 if it tells nothing.
-func ReadingOf(tokens int, first time.Duration) float64 {
+func PrefillPerToken(tokens int, first time.Duration) float64 {
 	if tokens < leastTokens || first <= answerOverhead {
 		return 0
 	}
@@ -42,7 +42,7 @@
 }
 
 // Observe takes over what one answer tells.
-func (r *Reading) Observe(perToken float64) {
+func (r *PrefillEstimator) Observe(perToken float64) {
 	if perToken <= 0 {
 		return
 	}
@@ -60,7 +60,7 @@
 }
 
 // PerToken gives the estimate in nanoseconds, or 0 before there is one.
-func (r *Reading) PerToken() float64 {
+func (r *PrefillEstimator) PerToken() float64 {
 	if r.answers < firstAnswers {
 		return 0
 	}
--- a/internal/adapters/reading_test.go
+++ b/internal/adapters/reading_test.go
@@ -20,10 +20,10 @@
 }
 
 func learnt(draw *rand.Rand, answers int, perMS float64) float64 {
-	var r Reading
+	var r PrefillEstimator
 	for range answers {
 		tokens := 200 + draw.IntN(3000)
-		r.Observe(ReadingOf(tokens, begin(draw, tokens, perMS)))
+		r.Observe(PrefillPerToken(tokens, begin(draw, tokens, perMS)))
 	}
 	return r.PerToken()
 }
@@ -46,9 +46,9 @@
 // Answers to short prompts and those that came from elsewhere say nothing, and a
 // runner of which little is known counts as one like the others.
 func TestReadingOfLittle(t *testing.T) {
-	must.Eq(t, 0, ReadingOf(100, time.Second))
-	must.Eq(t, 0, ReadingOf(800, answerOverhead))
-	var r Reading
+	must.Eq(t, 0, PrefillPerToken(100, time.Second))
+	must.Eq(t, 0, PrefillPerToken(800, answerOverhead))
+	var r PrefillEstimator
 	for range firstAnswers - 1 {
 		r.Observe(50_000)
 		r.Observe(0)
@@ -75,14 +75,14 @@
 	)
 	longest := func(now *time.Time, answersPerMS float64) time.Duration {
 		k := keeperAt(now, 4, &fakeEngine{})
-		k.Reading = func() float64 { return 1e6 / 38.7 }
+		k.TypicalPrefill = func() float64 { return 1e6 / 38.7 }
 		draw := rand.New(rand.NewPCG(1, 1))
 		for range 40 {
-			k.Began(ReadingOf(tokens, begin(draw, tokens, answersPerMS)))
+			k.ObservePrefill(PrefillPerToken(tokens, begin(draw, tokens, answersPerMS)))
 		}
 		var sent []time.Time
 		for range prompts {
-			admitted, err := k.Admit(Admission{Tokens: tokens, Output: 100, Patience: 10 * time.Second, Target: 10 * time.Second, Within: 10 * time.Second})
+			admitted, err := k.Admit(AdmissionRequest{PromptTokens: tokens, MaxOutputTokens: 100, PromptWait: 10 * time.Second, LatencyBudget: 10 * time.Second, MaxWait: 10 * time.Second})
 			must.NoError(t, err)
 			sent = append(sent, admitted.At)
 		}
--- a/internal/adapters/replicas_test.go
+++ b/internal/adapters/replicas_test.go
@@ -45,19 +45,19 @@
 func TestHomeSendsWhereTheAdapterLies(t *testing.T) {
 	now := epoch
 	k := keeperAt(&now, 8, &fakeEngine{})
-	k.Placed(keyed(1), "other")
+	k.AddReplica(keyed(1), "other")
 	ask := admission(1, time.Second)
 	ask.Home = true
 	_, err := k.Admit(ask)
 	var replicated *ReplicatedError
 	must.True(t, errors.As(err, &replicated))
-	must.ErrorIs(t, err, ErrElsewhere)
+	must.ErrorIs(t, err, ErrHeldElsewhere)
 	must.Eq(t, []string{"other"}, replicated.Runners)
 	must.SliceEmpty(t, k.waiting)
-	ask.Anew = true
+	ask.Retry = true
 	admitted, err := k.Admit(ask)
 	must.NoError(t, err)
-	must.True(t, admitted.Again)
+	must.True(t, admitted.AskAgain)
 	must.SliceLen(t, 1, k.waiting)
 }
 
@@ -66,7 +66,7 @@
 func TestOnlyTheHomeSendsElsewhere(t *testing.T) {
 	now := epoch
 	k := keeperAt(&now, 8, &fakeEngine{})
-	k.Placed(keyed(1), "other")
+	k.AddReplica(keyed(1), "other")
 	_, err := k.Admit(admission(1, time.Second))
 	must.NoError(t, err)
 }
@@ -75,8 +75,8 @@
 func TestBusyHomeNamesReplicas(t *testing.T) {
 	now := epoch
 	k := keeperAt(&now, 8, &fakeEngine{})
-	k.Load = func(string, time.Time) board.View { return board.View{Load: 64} }
-	k.Placed(keyed(1), "other")
+	k.RunnerView = func(string, time.Time) board.View { return board.View{Load: 64} }
+	k.AddReplica(keyed(1), "other")
 	ask := admission(1, time.Second)
 	ask.Home = true
 	_, err := k.Admit(ask)
@@ -90,7 +90,7 @@
 func TestSlotsForWhatLiesThere(t *testing.T) {
 	now := epoch
 	k := keeperAt(&now, 8, &fakeEngine{})
-	k.Load = func(string, time.Time) board.View { return board.View{Load: 64} }
+	k.RunnerView = func(string, time.Time) board.View { return board.View{Load: 64} }
 	_, err := k.Admit(admission(1, time.Second))
 	must.ErrorIs(t, err, ErrBusy)
 	k.slots.Loading(keyed(1), now, now)
@@ -105,7 +105,7 @@
 	now := epoch
 	engine := &fakeEngine{}
 	k := keeperAt(&now, 8, engine)
-	k.Crowd = crowded
+	k.StoreLoad = crowded
 	k.slots.Loading(keyed(0), now, now)
 	k.slots.Left(named(0))
 	for i := 1; i <= 3; i++ {
@@ -140,7 +140,7 @@
 	k := keeperAt(&now, 100, &fakeEngine{})
 	for _, i := range []int{1, 2, 3, 2, 2, 3} {
 		ask := admission(i, 0)
-		ask.Last = true
+		ask.LastResort = true
 		_, err := k.Admit(ask)
 		must.NoError(t, err)
 	}
@@ -162,7 +162,7 @@
 		{"a store that does not tell its rate", 0, 10, 8.9},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			must.InDelta(t, test.want, FullShare(test.perS, test.runners)*float64(test.runners), 0.06)
+			must.InDelta(t, test.want, FetchCapacityPerRunner(test.perS, test.runners)*float64(test.runners), 0.06)
 		})
 	}
 }
@@ -173,7 +173,7 @@
 func TestFirstLoadAfterATotalLoss(t *testing.T) {
 	now := epoch
 	k := keeperAt(&now, 8, &fakeEngine{})
-	k.Crowd = func() Crowd { return Crowd{Transit: 0, Full: 0.5} }
+	k.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 0, Capacity: 0.5} }
 	k.loadAdapter(t.Context(), keyed(1))
 	readyAt, ok := k.slots.Ready(keyed(1))
 	must.True(t, ok)
--- a/internal/adapters/slots_test.go
+++ b/internal/adapters/slots_test.go
@@ -81,7 +81,7 @@
 	now := epoch
 	engine := &fakeEngine{}
 	k := keeperAt(&now, 8, engine)
-	k.Crowd = func() Crowd { return Crowd{Transit: 8, Full: 8} }
+	k.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8} }
 	k.slots.Loading(keyed(0), now.Add(firstLoadTime), now)
 	_, err := k.Admit(admission(1, time.Second))
 	must.NoError(t, err)
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -72,20 +72,20 @@
 	return adapters.Key{Adapter: site.Adapter{Model: p.Model, Name: p.Adapter}, Version: p.Version}
 }
 
-func (p AdmitParams) admission() adapters.Admission {
-	return adapters.Admission{
-		Key:      adapters.Key{Adapter: site.Adapter{Model: p.Model, Name: p.Adapter}, Version: p.Version},
-		Tokens:   p.Tokens,
-		Output:   p.Output,
-		Likely:   p.Likely,
-		Patience: time.Duration(p.PatienceMS) * time.Millisecond,
-		Within:   time.Duration(p.WithinMS) * time.Millisecond,
-		Target:   time.Duration(p.TargetMS) * time.Millisecond,
-		Last:     p.Last,
-		Home:     p.Home,
-		Anew:     p.Anew,
-		Waited:   p.Waited,
-		Barred:   p.Barred,
+func (p AdmitParams) admission() adapters.AdmissionRequest {
+	return adapters.AdmissionRequest{
+		Key:                  adapters.Key{Adapter: site.Adapter{Model: p.Model, Name: p.Adapter}, Version: p.Version},
+		PromptTokens:         p.Tokens,
+		MaxOutputTokens:      p.Output,
+		ExpectedOutputTokens: p.Likely,
+		PromptWait:           time.Duration(p.PatienceMS) * time.Millisecond,
+		MaxWait:              time.Duration(p.WithinMS) * time.Millisecond,
+		LatencyBudget:        time.Duration(p.TargetMS) * time.Millisecond,
+		LastResort:           p.Last,
+		Home:                 p.Home,
+		Retry:                p.Anew,
+		Waited:               p.Waited,
+		Barred:               p.Barred,
 	}
 }
 
@@ -115,10 +115,10 @@
 		if result, ok := refused(err); ok {
 			return result, nil
 		}
-		if !admitted.Again {
+		if !admitted.AskAgain {
 			o.board.PeerOn(from.Host, p.Runner, p.Running+1, o.now())
 		}
-		return AdmitResult{ReadyMS: max(0, admitted.At.Sub(o.now()).Milliseconds()), Again: admitted.Again}, nil
+		return AdmitResult{ReadyMS: max(0, admitted.At.Sub(o.now()).Milliseconds()), Again: admitted.AskAgain}, nil
 	})
 	peer.Handle(mux, methodMissing, func(_ context.Context, _ peer.Identity, p AdmitParams) (struct{}, error) {
 		o.missingHere(p.Runner, p.admission().Key.Adapter)
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -51,7 +51,7 @@
 	Grace    time.Duration
 	Retries  retrybudget.Limit
 	Quotas   quota.Tolerance
-	Models   adapters.LoadLimit
+	Models   adapters.ModelLoadLimit
 }
 
 // Dial opens connections.
@@ -131,8 +131,8 @@
 	}
 	e.owner = adapters.NewOwner(adapters.OwnerDeps{
 		Host: cfg.Host, Engines: platform.Engines, Authority: e.state,
-		Owns: e.owns, Crowd: told.crowd, Load: e.board.View, Share: told.share, Reading: told.reading,
-		Hosts: e.state.Size, Models: cfg.Models, Restarted: e.directory.Restarted, Signalled: e.pressure.engineSignalled, Now: now, Log: log,
+		Owns: e.owns, PeerFetches: told.crowd, RunnerView: e.board.View, Utilization: told.share, TypicalPrefill: told.reading,
+		HostCount: e.state.Size, ModelLoads: cfg.Models, OnRestart: e.directory.Restarted, OnSignal: e.pressure.engineSignalled, Now: now, Log: log,
 	})
 	e.owners.owner = e.owner
 	told.owner = e.owner
@@ -253,7 +253,7 @@
 	if gone {
 		e.board.Forget(runner.ID, e.now())
 		e.owners.forget(runner.ID)
-		e.owner.Gone(runner.ID)
+		e.owner.RunnerRemoved(runner.ID)
 	}
 	select {
 	case e.changed <- struct{}{}:
@@ -280,7 +280,7 @@
 
 func (e *Entry) holdsAny(runners []*site.Runner, adapter site.Adapter) bool {
 	for _, runner := range runners {
-		if keeper, ok := e.owner.Keeper(runner.ID); ok && keeper.Holds(adapter) {
+		if keeper, ok := e.owner.Controller(runner.ID); ok && keeper.Holds(adapter) {
 			return true
 		}
 	}
@@ -409,6 +409,6 @@
 	vars.Set("config_version", expvar.Func(func() any { return e.configVersion() }))
 	vars.Set("knowledge", expvar.Func(func() any { return e.mesh.Knowledge() }))
 	vars.Set("hosts_in_force", expvar.Func(func() any { return e.state.Size() }))
-	vars.Set("adapters_in_transit", expvar.Func(func() any { transit, _ := e.owner.Transit(); return transit }))
+	vars.Set("adapters_in_transit", expvar.Func(func() any { transit, _ := e.owner.Fetches(); return transit }))
 	return vars
 }
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -62,21 +62,21 @@
 var errUnreachable = errors.New("the runner's owner cannot be asked")
 
 // Admit implements serve.Owners.
-func (o *owners) Admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error) {
+func (o *owners) Admit(ctx context.Context, runner *site.Runner, ask adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
 	admitted, err := o.admit(ctx, runner, ask)
 	if errors.Is(err, errUnreachable) && o.lies(runner.ID, ask.Key) {
-		return adapters.Admitted{At: o.now()}, nil
+		return adapters.AdmissionResult{At: o.now()}, nil
 	}
-	if err == nil && !admitted.Again && ask.Key.Name != "" {
+	if err == nil && !admitted.AskAgain && ask.Key.Name != "" {
 		o.note(runner.ID, ask.Key)
 	}
 	return admitted, err
 }
 
-func (o *owners) admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error) {
+func (o *owners) admit(ctx context.Context, runner *site.Runner, ask adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
 	host, address, err := o.find(runner)
 	if err != nil {
-		return adapters.Admitted{}, err
+		return adapters.AdmissionResult{}, err
 	}
 	if host == o.host {
 		return o.admitHere(runner.ID, ask)
@@ -87,17 +87,17 @@
 	defer cancel()
 	var result AdmitResult
 	err = o.pool.Call(asking, address, methodAdmit, AdmitParams{
-		Runner: runner.ID, Model: ask.Key.Model, Adapter: ask.Key.Name, Version: ask.Key.Version, Tokens: ask.Tokens, Output: ask.Output, Likely: ask.Likely,
-		PatienceMS: ask.Patience.Milliseconds(), WithinMS: ask.Within.Milliseconds(), TargetMS: ask.Target.Milliseconds(),
-		Running: o.board.Running(runner.ID), Last: ask.Last, Home: ask.Home, Anew: ask.Anew, Waited: ask.Waited, Barred: ask.Barred,
+		Runner: runner.ID, Model: ask.Key.Model, Adapter: ask.Key.Name, Version: ask.Key.Version, Tokens: ask.PromptTokens, Output: ask.MaxOutputTokens, Likely: ask.ExpectedOutputTokens,
+		PatienceMS: ask.PromptWait.Milliseconds(), WithinMS: ask.MaxWait.Milliseconds(), TargetMS: ask.LatencyBudget.Milliseconds(),
+		Running: o.board.Running(runner.ID), Last: ask.LastResort, Home: ask.Home, Anew: ask.Retry, Waited: ask.Waited, Barred: ask.Barred,
 	}, &result)
 	if err != nil {
-		return adapters.Admitted{}, o.failed(host, err)
+		return adapters.AdmissionResult{}, o.failed(host, err)
 	}
 	if result.Refusal != "" {
-		return adapters.Admitted{}, result.refusal()
+		return adapters.AdmissionResult{}, result.refusal()
 	}
-	return adapters.Admitted{At: o.now().Add(time.Duration(result.ReadyMS) * time.Millisecond), Again: result.Again}, nil
+	return adapters.AdmissionResult{At: o.now().Add(time.Duration(result.ReadyMS) * time.Millisecond), AskAgain: result.Again}, nil
 }
 
 // find gives a runner's owner and its address, unless it is known not to
@@ -133,10 +133,10 @@
 	return errUnreachable
 }
 
-func (o *owners) admitHere(runner string, ask adapters.Admission) (adapters.Admitted, error) {
-	keeper, ok := o.owner.Current(runner)
+func (o *owners) admitHere(runner string, ask adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
+	keeper, ok := o.owner.CurrentController(runner)
 	if !ok {
-		return adapters.Admitted{}, adapters.ErrNotOwner
+		return adapters.AdmissionResult{}, adapters.ErrNotOwner
 	}
 	return keeper.Admit(ask)
 }
@@ -187,8 +187,8 @@
 }
 
 func (o *owners) missingHere(runner string, adapter site.Adapter) {
-	if keeper, ok := o.owner.Current(runner); ok {
-		keeper.Missing(adapter)
+	if keeper, ok := o.owner.CurrentController(runner); ok {
+		keeper.AdapterMissing(adapter)
 	}
 }
 
@@ -218,18 +218,18 @@
 }
 
 func (o *owners) placedHere(params PlacedParams) error {
-	keeper, ok := o.owner.Keeper(params.Home)
+	keeper, ok := o.owner.Controller(params.Home)
 	if !ok {
 		return adapters.ErrNotOwner
 	}
-	keeper.Placed(params.key(), params.Runner)
+	keeper.AddReplica(params.key(), params.Runner)
 	return nil
 }
 
 // Ended implements serve.Owners.
 func (o *owners) Ended(runner *site.Runner, adapter site.Adapter) {
-	if keeper, ok := o.owner.Keeper(runner.ID); ok {
-		keeper.Ended(map[site.Adapter]int{adapter: 1})
+	if keeper, ok := o.owner.Controller(runner.ID); ok {
+		keeper.RequestsEnded(map[site.Adapter]int{adapter: 1})
 		return
 	}
 	o.mu.Lock()
@@ -261,7 +261,7 @@
 }
 
 func (o *owners) prefetchHere(runner string, key adapters.Key) {
-	if keeper, ok := o.owner.Keeper(runner); ok {
+	if keeper, ok := o.owner.Controller(runner); ok {
 		keeper.Prefetch(key)
 	}
 }
--- a/internal/entry/owners_test.go
+++ b/internal/entry/owners_test.go
@@ -96,8 +96,8 @@
 	return registry.Change{Record: registry.Record{Name: name, Revision: 1, Spec: raw}}
 }
 
-func askFor(name string) adapters.Admission {
-	return adapters.Admission{Key: adapters.Key{Adapter: site.Adapter{Model: "m", Name: name}}, Tokens: 800, Within: time.Second}
+func askFor(name string) adapters.AdmissionRequest {
+	return adapters.AdmissionRequest{Key: adapters.Key{Adapter: site.Adapter{Model: "m", Name: name}}, PromptTokens: 800, MaxWait: time.Second}
 }
 
 // A runner's owner falls silent. The first request waits a quarter of a second for it,
--- a/internal/entry/rehome.go
+++ b/internal/entry/rehome.go
@@ -40,7 +40,7 @@
 		return
 	}
 	for id := range r.told {
-		if _, ok := r.owner.Keeper(id); !ok {
+		if _, ok := r.owner.Controller(id); !ok {
 			delete(r.told, id)
 		}
 	}
@@ -49,8 +49,8 @@
 			continue
 		}
 		for _, runner := range runners {
-			if keeper, ok := r.owner.Keeper(runner.ID); ok {
-				r.tell(ctx, runner, keeper.Holding(snapshot.Versions), runners)
+			if keeper, ok := r.owner.Controller(runner.ID); ok {
+				r.tell(ctx, runner, keeper.HeldKeys(snapshot.Versions), runners)
 			}
 		}
 	}
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -76,9 +76,9 @@
 	for runner, left := range s.board.Suspects(s.now()) {
 		told.SuspectMS[runner] = left.Milliseconds()
 	}
-	told.Transit, told.Runners = s.owner.Transit()
-	told.Load, told.Slots = s.owner.Full()
-	for _, perToken := range s.owner.Readings() {
+	told.Transit, told.Runners = s.owner.Fetches()
+	told.Load, told.Slots = s.owner.RequestLoad()
+	for _, perToken := range s.owner.PrefillTimes() {
 		told.ReadingNS = append(told.ReadingNS, int64(perToken))
 	}
 	told.Quarantine = s.quarantined()
@@ -146,7 +146,7 @@
 // that some slow ones among few do not count as usual.
 func (s *statuses) reading() float64 {
 	readings := s.sum().ReadingNS
-	for _, perToken := range s.owner.Readings() {
+	for _, perToken := range s.owner.PrefillTimes() {
 		readings = append(readings, int64(perToken))
 	}
 	if len(readings) < fewReadings {
@@ -165,7 +165,7 @@
 // share gives how full the runners are that this host knows of.
 func (s *statuses) share() float64 {
 	total := s.sum()
-	load, slots := s.owner.Full()
+	load, slots := s.owner.RequestLoad()
 	load += total.Load
 	slots += total.Slots
 	if slots == 0 {
--- a/internal/entry/telling.go
+++ b/internal/entry/telling.go
@@ -149,12 +149,12 @@
 
 // Began implements serve.Owners. It is told along with what comes of the request.
 func (o *owners) Began(runner *site.Runner, tokens int, first time.Duration) {
-	perToken := adapters.ReadingOf(tokens, first)
+	perToken := adapters.PrefillPerToken(tokens, first)
 	if perToken <= 0 {
 		return
 	}
-	if keeper, ok := o.owner.Keeper(runner.ID); ok {
-		keeper.Began(perToken)
+	if keeper, ok := o.owner.Controller(runner.ID); ok {
+		keeper.ObservePrefill(perToken)
 		return
 	}
 	o.mu.Lock()
@@ -167,7 +167,7 @@
 }
 
 func (o *owners) takeEnded(runner string, ended map[string]int) {
-	keeper, ok := o.owner.Keeper(runner)
+	keeper, ok := o.owner.Controller(runner)
 	if !ok || len(ended) == 0 {
 		return
 	}
@@ -175,7 +175,7 @@
 	for name, requests := range ended {
 		byAdapter[site.AdapterNamed(name)] = requests
 	}
-	keeper.Ended(byAdapter)
+	keeper.RequestsEnded(byAdapter)
 }
 
 func (o *owners) takeTold(host string, params TellParams) {
@@ -183,8 +183,8 @@
 	for runner, told := range params.Runners {
 		o.board.PeerOn(host, runner, told.Running, now)
 		o.takeEnded(runner, told.Ended)
-		if keeper, ok := o.owner.Keeper(runner); ok {
-			keeper.Began(float64(told.ReadingNS))
+		if keeper, ok := o.owner.Controller(runner); ok {
+			keeper.ObservePrefill(float64(told.ReadingNS))
 		}
 		for range told.Good {
 			o.board.Good(runner, now)
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -194,17 +194,17 @@
 			return
 		}
 		target := millis(r.kind.TargetMS)
-		admitted, err := k.Admit(adapters.Admission{
-			Key: r.key, Tokens: r.prompt, Output: r.output, Likely: r.output, Patience: target / patienceShare,
-			Target: r.arrived.Add(target - firstMargin).Sub(w.clock.now), Within: r.within(), Last: r.last,
-			Home: r.step.Home && r.key.Name != "" && w.policy == Product, Anew: r.step.Retry, Waited: r.waited,
+		admitted, err := k.Admit(adapters.AdmissionRequest{
+			Key: r.key, PromptTokens: r.prompt, MaxOutputTokens: r.output, ExpectedOutputTokens: r.output, PromptWait: target / patienceShare,
+			LatencyBudget: r.arrived.Add(target - firstMargin).Sub(w.clock.now), MaxWait: r.within(), LastResort: r.last,
+			Home: r.step.Home && r.key.Name != "" && w.policy == Product, Retry: r.step.Retry, Waited: r.waited,
 		})
 		w.wake(k, 0)
 		if err != nil {
 			w.clock.after(way, func() { r.refused(runner, err) })
 			return
 		}
-		if !admitted.Again {
+		if !admitted.AskAgain {
 			w.load[runner.ID]++
 		}
 		w.clock.after(way, func() { r.admitted(runner, admitted) })
@@ -215,7 +215,7 @@
 	if r.over {
 		return
 	}
-	busy := errors.Is(err, adapters.ErrBusy) || errors.Is(err, adapters.ErrPressed)
+	busy := errors.Is(err, adapters.ErrBusy) || errors.Is(err, adapters.ErrPromptBacklog)
 	var replicated *adapters.ReplicatedError
 	var named []int
 	if errors.As(err, &replicated) {
@@ -227,11 +227,11 @@
 			}
 		}
 	}
-	r.search.Refused(busy, errors.Is(err, adapters.ErrElsewhere), named)
+	r.search.Refused(busy, errors.Is(err, adapters.ErrHeldElsewhere), named)
 	r.next()
 }
 
-func (r *request) admitted(runner *site.Runner, admitted adapters.Admitted) {
+func (r *request) admitted(runner *site.Runner, admitted adapters.AdmissionResult) {
 	w := r.w
 	pause := admitted.At.Sub(w.clock.now)
 	if pause > r.within() {
@@ -245,7 +245,7 @@
 		home := w.keepers[r.runners[0].ID]
 		w.clock.after(w.way(r.host.centre, r.runners[0].DataCentre), func() {
 			if home != nil {
-				home.Placed(r.key, runner.ID)
+				home.AddReplica(r.key, runner.ID)
 			}
 		})
 	}
@@ -254,7 +254,7 @@
 			r.unused(runner, admitted)
 			return
 		}
-		if admitted.Again {
+		if admitted.AskAgain {
 			r.waited = true
 			r.askOwner()
 			return
@@ -264,8 +264,8 @@
 	})
 }
 
-func (r *request) unused(runner *site.Runner, admitted adapters.Admitted) {
-	if !admitted.Again {
+func (r *request) unused(runner *site.Runner, admitted adapters.AdmissionResult) {
+	if !admitted.AskAgain {
 		r.w.ended(runner.ID, r.key)
 	}
 }
@@ -277,7 +277,7 @@
 			w.load[runner]--
 		}
 		if k := w.keepers[runner]; k != nil {
-			k.Ended(map[site.Adapter]int{key.Adapter: 1})
+			k.RequestsEnded(map[site.Adapter]int{key.Adapter: 1})
 		}
 	})
 }
@@ -404,7 +404,7 @@
 		return
 	}
 	if k := w.keepers[runner.ID]; k != nil {
-		k.Missing(r.key.Adapter)
+		k.AdapterMissing(r.key.Adapter)
 		w.wake(k, 0)
 	}
 	w.clock.after(earlyPause, r.place)
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -93,7 +93,7 @@
 
 // keeper is a runner's keeper and when it works next.
 type keeper struct {
-	*adapters.Keeper
+	*adapters.Controller
 	centre     string
 	generation int
 }
@@ -212,10 +212,10 @@
 		return
 	}
 	spec := adapters.Spec{Model: site.Model{Name: modelName}, Capacity: w.cfg.Engines.Places, LoadsPerSecond: w.cfg.Store.LoadsPerS}
-	k := &keeper{centre: runner.DataCentre, Keeper: adapters.NewKeeper(runner, spec, adapters.KeeperDeps{
-		Signalled: func(string, *board.Signal) {},
-		Holder:    "owner", Engines: engines{w}, Authority: always{}, Times: w.timesOf(runner), Crowd: w.crowd, Load: w.view, Share: w.share, Reading: unknown,
-		Models: adapters.NewModelLoads(adapters.LoadLimit{}), Hosts: func() int { return w.cfg.Hosts },
+	k := &keeper{centre: runner.DataCentre, Controller: adapters.NewController(runner, spec, adapters.ControllerDeps{
+		OnSignal: func(string, *board.Signal) {},
+		Holder:   "owner", Engines: engines{w}, Authority: always{}, Times: w.timesOf(runner), StoreLoad: w.crowd, RunnerView: w.view, Utilization: w.share, TypicalPrefill: unknown,
+		ModelLoads: adapters.NewModelLoadLimiter(adapters.ModelLoadLimit{}), HostCount: func() int { return w.cfg.Hosts },
 		Now: func() time.Time { return w.clock.now }, Log: hclog.NewNullLogger(),
 	})}
 	w.keepers[runner.ID] = k
@@ -246,7 +246,7 @@
 			return
 		}
 		orders := w.result.Orders
-		pause := k.Pass(context.Background())
+		pause := k.Step(context.Background())
 		if w.result.Orders != orders {
 			pause = max(pause, orderWay)
 		}
@@ -257,9 +257,9 @@
 // unknown leaves out how fast runners read: they are all alike here.
 func unknown() float64 { return 0 }
 
-func (w *world) crowd() adapters.Crowd {
-	share := adapters.FullShare(w.cfg.Store.LoadsPerS, len(w.runners))
-	return adapters.Crowd{Transit: len(w.store.active), Full: share * float64(len(w.runners)), Share: share}
+func (w *world) crowd() adapters.StoreLoad {
+	share := adapters.FetchCapacityPerRunner(w.cfg.Store.LoadsPerS, len(w.runners))
+	return adapters.StoreLoad{Fetches: len(w.store.active), Capacity: share * float64(len(w.runners)), PerRunner: share}
 }
 
 // view is what an owner believes of a runner.
@@ -346,7 +346,7 @@
 		delete(w.keepers, runner)
 	}
 	for _, k := range w.keepers {
-		k.Gone(runner)
+		k.RunnerRemoved(runner)
 	}
 	delete(w.load, runner)
 }
@@ -396,7 +396,7 @@
 	for _, runner := range w.runners {
 		for key := range w.byID[runner.ID].held {
 			if home := w.order(key.PlacementKey())[0]; home != runner {
-				w.keepers[home.ID].Placed(key, runner.ID)
+				w.keepers[home.ID].AddReplica(key, runner.ID)
 			}
 		}
 	}
--- a/internal/serve/charge_test.go
+++ b/internal/serve/charge_test.go
@@ -120,8 +120,8 @@
 func TestRequestThatDidNotRunIsGivenBack(t *testing.T) {
 	for name, refuse := range map[string]func(w *world){
 		"no place": func(w *world) {
-			no := func(*site.Runner, adapters.Admission) (adapters.Admitted, error) {
-				return adapters.Admitted{}, errors.New("no place")
+			no := func(*site.Runner, adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
+				return adapters.AdmissionResult{}, errors.New("no place")
 			}
 			for range 20 {
 				w.owners.answers = append(w.owners.answers, no)
--- a/internal/serve/refused_test.go
+++ b/internal/serve/refused_test.go
@@ -42,10 +42,10 @@
 func TestRequestThatWaitedIsNotSentToARunnerThatRests(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		first := ""
-		w.owners.answers = append(w.owners.answers, func(runner *site.Runner, _ adapters.Admission) (adapters.Admitted, error) {
+		w.owners.answers = append(w.owners.answers, func(runner *site.Runner, _ adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
 			first = runner.ID
 			w.pressure.rests[runner.ID] = 3 * time.Second
-			return adapters.Admitted{At: time.Now().Add(300 * time.Millisecond)}, nil
+			return adapters.AdmissionResult{At: time.Now().Add(300 * time.Millisecond)}, nil
 		})
 		sentTo := ""
 		w.answer = func(rw http.ResponseWriter, r *http.Request) {
--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -83,13 +83,13 @@
 
 // noteRefusal tells the search why an owner refused.
 func noteRefusal(search *placing.Search, runners []*site.Runner, err error) {
-	busy := errors.Is(err, adapters.ErrBusy) || errors.Is(err, adapters.ErrPressed) || errors.Is(err, adapters.ErrBarred)
+	busy := errors.Is(err, adapters.ErrBusy) || errors.Is(err, adapters.ErrPromptBacklog) || errors.Is(err, adapters.ErrBarred)
 	var replicated *adapters.ReplicatedError
 	var named []int
 	if errors.As(err, &replicated) {
 		named = placesOf(replicated.Runners, runners)
 	}
-	search.Refused(busy, errors.Is(err, adapters.ErrElsewhere), named)
+	search.Refused(busy, errors.Is(err, adapters.ErrHeldElsewhere), named)
 }
 
 // placesOf gives the places of runners that are still there.
@@ -112,19 +112,19 @@
 	waited := false
 	for {
 		within := l.startWithin()
-		admitted, err := l.s.Owners.Admit(ctx, l.runner, adapters.Admission{
-			Key:      l.key,
-			Tokens:   l.request.PromptTokens,
-			Output:   l.request.OutputTokens,
-			Likely:   l.request.LikelyTokens,
-			Patience: l.route.TargetLatency / patienceShare,
-			Target:   l.arrived.Add(l.route.TargetLatency - firstMargin).Sub(l.s.Now()),
-			Within:   within,
-			Last:     last,
-			Home:     step.Home && l.key.Name != "",
-			Anew:     step.Retry,
-			Waited:   waited,
-			Barred:   barred,
+		admitted, err := l.s.Owners.Admit(ctx, l.runner, adapters.AdmissionRequest{
+			Key:                  l.key,
+			PromptTokens:         l.request.PromptTokens,
+			MaxOutputTokens:      l.request.OutputTokens,
+			ExpectedOutputTokens: l.request.LikelyTokens,
+			PromptWait:           l.route.TargetLatency / patienceShare,
+			LatencyBudget:        l.arrived.Add(l.route.TargetLatency - firstMargin).Sub(l.s.Now()),
+			MaxWait:              within,
+			LastResort:           last,
+			Home:                 step.Home && l.key.Name != "",
+			Retry:                step.Retry,
+			Waited:               waited,
+			Barred:               barred,
 		})
 		if err == nil && barred {
 			// The answer of a host that does not know the question.
@@ -146,13 +146,13 @@
 			// Requests that come while the adapter is loaded go there too.
 			l.s.Owners.Placed(home, l.key, l.runner)
 		}
-		l.loaded = l.loaded || admitted.Again
+		l.loaded = l.loaded || admitted.AskAgain
 		if err := l.pause(ctx, pause); err != nil {
 			l.unused(admitted)
 			l.refusals = append(l.refusals, err.Error())
 			return err
 		}
-		if !admitted.Again {
+		if !admitted.AskAgain {
 			return nil
 		}
 		waited = true
@@ -230,8 +230,8 @@
 }
 
 // unused gives a place back that the request was admitted to.
-func (l *life) unused(admitted adapters.Admitted) {
-	if !admitted.Again {
+func (l *life) unused(admitted adapters.AdmissionResult) {
+	if !admitted.AskAgain {
 		l.s.Owners.Ended(l.runner, l.key.Adapter)
 	}
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -28,7 +28,7 @@
 type Owners interface {
 	// Admit asks the runner's owner when a request may be sent: once its adapter
 	// is there and the prompts before it are read.
-	Admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error)
+	Admit(ctx context.Context, runner *site.Runner, ask adapters.AdmissionRequest) (adapters.AdmissionResult, error)
 	// Placed tells an adapter's home that it was placed on another runner.
 	Placed(home *site.Runner, key adapters.Key, runner *site.Runner)
 	// Ended notes that a request that was admitted for an adapter has ended.
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -78,18 +78,18 @@
 // last one all are admitted at once.
 type owners struct {
 	mu      sync.Mutex
-	answers []func(runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error)
-	asked   []adapters.Admission
+	answers []func(runner *site.Runner, ask adapters.AdmissionRequest) (adapters.AdmissionResult, error)
+	asked   []adapters.AdmissionRequest
 	// ended counts the places that were given back.
 	ended int
 }
 
-func (o *owners) Admit(_ context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error) {
+func (o *owners) Admit(_ context.Context, runner *site.Runner, ask adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.asked = append(o.asked, ask)
 	if len(o.answers) == 0 {
-		return adapters.Admitted{At: time.Now()}, nil
+		return adapters.AdmissionResult{At: time.Now()}, nil
 	}
 	answer := o.answers[0]
 	o.answers = o.answers[1:]
@@ -207,8 +207,8 @@
 }
 
 // later answers an admission with a time ahead.
-func later(wait time.Duration, again bool) func(*site.Runner, adapters.Admission) (adapters.Admitted, error) {
-	return func(*site.Runner, adapters.Admission) (adapters.Admitted, error) {
-		return adapters.Admitted{At: time.Now().Add(wait), Again: again}, nil
+func later(wait time.Duration, again bool) func(*site.Runner, adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
+	return func(*site.Runner, adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
+		return adapters.AdmissionResult{At: time.Now().Add(wait), AskAgain: again}, nil
 	}
 }
