--- a/internal/placing/placing.go
+++ b/internal/placing/placing.go
@@ -1,87 +1,87 @@
-// Package placing decides to which runner a request goes. It is pure: it takes
-// what is known and gives a decision.
+// Package placing chooses the runner for a request. It does no I/O: callers pass in
+// what they know of the runners and get a decision.
 //
-// The load it answers: thousands of adapters, of which the runners together
-// hold a tenth, and of which one takes a fifth of all requests. Each adapter has
-// an order of runners by rendezvous hashing. A request goes to the first of them
-// that is not much busier than the others, so that cold adapters lie on one
-// runner each and only hot ones spread, as far as their load asks. The runner's
-// owner, which knows its load, says whether it is.
+// The workload it is designed for has thousands of adapters, of which the runners
+// together can hold a tenth, and one adapter that receives a fifth of all requests.
+// Rendezvous hashing ranks the runners for each adapter. A request goes to the first
+// runner in that order that is not much busier than the others, so a cold adapter is
+// loaded on one runner only and a hot one on as many as its traffic needs. Whether a
+// runner is too busy is decided by its owner, which knows its load.
 package placing
 
 const (
-	// balance is how much busier than the mean a runner may be before requests
-	// for its adapters go to their next runner. Lower spreads adapters over more
-	// places than they need; higher makes steps longer on the busy runner.
-	balance = 1.5
-	// quietShare of the slots may always be used: with 58 of 64 requests running
-	// a step takes 7.4 ms and not 5.5 by the sheets, while a copy of an adapter on
-	// one more runner costs a fetch from the weight store, a quarter of a second
-	// and a place that another adapter needs.
-	quietShare = 0.9
-	// heldShare of the slots may be used by requests whose adapter lies on the
-	// runner. A request runs for some two seconds, so one that waits behind an
-	// eighth of the slots waits for 250 ms, which is what loading its adapter on
-	// another runner takes, but needs no fetch and no place there.
-	heldShare = 1.125
-	// overfull is how many requests beyond its slots a runner is given, as a
-	// share of them: they wait there while others finish.
-	overfull = 0.25
+	// maxLoadRatio is how much busier than the mean a runner may be before requests
+	// for its adapters go to their next runner. A lower value loads adapters on more
+	// runners than they need; a higher one makes decoding steps on the busy runner
+	// slower.
+	maxLoadRatio = 1.5
+	// uncontendedShare of the request slots may always be used. With 58 of 64
+	// requests running a step takes 7.4 ms instead of 5.5 (platform's sheets),
+	// whereas another replica of an adapter costs a fetch from the weight store, a
+	// quarter of a second and an adapter slot that another adapter needs.
+	uncontendedShare = 0.9
+	// loadedShare of the request slots may be used by requests whose adapter is on
+	// the runner. A request runs for about two seconds, so one queued behind an
+	// eighth of the slots waits for 250 ms. Loading its adapter on another runner
+	// takes as long, and also needs a fetch and an adapter slot there.
+	loadedShare = 1.125
+	// queueShare is how many requests a runner may be given beyond its slots, as a
+	// share of them. They wait on the runner until others finish.
+	queueShare = 0.25
 )
 
-// Limits are the numbers of requests that a runner may have.
+// Limits are the numbers of requests up to which a runner accepts another one.
 type Limits struct {
-	// NotLoaded is the number up to which it takes requests whose adapter would have
-	// to be loaded, Loaded that for adapters which lie there, Max the one that it
-	// never exceeds.
+	// NotLoaded applies to requests whose adapter would have to be loaded, Loaded to
+	// those whose adapter is on the runner. Max is never exceeded.
 	NotLoaded, Loaded, Max int
 }
 
-// LimitsFor gives the limits of a runner with so many slots while the runners are
-// filled to a share of theirs on average.
-func LimitsFor(slots int, share float64) Limits {
-	fair := int(max(share*balance, quietShare)*float64(slots)) + 1
+// LimitsFor returns the limits of a runner with the given number of request slots.
+// The utilization is the mean share of slots in use over all runners.
+func LimitsFor(slots int, utilization float64) Limits {
+	notLoaded := int(max(utilization*maxLoadRatio, uncontendedShare)*float64(slots)) + 1
 	return Limits{
-		NotLoaded: min(fair, slots),
-		Loaded:    int(heldShare * float64(slots)),
-		Max:       slots + max(1, int(float64(slots)*overfull)),
+		NotLoaded: min(notLoaded, slots),
+		Loaded:    int(loadedShare * float64(slots)),
+		Max:       slots + max(1, int(float64(slots)*queueShare)),
 	}
 }
 
-// Candidate is a runner of a service whose runners all serve every request.
+// Candidate is a runner of a service in which every runner can serve every request.
 type Candidate struct {
 	ID string
-	// Load is the number of requests of all hosts on the runner.
+	// Load is the number of requests on the runner, from all hosts.
 	Load  int
 	Slots int
-	// Suspect runners failed requests lately.
+	// Suspect is set for runners that failed requests lately.
 	Suspect bool
-	// Local runners are in the host's own data centre.
+	// Local is set for runners in the host's own data centre.
 	Local bool
 }
 
-// LeastLoaded chooses a runner for a request that any runner of the service serves,
-// and gives -1 where none has room.
+// LeastLoaded returns the index of the least loaded runner below its limit, or -1 if
+// there is none. Suspect runners are used only if no other is available.
 func LeastLoaded(candidates []Candidate) int {
-	if i := least(candidates, func(c Candidate) bool { return !c.Suspect && c.Load < LimitsFor(c.Slots, 0).Max }); i >= 0 {
+	if i := leastLoadedWhere(candidates, func(c Candidate) bool { return !c.Suspect && c.Load < LimitsFor(c.Slots, 0).Max }); i >= 0 {
 		return i
 	}
-	return least(candidates, func(c Candidate) bool { return c.Load < LimitsFor(c.Slots, 0).Max })
+	return leastLoadedWhere(candidates, func(c Candidate) bool { return c.Load < LimitsFor(c.Slots, 0).Max })
 }
 
-// least gives the fitting candidate with the smallest share of its slots in
-// use, near ones and then earlier ones first.
-func least(candidates []Candidate, fits func(Candidate) bool) int {
+// leastLoadedWhere returns the eligible candidate with the smallest share of its
+// slots in use. Ties go to local candidates first, then to earlier ones.
+func leastLoadedWhere(candidates []Candidate, eligible func(Candidate) bool) int {
 	best := -1
 	for i, c := range candidates {
-		if fits(c) && (best < 0 || less(c, candidates[best])) {
+		if eligible(c) && (best < 0 || lessLoaded(c, candidates[best])) {
 			best = i
 		}
 	}
 	return best
 }
 
-func less(a, b Candidate) bool {
+func lessLoaded(a, b Candidate) bool {
 	left, right := a.Load*b.Slots, b.Load*a.Slots
 	if left != right {
 		return left < right
--- a/internal/placing/search.go
+++ b/internal/placing/search.go
@@ -1,88 +1,91 @@
 package placing
 
-// Bounds of one request's search.
+// Bounds on the search for one request.
 const (
-	// maxAsks bounds the owners that one request asks, some 3 ms each, and
-	// maxLastAsks those that it asks for any place at all. With six, 64 of 13,700
-	// requests of the experiment's grown day were refused while slots were free
-	// further on, with nine one; the mean is two.
-	maxAsks     = 9
-	maxLastAsks = 2
+	// maxProbes bounds the owners that one request asks, at about 3 ms each, and
+	// maxLastResortProbes those that it asks as a last resort. With a bound of six,
+	// 64 of 13,700 requests of the experiment's grown day were refused while runners
+	// further down the order had free slots; with nine, one was. The mean is two.
+	maxProbes           = 9
+	maxLastResortProbes = 2
 )
 
-// Search is the search of one request for a place on an engine: a walk over its
-// adapter's runners, and another one on which it takes any place at all.
+// Search looks for a runner that admits one request. It walks over the adapter's
+// runners, and if none admits the request, walks again and asks for admission as a
+// last resort.
 type Search struct {
 	spreads *SpreadEstimator
-	// key is that of the adapter's spread, whole the one over all data centres.
-	key, whole string
-	places     int
-	walk       *Walk
-	last       bool
-	asks       int
-	// busy counts the runners of this walk that had too many requests.
-	busy int
+	// key identifies the adapter's spread that the search uses: that of the data
+	// centre or globalKey, the one over all data centres.
+	key, globalKey string
+	runners        int
+	walk           *Walk
+	lastResort     bool
+	probes         int
+	// busyCount is the number of runners of this walk that were too busy.
+	busyCount int
 }
 
-// nearPrefix marks the spread of an adapter's requests of one data centre.
-const nearPrefix = "near "
+// localPrefix marks the spread of an adapter's requests within one data centre.
+const localPrefix = "near "
 
-// Search begins a search over so many runners.
-func (s *SpreadEstimator) Search(key string, places int) *Search {
-	search := &Search{spreads: s, key: key, whole: key, places: places}
+// Search starts a search over the given number of runners.
+func (s *SpreadEstimator) Search(key string, runners int) *Search {
+	search := &Search{spreads: s, key: key, globalKey: key, runners: runners}
 	if s.IsWide(key) {
-		search.key = nearPrefix + key
+		search.key = localPrefix + key
 	}
-	search.walk = s.Walk(search.key, places)
+	search.walk = s.Walk(search.key, runners)
 	return search
 }
 
-// PreferLocal says that the runners are to be ordered with those of the request's data
-// centre first.
-func (s *Search) PreferLocal() bool { return s.key != s.whole }
+// PreferLocal reports whether the caller has to order the runners of the request's
+// data centre before all others.
+func (s *Search) PreferLocal() bool { return s.key != s.globalKey }
 
-// Next gives the next place to ask, and whether for any place at all; false after
-// the last. The draw is uniform in [0, 1).
-func (s *Search) Next(draw float64) (step Step, last, more bool) {
-	if s.asks < s.limit() {
+// Next returns the next runner to ask and whether to ask it as a last resort; more is
+// false after the last one. draw is a uniform random number in [0, 1).
+func (s *Search) Next(draw float64) (step Step, lastResort, more bool) {
+	if s.probes < s.probeLimit() {
 		if step, more = s.walk.Next(draw); more {
-			return step, s.last, true
+			return step, s.lastResort, true
 		}
 	}
-	if s.last {
+	if s.lastResort {
 		return Step{}, true, false
 	}
-	s.last, s.asks, s.busy = true, 0, 0
-	s.walk = s.spreads.Walk(s.key, s.places)
+	s.lastResort, s.probes, s.busyCount = true, 0, 0
+	s.walk = s.spreads.Walk(s.key, s.runners)
 	step, more = s.walk.Next(draw)
 	return step, true, more
 }
 
-func (s *Search) limit() int {
-	if s.last {
-		return maxLastAsks
+func (s *Search) probeLimit() int {
+	if s.lastResort {
+		return maxLastResortProbes
 	}
-	return maxAsks
+	return maxProbes
 }
 
-// Refused notes that a runner's owner refused the request: since it is busy, or
-// since the adapter lies elsewhere; named are the places that it named.
-func (s *Search) Refused(busy, elsewhere bool, named []int) {
-	s.asks++
+// Refused records that a runner's owner refused the request, because the runner is
+// busy or because other runners hold the adapter. replicas are the ranks of the
+// runners that the owner named.
+func (s *Search) Refused(busy, heldElsewhere bool, replicas []int) {
+	s.probes++
 	if busy {
-		s.busy++
+		s.busyCount++
 	}
-	if len(named) > 0 {
-		s.walk.AddReplicas(named, elsewhere)
+	if len(replicas) > 0 {
+		s.walk.AddReplicas(replicas, heldElsewhere)
 	}
 }
 
-// Admitted notes where the request was admitted.
-func (s *Search) Admitted(place int) {
-	s.spreads.Admitted(s.key, place, s.busy)
-	if s.PreferLocal() && place == 0 && s.busy == 0 {
-		// One runner of the data centre is enough: the adapter may be less wanted
-		// than it was.
-		s.spreads.Admitted(s.whole, 0, 0)
+// Admitted records which runner admitted the request.
+func (s *Search) Admitted(rank int) {
+	s.spreads.Admitted(s.key, rank, s.busyCount)
+	if s.PreferLocal() && rank == 0 && s.busyCount == 0 {
+		// The first runner of the data centre had room, so demand may have fallen:
+		// let the spread over all data centres decay as well.
+		s.spreads.Admitted(s.globalKey, 0, 0)
 	}
 }
--- a/internal/placing/spread.go
+++ b/internal/placing/spread.go
@@ -2,80 +2,82 @@
 
 import "sync"
 
-// SpreadEstimator learns over how many runners each adapter is spread, from where its
-// requests were admitted. It is safe for concurrent use.
+// SpreadEstimator learns over how many runners the requests for each adapter are
+// spread, from the runners that admitted them. It is safe for concurrent use.
 //
-// The load it answers: of 112 runners with 12 slots each, the most wanted adapter
-// keeps 25 busy. Asked one after the other, the first three were always full, and
-// a sixth of all requests was refused while half of the slots were free.
+// Of 112 runners with 12 request slots each, the most popular adapter keeps 25 busy.
+// When every request tried the runners in order from the first, the first three were
+// always full, and a sixth of all requests was refused while half of the slots were
+// free.
 type SpreadEstimator struct {
-	mu     sync.Mutex
-	widths map[string]spread
+	mu      sync.Mutex
+	spreads map[string]spread
 }
 
-// spread is what is known of one adapter.
+// spread is the state of one adapter.
 type spread struct {
 	width float64
-	// last is where a request was admitted last.
-	last int
+	// lastRank is the rank of the runner that last admitted a request.
+	lastRank int
 }
 
 const (
-	// widen is the part of the way that a width goes towards where a request was
-	// admitted after refusals, narrow what it loses with each request that was
-	// admitted at once: some ten of these undo one refusal.
-	widen  = 0.5
-	narrow = 0.99
-	// look is the share of requests that look for a place anew and do not begin
-	// where the last one was admitted: they find out that fewer runners would do.
-	look = 0.1
-	// single is the width from which on an adapter counts as lying on one runner.
-	single = 1.05
-	// maxSpreads bounds the adapters with a width; those beyond start anew.
-	maxSpreads = 4096
+	// growth is the fraction by which the width moves towards the rank of a runner
+	// that admitted a request after refusals. decay is applied for each request that
+	// was admitted without a refusal; about ten of these undo one refusal.
+	growth = 0.5
+	decay  = 0.99
+	// exploreShare of the requests do not start at the runner that admitted the last
+	// one. They find out whether fewer runners would do.
+	exploreShare = 0.1
+	// minSpreadWidth is the width below which an adapter counts as being on one
+	// runner.
+	minSpreadWidth = 1.05
+	// maxTracked bounds the adapters whose width is kept; others have width 1.
+	maxTracked = 4096
 )
 
-// NewSpreadEstimator makes spreads that know nothing: each adapter on one runner.
-func NewSpreadEstimator() *SpreadEstimator { return &SpreadEstimator{widths: map[string]spread{}} }
+// NewSpreadEstimator returns an estimator in which every adapter has width 1.
+func NewSpreadEstimator() *SpreadEstimator { return &SpreadEstimator{spreads: map[string]spread{}} }
 
-func (s *SpreadEstimator) of(key string) spread {
+func (s *SpreadEstimator) get(key string) spread {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known, ok := s.widths[key]
+	known, ok := s.spreads[key]
 	if !ok {
 		return spread{width: 1}
 	}
 	return known
 }
 
-// Admitted notes that a request was admitted at a place in the adapter's order
-// of runners, after so many refusals of busy ones. Other refusals say nothing of
-// how much the adapter is wanted.
-func (s *SpreadEstimator) Admitted(key string, place, busy int) {
+// Admitted records that the runner at a rank admitted a request for the adapter after
+// busyRefusals runners had refused it as busy. Refusals for other reasons say nothing
+// about the adapter's demand and must not be counted.
+func (s *SpreadEstimator) Admitted(key string, rank, busyRefusals int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	width := max(1, s.widths[key].width)
+	width := max(1, s.spreads[key].width)
 	switch {
-	case busy == 0:
-		width *= narrow
-	case float64(place+1) > width:
-		width += widen * (float64(place+1) - width)
+	case busyRefusals == 0:
+		width *= decay
+	case float64(rank+1) > width:
+		width += growth * (float64(rank+1) - width)
 	}
-	if width < single || len(s.widths) >= maxSpreads {
-		delete(s.widths, key)
+	if width < minSpreadWidth || len(s.spreads) >= maxTracked {
+		delete(s.spreads, key)
 		return
 	}
-	s.widths[key] = spread{width: width, last: place}
+	s.spreads[key] = spread{width: width, lastRank: rank}
 }
 
-// wide is the width from which on each data centre has enough requests for an
+// localWidth is the width from which each data centre has enough requests for an
 // adapter to fill a runner of its own.
-const wide = 4
+const localWidth = 4
 
-// IsWide says that an adapter is spread over so many runners that its requests can
+// IsWide reports whether an adapter is spread over enough runners for its requests to
 // stay in their data centre.
 //
-// The load it answers: bytes between data centres are the dearest thing after
-// fetches, and three quarters of all answers crossed, those of the ten most
-// wanted adapters too, which lie everywhere.
-func (s *SpreadEstimator) IsWide(key string) bool { return s.of(key).width >= wide }
+// Traffic between data centres is the largest cost after fetches. Without this rule
+// three quarters of all responses crossed data centres, including those of the ten
+// most popular adapters, which every data centre holds.
+func (s *SpreadEstimator) IsWide(key string) bool { return s.get(key).width >= localWidth }
--- a/internal/placing/spread_test.go
+++ b/internal/placing/spread_test.go
@@ -11,7 +11,7 @@
 	walk := NewSpreadEstimator().Walk("a", 5)
 	seen := map[int]bool{}
 	first, _ := walk.Next(0.99)
-	must.Eq(t, Step{Rank: 0, Home: true}, first, must.Sprint("a cold adapter's home comes first"))
+	must.Eq(t, Step{Rank: 0, Home: true}, first, must.Sprint("the home of a cold adapter is tried first"))
 	seen[first.Rank] = true
 	for range 4 {
 		step, ok := walk.Next(0.5)
@@ -23,9 +23,10 @@
 	must.False(t, ok)
 }
 
-// Two requests for the same cold adapter come to two hosts while its home is full.
-// Both go on to the same runner, whatever they draw: one copy is made and not two.
-func TestRequestsForAColdAdapterMeet(t *testing.T) {
+// Two requests for the same cold adapter arrive at two hosts while its home is full.
+// Both must go on to the same runner, whatever their random draw, so that one replica
+// is loaded instead of two.
+func TestColdAdapterRequestsTryTheSameRunners(t *testing.T) {
 	for _, draw := range []float64{0, 0.3, 0.6, 0.99} {
 		walk := NewSpreadEstimator().Walk("a", 112)
 		for want := range 6 {
@@ -35,9 +36,9 @@
 	}
 }
 
-// The home of an adapter names two runners that have it. They are asked before any
-// runner that would have to load it, and then the home once more.
-func TestNamedRunnersComeBeforeCopies(t *testing.T) {
+// The home of an adapter names two runners that hold it. They are tried before any
+// runner that would have to load the adapter, and then the home once more.
+func TestReplicasAreTriedBeforeOtherRunners(t *testing.T) {
 	walk := NewSpreadEstimator().Walk("a", 5)
 	_, _ = walk.Next(0)
 	walk.AddReplicas([]int{3, 7, 0, 1}, true)
@@ -52,14 +53,14 @@
 	must.False(t, ok)
 }
 
-// One adapter wants 25 of 112 runners, each of which takes 8 of its requests at
-// a time. Eighty-eight hosts learn apart from each other. In steady state a
-// request asks fewer than two owners, and next to none is refused after six.
+// One adapter needs 25 of 112 runners, each of which runs 8 of its requests at a
+// time. The 88 hosts learn independently. In steady state a request asks fewer than
+// two owners on average, and fewer than one in 200 is refused after six.
 func TestHotAdapterFindsItsRunners(t *testing.T) {
 	const (
-		hosts, runners, fair = 88, 112, 8
-		wanted               = 25 * fair
-		asks                 = 6
+		hosts, runners, limit = 88, 112, 8
+		wanted                = 25 * limit
+		probes                = 6
 	)
 	rng := rand.New(rand.NewPCG(1, 2))
 	spreads := make([]*SpreadEstimator, hosts)
@@ -68,11 +69,11 @@
 	}
 	load := make([]int, runners)
 	var running []int
-	// copies are the runners that the home knows of.
-	var copies []int
+	// replicas are the runners that the home knows to hold the adapter.
+	var replicas []int
 	held := map[int]bool{}
-	turn := 0
-	asked, refused, counted := 0, 0, 0
+	nextReplica := 0
+	totalProbes, refused, measured := 0, 0, 0
 	for request := range 20_000 {
 		if len(running) >= wanted {
 			i := rng.IntN(len(running))
@@ -83,54 +84,54 @@
 		s := spreads[rng.IntN(hosts)]
 		walk := s.Walk("hot", runners)
 		admitted := false
-		for try := range asks {
+		for try := range probes {
 			step, _ := walk.Next(rng.Float64())
-			place := step.Rank
+			rank := step.Rank
 			if request >= 10_000 {
-				asked++
+				totalProbes++
 			}
-			if load[place] < fair {
-				load[place]++
-				running = append(running, place)
-				s.Admitted("hot", place, try)
+			if load[rank] < limit {
+				load[rank]++
+				running = append(running, rank)
+				s.Admitted("hot", rank, try)
 				admitted = true
-				if !held[place] && !step.Home {
-					copies = append(copies, place)
+				if !held[rank] && !step.Home {
+					replicas = append(replicas, rank)
 				}
-				held[place] = true
+				held[rank] = true
 				break
 			}
-			if step.Home && len(copies) > 0 {
-				turn++
-				walk.AddReplicas([]int{copies[turn%len(copies)], copies[(turn+1)%len(copies)], copies[(turn+2)%len(copies)]}, false)
+			if step.Home && len(replicas) > 0 {
+				nextReplica++
+				walk.AddReplicas([]int{replicas[nextReplica%len(replicas)], replicas[(nextReplica+1)%len(replicas)], replicas[(nextReplica+2)%len(replicas)]}, false)
 			}
 		}
 		if request >= 10_000 {
-			counted++
+			measured++
 			if !admitted {
 				refused++
 			}
 		}
 	}
-	must.Less(t, 2*counted, asked)
-	must.Less(t, counted/200, refused)
+	must.Less(t, 2*measured, totalProbes)
+	must.Less(t, measured/200, refused)
 	spread := 0
 	for _, l := range load {
 		if l > 0 {
 			spread++
 		}
 	}
-	t.Logf("%.2f owners asked a request, %d refused, spread over %d", float64(asked)/float64(counted), refused, spread)
-	must.Less(t, 60, spread, must.Sprint("copies beyond need cost a fetch each"))
+	t.Logf("%.2f owners asked per request, %d refused, spread over %d runners", float64(totalProbes)/float64(measured), refused, spread)
+	must.Less(t, 60, spread, must.Sprint("each unneeded replica costs a fetch"))
 }
 
-func TestSpreadsForget(t *testing.T) {
+func TestSpreadDecays(t *testing.T) {
 	s := NewSpreadEstimator()
 	s.Admitted("a", 19, 3)
-	must.Greater(t, 10, s.of("a").width)
+	must.Greater(t, 10, s.get("a").width)
 	for range 400 {
 		s.Admitted("a", 0, 0)
 	}
-	must.Eq(t, 1.0, s.of("a").width)
-	must.MapEmpty(t, s.widths)
+	must.Eq(t, 1.0, s.get("a").width)
+	must.MapEmpty(t, s.spreads)
 }
--- a/internal/placing/walk.go
+++ b/internal/placing/walk.go
@@ -1,98 +1,98 @@
 package placing
 
-// Step is the next runner that a request asks for a place. Places count in the
-// order of the adapter's runners.
+// Step is the next runner to ask for admission.
 type Step struct {
+	// Rank is the runner's position in the adapter's order.
 	Rank int
-	// Home is set at the first place: the runner's owner keeps on which others
-	// the adapter lies. Retry: it is asked once more, since none of those took the
-	// request.
+	// Home is set for the first runner in the adapter's order, whose owner knows
+	// which other runners hold the adapter. Retry is set when the home is asked again
+	// because none of those admitted the request.
 	Home, Retry bool
 }
 
-// Walk is the order in which one request tries its adapter's runners: where the
-// adapter's last request was admitted if it is spread over several, the home,
-// the runners that the home names, the home anew, and then those that do not
-// hold the adapter yet.
+// Walk is the order in which one request tries its adapter's runners: the runner that
+// admitted the last request if the adapter is spread over several, the home, the
+// replicas that the home names, the home again, and then the runners that need not
+// hold the adapter.
 type Walk struct {
 	spread
-	known  bool
-	places int
-	tried  map[int]bool
-	named  []int
-	// anew says that the home lacks the adapter and left it to those it named.
-	anew bool
+	isSpread bool
+	runners  int
+	tried    map[int]bool
+	replicas []int
+	// retryHome is set if the home would have to load the adapter and refused the
+	// request because others hold it.
+	retryHome bool
 }
 
-// Walk begins a request's walk over so many runners.
-func (s *SpreadEstimator) Walk(key string, places int) *Walk {
-	known := s.of(key)
-	return &Walk{spread: known, known: known.width > single, places: places, tried: map[int]bool{}}
+// Walk starts a walk over the given number of runners.
+func (s *SpreadEstimator) Walk(key string, runners int) *Walk {
+	known := s.get(key)
+	return &Walk{spread: known, isSpread: known.width > minSpreadWidth, runners: runners, tried: map[int]bool{}}
 }
 
-// AddReplicas takes the places that the home named when it refused. With elsewhere it
-// refused since the adapter lies there.
-func (w *Walk) AddReplicas(places []int, elsewhere bool) {
-	w.named = places
-	w.anew = elsewhere
+// AddReplicas sets the ranks that the home named when it refused the request.
+// heldElsewhere is set if it refused because these runners hold the adapter.
+func (w *Walk) AddReplicas(ranks []int, heldElsewhere bool) {
+	w.replicas = ranks
+	w.retryHome = heldElsewhere
 }
 
-// Next gives the next place to try, or false after the last. The draw is uniform
-// in [0, 1).
+// Next returns the next runner to try, or false after the last one. draw is a uniform
+// random number in [0, 1).
 func (w *Walk) Next(draw float64) (Step, bool) {
-	if w.known && len(w.tried) == 0 && draw >= look && w.last < w.places {
-		return w.try(w.last), true
+	if w.isSpread && len(w.tried) == 0 && draw >= exploreShare && w.lastRank < w.runners {
+		return w.visit(w.lastRank), true
 	}
-	if !w.tried[0] && w.places > 0 {
-		return w.try(0), true
+	if !w.tried[0] && w.runners > 0 {
+		return w.visit(0), true
 	}
-	if place, ok := w.nextNamed(); ok {
-		return w.try(place), true
+	if rank, ok := w.nextReplica(); ok {
+		return w.visit(rank), true
 	}
-	if w.anew {
-		w.anew = false
+	if w.retryHome {
+		w.retryHome = false
 		return Step{Home: true, Retry: true}, true
 	}
-	if len(w.tried) >= w.places {
+	if len(w.tried) >= w.runners {
 		return Step{}, false
 	}
-	return w.try(w.fresh(draw)), true
+	return w.visit(w.nextUnloaded(draw)), true
 }
 
-func (w *Walk) nextNamed() (int, bool) {
-	for len(w.named) > 0 {
-		place := w.named[0]
-		w.named = w.named[1:]
-		if place < w.places && !w.tried[place] {
-			return place, true
+func (w *Walk) nextReplica() (int, bool) {
+	for len(w.replicas) > 0 {
+		rank := w.replicas[0]
+		w.replicas = w.replicas[1:]
+		if rank < w.runners && !w.tried[rank] {
+			return rank, true
 		}
 	}
 	return 0, false
 }
 
-// fresh gives a place that need not hold the adapter. For an adapter on one
-// runner it is the first one left, the same on every host: requests that come at
-// the same time then have one copy made and not one each. A wide adapter's is
-// drawn from those that it is spread over, and after each refusal from twice as
-// many.
-func (w *Walk) fresh(draw float64) int {
-	if !w.known {
-		return w.untried(0)
+// nextUnloaded returns the rank of an untried runner that need not hold the adapter.
+// For an adapter on a single runner it is the first one left on every host, so that
+// concurrent requests cause one load instead of one each. For a spread adapter it is
+// drawn at random from its width, which doubles with each refusal.
+func (w *Walk) nextUnloaded(draw float64) int {
+	if !w.isSpread {
+		return w.firstUntried(0)
 	}
-	w.width = min(2*w.width, float64(w.places))
-	return w.untried(int(draw * w.width))
+	w.width = min(2*w.width, float64(w.runners))
+	return w.firstUntried(int(draw * w.width))
 }
 
-// untried gives the first place from one on that was not tried.
-func (w *Walk) untried(place int) int {
-	place %= w.places
-	for w.tried[place] {
-		place = (place + 1) % w.places
+// firstUntried returns the first untried rank from the given one on, wrapping around.
+func (w *Walk) firstUntried(rank int) int {
+	rank %= w.runners
+	for w.tried[rank] {
+		rank = (rank + 1) % w.runners
 	}
-	return place
+	return rank
 }
 
-func (w *Walk) try(place int) Step {
-	w.tried[place] = true
-	return Step{Rank: place, Home: place == 0}
+func (w *Walk) visit(rank int) Step {
+	w.tried[rank] = true
+	return Step{Rank: rank, Home: rank == 0}
 }
