--- a/internal/adapters/admission.go
+++ b/internal/adapters/admission.go
@@ -241,7 +241,7 @@
 		return ErrBarred
 	}
 	settled := ask.Last || ask.Waited
-	if view.Limited && view.SaidAgo < limitRecheck && !settled && !k.holds(ask.Key) {
+	if view.Limited && view.LimitAge < limitRecheck && !settled && !k.holds(ask.Key) {
 		// The runner takes few requests. An adapter that is fetched to it would wait there
 		// for its turn, and be fetched once more elsewhere for those that cannot wait.
 		return ErrBusy
--- a/internal/adapters/limited_test.go
+++ b/internal/adapters/limited_test.go
@@ -21,7 +21,7 @@
 	must.ErrorIs(t, err, ErrBusy)
 	_, err = k.Admit(admission(1, time.Second))
 	must.NoError(t, err, must.Sprint("it lies there"))
-	k.Load = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2, SaidAgo: limitRecheck} }
+	k.Load = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2, LimitAge: limitRecheck} }
 	_, err = k.Admit(admission(3, time.Second))
 	must.NoError(t, err, must.Sprint("its limit may be over"))
 	k.Load = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -76,8 +76,8 @@
 	do(e)
 }
 
-// Begin counts a request of this host on a runner.
-func (b *Board) Begin(runner string, now time.Time) {
+// RecordStart counts a request of this host on a runner.
+func (b *Board) RecordStart(runner string, now time.Time) {
 	b.with(runner, func(e *entry) {
 		if e.own == 0 {
 			e.heardAt = now
@@ -87,13 +87,13 @@
 	})
 }
 
-// Heard notes that a runner sent something for one of this host's requests.
-func (b *Board) Heard(runner string, now time.Time) {
+// RecordActivity notes that a runner sent something for one of this host's requests.
+func (b *Board) RecordActivity(runner string, now time.Time) {
 	b.with(runner, func(e *entry) { e.heardAt = now })
 }
 
-// Answered notes that a runner answered a request that was sent at a time.
-func (b *Board) Answered(runner string, sent time.Time) {
+// RecordResponse notes that a runner answered a request that was sent at a time.
+func (b *Board) RecordResponse(runner string, sent time.Time) {
 	b.with(runner, func(e *entry) {
 		if sent.After(e.answeredSent) {
 			e.answeredSent = sent
@@ -102,9 +102,9 @@
 	})
 }
 
-// AnsweredSince says whether a runner answered a request that was sent after a moment, so
+// RespondedSince says whether a runner answered a request that was sent after a moment, so
 // that it lived then.
-func (b *Board) AnsweredSince(runner string, moment time.Time) bool {
+func (b *Board) RespondedSince(runner string, moment time.Time) bool {
 	var since bool
 	b.with(runner, func(e *entry) { since = e.answeredSent.After(moment) })
 	return since
@@ -123,13 +123,13 @@
 	return e.own >= silentRequests && now.Sub(e.heardAt) > silentAfter
 }
 
-// End takes a request back that Begin counted.
-func (b *Board) End(runner string) {
+// RecordEnd takes a request back that Begin counted.
+func (b *Board) RecordEnd(runner string) {
 	b.with(runner, func(e *entry) { e.own = max(0, e.own-1) })
 }
 
-// Own gives the requests of this host on each runner.
-func (b *Board) Own() map[string]int {
+// OwnRequests gives the requests of this host on each runner.
+func (b *Board) OwnRequests() map[string]int {
 	own := map[string]int{}
 	for i := range b.shards {
 		s := &b.shards[i]
@@ -144,15 +144,15 @@
 	return own
 }
 
-// Running gives the requests of this host on a runner.
-func (b *Board) Running(runner string) int {
+// OwnRequestsOn gives the requests of this host on a runner.
+func (b *Board) OwnRequestsOn(runner string) int {
 	var own int
 	b.with(runner, func(e *entry) { own = e.own })
 	return own
 }
 
-// PeerOn takes a peer's requests on one runner.
-func (b *Board) PeerOn(peer, runner string, running int, now time.Time) {
+// SetPeerRequests takes a peer's requests on one runner.
+func (b *Board) SetPeerRequests(peer, runner string, running int, now time.Time) {
 	b.with(runner, func(e *entry) { e.peers[peer] = peerCount{running: running, at: now} })
 }
 
@@ -165,13 +165,13 @@
 	Suspect bool
 	// Limited says that the runner takes only Rate requests a second from all hosts together,
 	// and SaidAgo how long ago it last said so.
-	Limited bool
-	Rate    float64
-	SaidAgo time.Duration
+	Limited  bool
+	Rate     float64
+	LimitAge time.Duration
 	// Refusing says that the runner turns away whatever comes.
 	Refusing bool
-	// Barred is for how long no request of this host may be sent to the runner, 0 if one may.
-	Barred time.Duration
+	// BlockedFor is for how long no request of this host may be sent to the runner, 0 if one may.
+	BlockedFor time.Duration
 }
 
 // View gives the state of a runner.
@@ -187,10 +187,10 @@
 		}
 		view.Suspect = e.health.suspect(now) || e.silent(now)
 		if e.limit.limited {
-			view.Limited, view.Rate, view.SaidAgo = true, e.limit.rate, now.Sub(e.limit.saidAt)
+			view.Limited, view.Rate, view.LimitAge = true, e.limit.rate, now.Sub(e.limit.saidAt)
 		}
 		view.Refusing = e.refusals.hold(now)
-		view.Barred = e.barred(now)
+		view.BlockedFor = e.barred(now)
 	})
 	return view
 }
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -11,19 +11,19 @@
 
 func TestLoadOfAllHosts(t *testing.T) {
 	b := New()
-	b.Begin("r", epoch)
-	b.PeerOn("p", "r", 4, epoch)
-	b.PeerOn("p", "s", 1, epoch)
+	b.RecordStart("r", epoch)
+	b.SetPeerRequests("p", "r", 4, epoch)
+	b.SetPeerRequests("p", "s", 1, epoch)
 	must.Eq(t, View{Own: 1, Load: 5}, b.View("r", epoch))
-	b.PeerOn("p", "r", 0, epoch)
-	b.PeerOn("p", "s", 2, epoch)
+	b.SetPeerRequests("p", "r", 0, epoch)
+	b.SetPeerRequests("p", "s", 2, epoch)
 	must.Eq(t, 1, b.View("r", epoch).Load)
 	must.Eq(t, 2, b.View("s", epoch).Load)
 	must.Eq(t, 0, b.View("s", epoch.Add(peerCountLife)).Load, must.Sprint("a peer that stopped telling may be gone"))
-	b.End("r")
-	b.End("r")
+	b.RecordEnd("r")
+	b.RecordEnd("r")
 	must.Eq(t, 0, b.View("r", epoch).Own)
-	must.MapEmpty(t, b.Own())
+	must.MapEmpty(t, b.OwnRequests())
 }
 
 // A runner's connections break off, some since it ended and some for other reasons. An
@@ -31,12 +31,12 @@
 // the runner lives.
 func TestAnswerShowsThatARunnerLives(t *testing.T) {
 	b := New()
-	b.Answered("r", epoch)
-	b.Answered("r", epoch.Add(-time.Second))
-	must.False(t, b.AnsweredSince("r", epoch))
-	must.True(t, b.AnsweredSince("r", epoch.Add(-time.Millisecond)))
+	b.RecordResponse("r", epoch)
+	b.RecordResponse("r", epoch.Add(-time.Second))
+	must.False(t, b.RespondedSince("r", epoch))
+	must.True(t, b.RespondedSince("r", epoch.Add(-time.Millisecond)))
 	b.Forget("r", epoch)
-	must.False(t, b.AnsweredSince("r", epoch.Add(-time.Millisecond)))
+	must.False(t, b.RespondedSince("r", epoch.Add(-time.Millisecond)))
 }
 
 // A runner fails two fifths of its requests while its health page is good. It
@@ -49,9 +49,9 @@
 	for i := range 20 {
 		now = now.Add(20 * time.Millisecond)
 		if i%5 < 2 {
-			turned = b.Bad("r", false, now) || turned
+			turned = b.RecordFailure("r", false, now) || turned
 		} else {
-			b.Good("r", now)
+			b.RecordSuccess("r", now)
 		}
 		if turned {
 			break
@@ -66,8 +66,8 @@
 // runners failing one in a hundred, nowhere would be left to go.
 func TestOneFailureIsForgiven(t *testing.T) {
 	b := New()
-	b.Good("r", epoch)
-	must.False(t, b.Bad("r", false, epoch))
+	b.RecordSuccess("r", epoch)
+	must.False(t, b.RecordFailure("r", false, epoch))
 	must.False(t, b.View("r", epoch).Suspect)
 }
 
@@ -77,17 +77,17 @@
 	b := New()
 	now := epoch
 	for _, want := range []time.Duration{suspectFirst, 2 * suspectFirst, 4 * suspectFirst, 8 * suspectFirst, suspectMost, suspectMost} {
-		must.True(t, b.Bad("r", true, now))
+		must.True(t, b.RecordFailure("r", true, now))
 		left := b.Suspects(now)["r"]
 		must.Eq(t, want, left)
 		now = now.Add(left)
 	}
-	b.Good("r", now)
-	b.Good("r", now)
-	b.Good("r", now)
-	b.Good("r", now)
-	b.Good("r", now)
-	b.Good("r", now)
+	b.RecordSuccess("r", now)
+	b.RecordSuccess("r", now)
+	b.RecordSuccess("r", now)
+	b.RecordSuccess("r", now)
+	b.RecordSuccess("r", now)
+	b.RecordSuccess("r", now)
 	must.False(t, b.View("r", now).Suspect)
 }
 
@@ -95,10 +95,10 @@
 // the runner away from this host's callers.
 func TestPeersSuspicion(t *testing.T) {
 	b := New()
-	b.Good("r", epoch)
-	b.PeerSuspects("r", time.Second, epoch.Add(time.Millisecond))
+	b.RecordSuccess("r", epoch)
+	b.MergePeerSuspicion("r", time.Second, epoch.Add(time.Millisecond))
 	must.False(t, b.View("r", epoch.Add(time.Millisecond)).Suspect)
-	b.PeerSuspects("s", time.Second, epoch)
+	b.MergePeerSuspicion("s", time.Second, epoch)
 	must.True(t, b.View("s", epoch).Suspect)
 	must.False(t, b.View("s", epoch.Add(suspectFirst)).Suspect, must.Sprint("each host tries for itself"))
 }
@@ -108,15 +108,15 @@
 // takes long says nothing yet.
 func TestDarkRunner(t *testing.T) {
 	b := New()
-	b.Begin("r", epoch)
+	b.RecordStart("r", epoch)
 	must.False(t, b.View("r", epoch.Add(time.Second)).Suspect)
-	b.Begin("r", epoch)
-	b.Begin("r", epoch)
-	b.Heard("r", epoch.Add(time.Second))
+	b.RecordStart("r", epoch)
+	b.RecordStart("r", epoch)
+	b.RecordActivity("r", epoch.Add(time.Second))
 	must.False(t, b.View("r", epoch.Add(time.Second+silentAfter)).Suspect)
 	now := epoch.Add(time.Second + silentAfter + time.Millisecond)
 	must.True(t, b.View("r", now).Suspect)
 	must.MapContainsKey(t, b.Suspects(now), "r")
-	b.Heard("r", now)
+	b.RecordActivity("r", now)
 	must.False(t, b.View("r", now).Suspect)
 }
--- a/internal/board/health.go
+++ b/internal/board/health.go
@@ -56,9 +56,9 @@
 	return true
 }
 
-// Good notes that a runner served a request, and reports whether that ends the
+// RecordSuccess notes that a runner served a request, and reports whether that ends the
 // suspicion against it.
-func (b *Board) Good(runner string, now time.Time) bool {
+func (b *Board) RecordSuccess(runner string, now time.Time) bool {
 	var ended bool
 	b.with(runner, func(e *entry) {
 		ended = e.health.good(now)
@@ -67,9 +67,9 @@
 	return ended
 }
 
-// Bad notes that a runner failed a request, and reports whether it is suspect
+// RecordFailure notes that a runner failed a request, and reports whether it is suspect
 // since then. Hard failures are those to connect at all.
-func (b *Board) Bad(runner string, hard bool, now time.Time) bool {
+func (b *Board) RecordFailure(runner string, hard bool, now time.Time) bool {
 	var turned bool
 	b.with(runner, func(e *entry) { turned = e.health.bad(now, hard) })
 	return turned
@@ -94,9 +94,9 @@
 	return suspects
 }
 
-// PeerSuspects takes over a peer's suspicion of a runner, unless the runner
+// MergePeerSuspicion takes over a peer's suspicion of a runner, unless the runner
 // has just served this host.
-func (b *Board) PeerSuspects(runner string, left time.Duration, now time.Time) {
+func (b *Board) MergePeerSuspicion(runner string, left time.Duration, now time.Time) {
 	b.with(runner, func(e *entry) {
 		if now.Sub(e.health.goodAt) < recentSuccess {
 			return
--- a/internal/board/refusals.go
+++ b/internal/board/refusals.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// Refused notes that a runner turned a request away, as busy as it looked.
-func (b *Board) Refused(runner string, now time.Time) {
+// RecordRefusal notes that a runner turned a request away, as busy as it looked.
+func (b *Board) RecordRefusal(runner string, now time.Time) {
 	b.with(runner, func(e *entry) { e.refusals.note(now) })
 }
--- a/internal/board/signal.go
+++ b/internal/board/signal.go
@@ -14,11 +14,11 @@
 	Rate    float64
 	// Leaving says that the runner is about to end its work.
 	Leaving bool
-	// Rest is for how long the runner wants no request from the host that it turned away,
+	// Backoff is for how long the runner wants no request from the host that it turned away,
 	// 0 where it did not say.
-	Rest time.Duration
-	// Unread is what the runner said and is not understood.
-	Unread string
+	Backoff time.Duration
+	// Malformed is what the runner said and is not understood.
+	Malformed string
 }
 
 // limit is what is known of a runner's limit. The zero value is that of a runner that never
@@ -32,13 +32,13 @@
 	refusedUntil time.Time
 }
 
-// Change is what an answer changed in what is known of its runner.
-type Change struct {
+// SignalChange is what an answer changed in what is known of its runner.
+type SignalChange struct {
 	LimitChange
-	// RestBegan says that the runner asks for rest, and did not rest before.
-	RestBegan bool
-	// Unread says that the runner says something that is not understood, and did not before.
-	Unread bool
+	// BackoffStarted says that the runner asks for rest, and did not rest before.
+	BackoffStarted bool
+	// MalformedStarted says that the runner says something that is not understood, and did not before.
+	MalformedStarted bool
 }
 
 // LimitChange is a change of a runner's limit.
@@ -48,16 +48,16 @@
 	Before, After float64
 }
 
-// Signalled notes what an answer to a request that was sent at a time says.
-func (b *Board) Signalled(runner string, signal Signal, sent, now time.Time) Change {
-	var change Change
+// RecordSignal notes what an answer to a request that was sent at a time says.
+func (b *Board) RecordSignal(runner string, signal Signal, sent, now time.Time) SignalChange {
+	var change SignalChange
 	b.with(runner, func(e *entry) {
-		if signal.Unread == "" {
+		if signal.Malformed == "" {
 			change.LimitChange = e.limit.hear(signal, sent, now)
 		}
-		change.RestBegan = e.rest(signal.Rest, now)
-		change.Unread = signal.Unread != "" && signal.Unread != e.unread
-		e.unread = signal.Unread
+		change.BackoffStarted = e.rest(signal.Backoff, now)
+		change.MalformedStarted = signal.Malformed != "" && signal.Malformed != e.unread
+		e.unread = signal.Malformed
 	})
 	return change
 }
@@ -95,8 +95,8 @@
 	return LimitChange{Changed: true, Before: before.rate, After: l.rate}
 }
 
-// Limit is what hosts tell each other of a runner's limit.
-type Limit struct {
+// LimitReport is what hosts tell each other of a runner's limit.
+type LimitReport struct {
 	Runner string `json:"runner"`
 	// Limited is false where the runner has lifted its limit.
 	Limited bool    `json:"limited,omitempty"`
@@ -118,19 +118,19 @@
 	newerBy = 50 * time.Millisecond
 )
 
-// Limits gives what to tell a peer, the newest words first.
-func (b *Board) Limits(now time.Time) []Limit {
-	var limits []Limit
+// LimitReports gives what to tell a peer, the newest words first.
+func (b *Board) LimitReports(now time.Time) []LimitReport {
+	var limits []LimitReport
 	for i := range b.shards {
 		limits = b.shards[i].limits(limits, now)
 	}
-	slices.SortFunc(limits, func(x, y Limit) int {
+	slices.SortFunc(limits, func(x, y LimitReport) int {
 		return cmp.Or(cmp.Compare(x.AgeMS, y.AgeMS), cmp.Compare(x.Runner, y.Runner))
 	})
 	return limits[:min(len(limits), mostLimits)]
 }
 
-func (s *shard) limits(limits []Limit, now time.Time) []Limit {
+func (s *shard) limits(limits []LimitReport, now time.Time) []LimitReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for runner, e := range s.entries {
@@ -141,12 +141,12 @@
 	return limits
 }
 
-func (l *limit) told(runner string, now time.Time) Limit {
-	return Limit{Runner: runner, Limited: l.limited, Rate: l.rate, AgeMS: now.Sub(l.saidAt).Milliseconds()}
+func (l *limit) told(runner string, now time.Time) LimitReport {
+	return LimitReport{Runner: runner, Limited: l.limited, Rate: l.rate, AgeMS: now.Sub(l.saidAt).Milliseconds()}
 }
 
-// Limited gives the number of runners that name a limit.
-func (b *Board) Limited() int {
+// LimitedCount gives the number of runners that name a limit.
+func (b *Board) LimitedCount() int {
 	count := 0
 	for i := range b.shards {
 		b.shards[i].mu.Lock()
@@ -160,21 +160,21 @@
 	return count
 }
 
-// LimitOf gives what to tell a peer of one runner.
-func (b *Board) LimitOf(runner string, now time.Time) Limit {
-	var told Limit
+// LimitReportFor gives what to tell a peer of one runner.
+func (b *Board) LimitReportFor(runner string, now time.Time) LimitReport {
+	var told LimitReport
 	b.with(runner, func(e *entry) { told = e.limit.told(runner, now) })
 	return told
 }
 
-// PeerLimit takes over what a peer tells of a runner's limit, if it is newer.
-func (b *Board) PeerLimit(told Limit, now time.Time) LimitChange {
+// MergePeerLimit takes over what a peer tells of a runner's limit, if it is newer.
+func (b *Board) MergePeerLimit(told LimitReport, now time.Time) LimitChange {
 	var change LimitChange
 	b.with(told.Runner, func(e *entry) { change = e.limit.hearPeer(told, now) })
 	return change
 }
 
-func (l *limit) hearPeer(told Limit, now time.Time) LimitChange {
+func (l *limit) hearPeer(told LimitReport, now time.Time) LimitChange {
 	saidAt := now.Add(-time.Duration(told.AgeMS) * time.Millisecond)
 	if !saidAt.After(l.saidAt.Add(newerBy)) {
 		return LimitChange{}
@@ -187,8 +187,8 @@
 	return l.change(before)
 }
 
-// RefuseUntil notes until when this host gets nothing of a runner's limit.
-func (b *Board) RefuseUntil(runner string, until time.Time) {
+// BlockUntil notes until when this host gets nothing of a runner's limit.
+func (b *Board) BlockUntil(runner string, until time.Time) {
 	b.with(runner, func(e *entry) { e.limit.refusedUntil = until })
 }
 
--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -116,7 +116,7 @@
 			return result, nil
 		}
 		if !admitted.Again {
-			o.board.PeerOn(from.Host, p.Runner, p.Running+1, o.now())
+			o.board.SetPeerRequests(from.Host, p.Runner, p.Running+1, o.now())
 		}
 		return AdmitResult{ReadyMS: max(0, admitted.At.Sub(o.now()).Milliseconds()), Again: admitted.Again}, nil
 	})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -405,7 +405,7 @@
 	vars.Set("quarantine_size", expvar.Func(func() any { return e.suspects.quarantine.Size() }))
 	vars.Set("workspaces", expvar.Func(func() any { return e.quotas.use() }))
 	vars.Set("quota_parts_counted", expvar.Func(func() any { return e.quotas.counting.counter.Size() }))
-	vars.Set("runners_limited", expvar.Func(func() any { return e.board.Limited() }))
+	vars.Set("runners_limited", expvar.Func(func() any { return e.board.LimitedCount() }))
 	vars.Set("config_version", expvar.Func(func() any { return e.configVersion() }))
 	vars.Set("knowledge", expvar.Func(func() any { return e.mesh.Knowledge() }))
 	vars.Set("hosts_in_force", expvar.Func(func() any { return e.state.Size() }))
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -89,7 +89,7 @@
 	err = o.pool.Call(asking, address, methodAdmit, AdmitParams{
 		Runner: runner.ID, Model: ask.Key.Model, Adapter: ask.Key.Name, Version: ask.Key.Version, Tokens: ask.Tokens, Output: ask.Output, Likely: ask.Likely,
 		PatienceMS: ask.Patience.Milliseconds(), WithinMS: ask.Within.Milliseconds(), TargetMS: ask.Target.Milliseconds(),
-		Running: o.board.Running(runner.ID), Last: ask.Last, Home: ask.Home, Anew: ask.Anew, Waited: ask.Waited, Barred: ask.Barred,
+		Running: o.board.OwnRequestsOn(runner.ID), Last: ask.Last, Home: ask.Home, Anew: ask.Anew, Waited: ask.Waited, Barred: ask.Barred,
 	}, &result)
 	if err != nil {
 		return adapters.Admitted{}, o.failed(host, err)
--- a/internal/entry/owners_test.go
+++ b/internal/entry/owners_test.go
@@ -165,14 +165,14 @@
 func TestSteadyLoadIsToldAgain(t *testing.T) {
 	withOwner(t, func(o *owners, owner *remote) {
 		runners := map[string]*site.Runner{far.ID: far}
-		o.board.Begin(far.ID, time.Now())
+		o.board.RecordStart(far.ID, time.Now())
 		for range 15 {
 			o.tell(context.Background(), runners)
 			time.Sleep(tellInterval)
 		}
 		must.Len(t, 3, owner.all())
 		must.Eq(t, 1, owner.all()[2].Running)
-		o.board.End(far.ID)
+		o.board.RecordEnd(far.ID)
 		o.tell(context.Background(), runners)
 		time.Sleep(time.Millisecond)
 		must.Eq(t, 0, owner.all()[3].Running)
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -38,7 +38,7 @@
 	// Instance names the runner whatever lifetime of it the asker believes in.
 	Instance string `json:"instance"`
 	// Limit is what the asker knows.
-	Limit board.Limit `json:"limit"`
+	Limit board.LimitReport `json:"limit"`
 }
 
 // LimitResult answers it.
@@ -47,7 +47,7 @@
 	// WaitMS is when to ask again, where it is not granted.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 	// Limit is what the host that counts knows.
-	Limit board.Limit `json:"limit"`
+	Limit board.LimitReport `json:"limit"`
 }
 
 // pressure is how this host keeps to what runners ask of the hosts in their answers.
@@ -101,26 +101,26 @@
 
 func (p *pressure) signalled(runner string, signal *board.Signal, sent time.Time, from string) {
 	now := p.now()
-	change := p.board.Signalled(runner, *signal, sent, now)
+	change := p.board.RecordSignal(runner, *signal, sent, now)
 	p.logLimit(runner, change.LimitChange, from, 0)
-	if change.RestBegan {
-		p.log.Info("runner asks for rest", "runner", runner, "from", from, "rest_ms", signal.Rest.Milliseconds())
+	if change.BackoffStarted {
+		p.log.Info("runner asks for rest", "runner", runner, "from", from, "rest_ms", signal.Backoff.Milliseconds())
 	}
 	if signal.Leaving && p.directory.Leaves(runner) {
 		p.log.Info("runner says that it leaves", "runner", runner, "from", from)
 	}
-	if change.Unread {
-		p.log.Warn("runner's word not understood", "runner", runner, "from", from, "said", signal.Unread)
+	if change.MalformedStarted {
+		p.log.Warn("runner's word not understood", "runner", runner, "from", from, "said", signal.Malformed)
 	}
 }
 
 // peerLimit takes over what a peer tells of a runner's limit. Of runners that this host
 // does not know, nothing is kept: nobody would forget it.
-func (p *pressure) peerLimit(told board.Limit, host string) {
+func (p *pressure) peerLimit(told board.LimitReport, host string) {
 	if _, known := p.directory.Snapshot().Runners[told.Runner]; !known {
 		return
 	}
-	change := p.board.PeerLimit(told, p.now())
+	change := p.board.MergePeerLimit(told, p.now())
 	p.logLimit(told.Runner, change, "host "+host, time.Duration(told.AgeMS)*time.Millisecond)
 }
 
@@ -140,8 +140,8 @@
 // Take implements serve.Pressure.
 func (p *pressure) Take(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
 	view := p.board.View(runner.ID, p.now())
-	if view.Barred > 0 {
-		return view.Barred, false
+	if view.BlockedFor > 0 {
+		return view.BlockedFor, false
 	}
 	if !view.Limited {
 		return 0, true
@@ -152,13 +152,13 @@
 		return 0, true
 	}
 	p.refused.Add(1)
-	p.board.RefuseUntil(runner.ID, p.now().Add(wait))
+	p.board.BlockUntil(runner.ID, p.now().Add(wait))
 	return wait, false
 }
 
 // ask asks the host that counts the runner's limit.
 func (p *pressure) ask(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
-	params := LimitParams{Instance: runner.Instance, Limit: p.board.LimitOf(runner.ID, p.now())}
+	params := LimitParams{Instance: runner.Instance, Limit: p.board.LimitReportFor(runner.ID, p.now())}
 	host, address := p.counting.first(runner.Instance, 0)
 	var result LimitResult
 	var err error
@@ -203,7 +203,7 @@
 	}
 	known := params.Limit
 	if _, listed := p.directory.Snapshot().Runners[known.Runner]; listed {
-		known = p.board.LimitOf(known.Runner, now)
+		known = p.board.LimitReportFor(known.Runner, now)
 	}
 	if !known.Limited {
 		return LimitResult{Granted: true, Limit: known}, nil
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -32,7 +32,7 @@
 	// where that is nothing.
 	Quarantine uint64 `json:"quarantine,omitempty"`
 	// Limits are what runners named as their limits, as far as the sender knows.
-	Limits []board.Limit `json:"limits,omitempty"`
+	Limits []board.LimitReport `json:"limits,omitempty"`
 	// Leaving are runners that leave by their own word while their entries do not say so.
 	Leaving []string `json:"leaving,omitempty"`
 }
@@ -49,7 +49,7 @@
 	quarantined   func() uint64
 	quarantinedAt func(host string, digest uint64)
 	// limitAt takes over what a peer knows of a runner's limit.
-	limitAt func(told board.Limit, host string)
+	limitAt func(told board.LimitReport, host string)
 	// leavingAt takes over that a runner leaves.
 	leavingAt func(runner, host string)
 	now       func() time.Time
@@ -68,7 +68,7 @@
 func (s *statuses) Status() any {
 	told := status{Running: map[string]int{}, SuspectMS: map[string]int64{}}
 	snapshot := s.directory.Snapshot()
-	for id, running := range s.board.Own() {
+	for id, running := range s.board.OwnRequests() {
 		if runner := snapshot.Runners[id]; runner != nil && !snapshot.IsEngine(runner.Service) {
 			told.Running[id] = running
 		}
@@ -82,7 +82,7 @@
 		told.ReadingNS = append(told.ReadingNS, int64(perToken))
 	}
 	told.Quarantine = s.quarantined()
-	told.Limits = s.board.Limits(s.now())
+	told.Limits = s.board.LimitReports(s.now())
 	told.Leaving = s.directory.Leaving()
 	return told
 }
@@ -103,16 +103,16 @@
 	}
 	now := s.now()
 	for runner, running := range told.Running {
-		s.board.PeerOn(host, runner, running, now)
+		s.board.SetPeerRequests(host, runner, running, now)
 	}
 	for runner, ms := range told.SuspectMS {
-		s.board.PeerSuspects(runner, time.Duration(ms)*time.Millisecond, now)
+		s.board.MergePeerSuspicion(runner, time.Duration(ms)*time.Millisecond, now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for runner := range s.peers[host].Running {
 		if _, still := told.Running[runner]; !still {
-			s.board.PeerOn(host, runner, 0, now)
+			s.board.SetPeerRequests(host, runner, 0, now)
 		}
 	}
 	s.peers[host] = heard{status: told, at: now}
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -164,7 +164,7 @@
 // report reports the answers that broke off to the hosts that count for the whole fleet,
 // and counts them here too: a host that is cut off from the others has only its own.
 func (s *suspects) report(ctx context.Context) {
-	due, dropped := s.quarantine.Due(s.now(), s.board.AnsweredSince)
+	due, dropped := s.quarantine.Due(s.now(), s.board.RespondedSince)
 	if dropped > 0 {
 		s.log.Warn("answers that broke off not counted: too many at once", "dropped", dropped)
 	}
--- a/internal/entry/telling.go
+++ b/internal/entry/telling.go
@@ -56,7 +56,7 @@
 
 // Refused implements serve.Owners.
 func (o *owners) Refused(runner string) {
-	o.board.Refused(runner, o.now())
+	o.board.RecordRefusal(runner, o.now())
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	told := o.outcomes[runner]
@@ -78,7 +78,7 @@
 // is kept: without the word that requests have ended, it takes the places of their
 // adapters for used until the longest of them would be over.
 func (o *owners) tell(ctx context.Context, runners map[string]*site.Runner) {
-	own := o.board.Own()
+	own := o.board.OwnRequests()
 	byOwner := map[string]TellParams{}
 	for id, runner := range runners {
 		_, address, err := o.find(runner)
@@ -181,24 +181,24 @@
 func (o *owners) takeTold(host string, params TellParams) {
 	now := o.now()
 	for runner, told := range params.Runners {
-		o.board.PeerOn(host, runner, told.Running, now)
+		o.board.SetPeerRequests(host, runner, told.Running, now)
 		o.takeEnded(runner, told.Ended)
 		if keeper, ok := o.owner.Keeper(runner); ok {
 			keeper.Began(float64(told.ReadingNS))
 		}
 		for range told.Good {
-			o.board.Good(runner, now)
+			o.board.RecordSuccess(runner, now)
 		}
 		for range told.Bad {
-			o.board.Bad(runner, false, now)
+			o.board.RecordFailure(runner, false, now)
 		}
 		if told.Good == 0 {
 			for range told.Refused {
-				o.board.Refused(runner, now)
+				o.board.RecordRefusal(runner, now)
 			}
 		}
 		if told.Hard > 0 {
-			o.board.Bad(runner, true, now)
+			o.board.RecordFailure(runner, true, now)
 		}
 	}
 }
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -288,7 +288,7 @@
 	r.sends++
 	way := w.way(r.host.centre, runner.DataCentre)
 	h := r.host
-	h.board.Begin(runner.ID, w.clock.now)
+	h.board.RecordStart(runner.ID, w.clock.now)
 	r.watch(runner)
 	w.clock.after(way, func() {
 		e := w.byID[runner.ID]
@@ -296,7 +296,7 @@
 		sent.event = func() { w.clock.after(way, func() { r.event(sent, runner) }) }
 		sent.ended = func(whole bool) {
 			w.clock.after(way, func() {
-				h.board.End(runner.ID)
+				h.board.RecordEnd(runner.ID)
 				w.ended(runner.ID, r.key)
 				r.end(sent, runner, whole)
 			})
@@ -304,7 +304,7 @@
 		r.engine, r.run = e, sent
 		if why := e.submit(sent); why != taken {
 			w.clock.after(way, func() {
-				h.board.End(runner.ID)
+				h.board.RecordEnd(runner.ID)
 				w.ended(runner.ID, r.key)
 				r.turnedAway(sent, runner, why)
 			})
@@ -319,7 +319,7 @@
 	h := r.host
 	r.w.clock.after(silentFactor*millis(r.kind.TargetMS), func() {
 		if r.first.IsZero() && r.sends == sends && !r.over && r.host == h {
-			h.board.Bad(runner.ID, false, r.w.clock.now)
+			h.board.RecordFailure(runner.ID, false, r.w.clock.now)
 		}
 	})
 }
@@ -345,7 +345,7 @@
 	r.over = true
 	if r.run != nil {
 		r.engine.cancel(r.run)
-		r.host.board.End(r.engine.runner.ID)
+		r.host.board.RecordEnd(r.engine.runner.ID)
 		r.w.ended(r.engine.runner.ID, r.key)
 	}
 	r.w.result.failed(r)
@@ -356,7 +356,7 @@
 		return
 	}
 	now := r.w.clock.now
-	r.host.board.Heard(runner.ID, now)
+	r.host.board.RecordActivity(runner.ID, now)
 	if r.first.IsZero() {
 		r.first = now
 	} else {
@@ -372,13 +372,13 @@
 	r.over = true
 	now := r.w.clock.now
 	if !whole {
-		r.host.board.Bad(runner.ID, false, now)
-		r.w.owners.Bad(runner.ID, false, now)
+		r.host.board.RecordFailure(runner.ID, false, now)
+		r.w.owners.RecordFailure(runner.ID, false, now)
 		r.w.result.failed(r)
 		return
 	}
-	r.host.board.Good(runner.ID, now)
-	r.w.owners.Good(runner.ID, now)
+	r.host.board.RecordSuccess(runner.ID, now)
+	r.w.owners.RecordSuccess(runner.ID, now)
 	r.w.result.served(r)
 }
 
@@ -391,7 +391,7 @@
 	r.run = nil
 	w.result.TurnedAway++
 	if why == unreachable {
-		r.host.board.Bad(runner.ID, true, w.clock.now)
+		r.host.board.RecordFailure(runner.ID, true, w.clock.now)
 		r.tried[runner.ID] = true
 	}
 	if r.sends >= maxSends || !r.host.budget.Take(w.clock.now, len(w.hosts)) {
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -405,7 +405,7 @@
 func (w *world) tellSuspects() {
 	for _, h := range w.hosts {
 		for runner, left := range h.board.Suspects(w.clock.now) {
-			w.owners.PeerSuspects(runner, left, w.clock.now)
+			w.owners.MergePeerSuspicion(runner, left, w.clock.now)
 		}
 	}
 	w.clock.after(suspectsTold, w.tellSuspects)
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -40,8 +40,8 @@
 	runner := l.runner
 	l.sends++
 	l.sentAt = l.s.Now()
-	l.s.Board.Begin(runner.ID, l.sentAt)
-	defer l.s.Board.End(runner.ID)
+	l.s.Board.RecordStart(runner.ID, l.sentAt)
+	defer l.s.Board.RecordEnd(runner.ID)
 	if l.key.Name != "" {
 		defer l.s.Owners.Ended(runner, l.key.Adapter)
 	}
@@ -52,7 +52,7 @@
 	answer, failure := l.s.Client.Do(ctx, runner.Address, l.request, l.send())
 	l.noteSignal(answer, failure)
 	if failure == nil {
-		l.s.Board.Answered(runner.ID, l.sentAt)
+		l.s.Board.RecordResponse(runner.ID, l.sentAt)
 		failure = l.pass(answer, silence)
 	}
 	l.judge(ctx, failure)
@@ -115,7 +115,7 @@
 		return time.AfterFunc(min(wait, l.left()/2), func() { cancel(errSilent) })
 	}
 	return time.AfterFunc(max(leastHedge, silentFactor*l.route.TargetLatency), func() {
-		l.s.Board.Bad(runner, false, l.s.Now())
+		l.s.Board.RecordFailure(runner, false, l.s.Now())
 	})
 }
 
@@ -131,7 +131,7 @@
 	switch {
 	case failure == nil:
 		if l.status < http.StatusInternalServerError {
-			if l.s.Board.Good(l.runner.ID, now) {
+			if l.s.Board.RecordSuccess(l.runner.ID, now) {
 				l.s.Log.Info("runner trusted again", "runner", l.runner.ID, "id", l.request.ID)
 			}
 			l.s.Owners.Outcome(l.runner.ID, true, false)
@@ -152,7 +152,7 @@
 
 func (l *life) bad(hard bool) {
 	l.s.Owners.Outcome(l.runner.ID, false, hard)
-	if l.s.Board.Bad(l.runner.ID, hard, l.s.Now()) {
+	if l.s.Board.RecordFailure(l.runner.ID, hard, l.s.Now()) {
 		l.s.Log.Warn("runner suspect", "runner", l.runner.ID, "hard", hard, "id", l.request.ID)
 	}
 }
@@ -271,7 +271,7 @@
 // two writes.
 func (l *life) noteGap() {
 	now := l.s.Now()
-	l.s.Board.Heard(l.runner.ID, now)
+	l.s.Board.RecordActivity(l.runner.ID, now)
 	if gap := now.Sub(l.wroteAt); !l.wroteAt.IsZero() && gap > l.gap {
 		l.gap = gap
 		l.gapEnd = now
--- a/internal/serve/choose.go
+++ b/internal/serve/choose.go
@@ -32,8 +32,8 @@
 	var candidates []placing.Candidate
 	for _, runner := range runners {
 		view := l.s.Board.View(runner.ID, now)
-		if view.Barred > 0 {
-			l.passOver(runner.ID, view.Barred)
+		if view.BlockedFor > 0 {
+			l.passOver(runner.ID, view.BlockedFor)
 			continue
 		}
 		if l.tried[runner.ID] {
--- a/internal/serve/quarantine_test.go
+++ b/internal/serve/quarantine_test.go
@@ -91,7 +91,7 @@
 		// The retry budget starts empty.
 		time.Sleep(2 * time.Second)
 		w.askRepeatable()
-		due, _ := w.server.Quarantine.Due(time.Now().Add(time.Second), w.server.Board.AnsweredSince)
+		due, _ := w.server.Quarantine.Due(time.Now().Add(time.Second), w.server.Board.RespondedSince)
 		must.Len(t, 2, due)
 		must.NotEq(t, due[0].Runner, due[1].Runner)
 		for _, cut := range due {
--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -26,10 +26,10 @@
 		}
 		l.runner = runners[step.Place]
 		view := l.s.Board.View(l.runner.ID, l.s.Now())
-		if view.Barred > 0 {
-			l.passOver(l.runner.ID, view.Barred)
+		if view.BlockedFor > 0 {
+			l.passOver(l.runner.ID, view.BlockedFor)
 		}
-		barred := view.Barred > 0 || !last && view.Refusing
+		barred := view.BlockedFor > 0 || !last && view.Refusing
 		if barred && (last || !step.Home) {
 			continue
 		}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -429,7 +429,7 @@
 		return false
 	}
 	view := l.s.Board.View(l.runner.ID, l.s.Now())
-	return l.failure.Reason == forward.ReasonRefused && !full && view.Barred == 0 && !view.Refusing
+	return l.failure.Reason == forward.ReasonRefused && !full && view.BlockedFor == 0 && !view.Refusing
 }
 
 func retryAfter(wait time.Duration) string {
