--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -130,7 +130,7 @@
 // authorize finds which operator calls.
 func (a *API) authorize(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
-		key, _ := credential.Bearer(c.Request().Header["Authorization"])
+		key, _ := credential.BearerDigest(c.Request().Header["Authorization"])
 		operator, ok := a.operators.Holder(key)
 		if !ok {
 			return &apiError{status: http.StatusUnauthorized, body: ErrorResult{Code: CodeUnauthorized, Message: "no operator has this key", Verdict: verdict.NotRun}}
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -139,7 +139,7 @@
 
 // caller finds who sends the request.
 func (a *API) caller(c echo.Context, snapshot *inventory.Snapshot) (inventory.Caller, error) {
-	key, found := credential.Bearer(c.Request().Header["Authorization"])
+	key, found := credential.BearerDigest(c.Request().Header["Authorization"])
 	if !found {
 		return inventory.Caller{}, refuse(http.StatusUnauthorized, codeUnauthorized, "no bearer key")
 	}
--- a/internal/control/nodelease.go
+++ b/internal/control/nodelease.go
@@ -30,7 +30,7 @@
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		c.lease.Beat(time.Now(), interval)
+		c.lease.RecordTick(time.Now(), interval)
 		c.renew(ctx)
 		select {
 		case <-ctx.Done():
@@ -62,7 +62,7 @@
 		c.node.version = version
 		c.node.renewal++
 		c.node.held = true
-		c.lease.Renewed(sent)
+		c.lease.RecordRenewal(sent)
 	case errors.Is(err, objectapi.ErrConflict), errors.Is(err, objectapi.ErrAnswerLost):
 		return c.recoverLease(ctx)
 	default:
@@ -87,10 +87,10 @@
 	if err != nil {
 		return false
 	}
-	if c.node.held && !record.Holds(c.cfg.Self.Incarnation) {
+	if c.node.held && !record.HeldBy(c.cfg.Self.Incarnation) {
 		c.deps.Log.Warn("lease has ended; all runners are given up", "ended_by", record.EndedBy, "holder", record.Incarnation)
 		c.node.held = false
-		c.lease.Lost()
+		c.lease.MarkLost()
 		c.loseAll()
 	}
 	c.node.version = version
@@ -115,7 +115,7 @@
 // API: broken, released, or replaced by a later process of its host.
 func (c *Controller) Ended(ctx context.Context, host, incarnation string) bool {
 	record, _, err := c.readLease(ctx, host)
-	return err == nil && !record.Holds(incarnation)
+	return err == nil && !record.HeldBy(incarnation)
 }
 
 // breakIfLapsed breaks the lease of a host that has not renewed it for its
@@ -147,5 +147,5 @@
 	if _, err := c.putLease(ctx, record, c.node.version); err != nil {
 		c.deps.Log.Warn("lease not released; successors wait until it lapses", "error", err)
 	}
-	c.lease.Lost()
+	c.lease.MarkLost()
 }
--- a/internal/credential/credential.go
+++ b/internal/credential/credential.go
@@ -49,9 +49,9 @@
 	return nil
 }
 
-// Bearer reads the key of an Authorization header and gives its digest. A header
+// BearerDigest reads the key of an Authorization header and gives its digest. A header
 // that is missing, stands twice or names no bearer key has none.
-func Bearer(values []string) (Digest, bool) {
+func BearerDigest(values []string) (Digest, bool) {
 	if len(values) != 1 {
 		return Digest{}, false
 	}
--- a/internal/credential/credential_test.go
+++ b/internal/credential/credential_test.go
@@ -21,7 +21,7 @@
 		"a key without a scheme":      {[]string{"k"}, false},
 		"two headers":                 {[]string{"Bearer k", "Bearer other"}, false},
 	} {
-		digest, ok := Bearer(c.values)
+		digest, ok := BearerDigest(c.values)
 		must.Eq(t, c.known, ok, must.Sprint(name))
 		if ok {
 			must.Eq(t, Of("k"), digest, must.Sprint(name))
@@ -57,7 +57,7 @@
 		f.Add(seed)
 	}
 	f.Fuzz(func(t *testing.T, value string) {
-		digest, ok := Bearer([]string{value})
+		digest, ok := BearerDigest([]string{value})
 		if ok && digest == (Digest{}) {
 			t.Fatalf("%q has a key without a digest", value)
 		}
--- a/internal/entry/counting.go
+++ b/internal/entry/counting.go
@@ -26,12 +26,12 @@
 var errNotCounted = errors.New("this host does not count it")
 
 // right gives this host's right to count a part, if it has it.
-func (c *counting) right(key string, part int, now time.Time) (quota.Right, error) {
+func (c *counting) right(key string, part int, now time.Time) (quota.Ownership, error) {
 	right, ok := c.mesh.RightTo(c.keyOf(key, part), now)
 	if !ok {
-		return quota.Right{}, errNotCounted
+		return quota.Ownership{}, errNotCounted
 	}
-	return quota.Right{Since: right.Since, Epoch: right.Epoch}, nil
+	return quota.Ownership{Since: right.Since, Epoch: right.Epoch}, nil
 }
 
 // first gives the host that counts a part, and where it can be reached.
@@ -47,7 +47,7 @@
 		return
 	}
 	c.keptAt = recomposed
-	c.counter.Keep(func(key string, part int) bool {
+	c.counter.Retain(func(key string, part int) bool {
 		host, _ := c.first(key, part)
 		return host == c.host
 	})
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -210,6 +210,6 @@
 	}
 	rate := max(leastRate, known.Rate)
 	limit := quota.Limit{Rate: rate, Burst: max(1, rate*limitBurst.Seconds())}
-	answer := p.counting.counter.Answer(quota.Ask{Key: params.Instance, Cost: 1}, limit, right, now)
-	return LimitResult{Granted: answer.Granted > 0, WaitMS: answer.Wait.Milliseconds(), Limit: known}, nil
+	answer := p.counting.counter.Grant(quota.GrantRequest{Key: params.Instance, Cost: 1}, limit, right, now)
+	return LimitResult{Granted: answer.Granted > 0, WaitMS: answer.RetryAfter.Milliseconds(), Limit: known}, nil
 }
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -74,7 +74,7 @@
 	log        hclog.Logger
 	// turn spreads asks over the parts.
 	turn   atomic.Uint32
-	usages quota.Usages
+	usages quota.UsageByWorkspace
 }
 
 func newQuotas(host string, state *mesh.State, pool *peer.Pool, known *directory.Directory, tolerance quota.Tolerance, now func() time.Time, log hclog.Logger) *quotas {
@@ -86,11 +86,11 @@
 
 func (q *quotas) register(mux *peer.Mux) {
 	peer.Handle(mux, methodQuota, func(_ context.Context, _ peer.Identity, p QuotaParams) (QuotaResult, error) {
-		answer, err := q.count(quota.Ask{Key: p.Workspace, Part: p.Part, Cost: p.Cost, Ahead: p.Ahead, Back: p.Back})
+		answer, err := q.count(quota.GrantRequest{Key: p.Workspace, Part: p.Part, Cost: p.Cost, Prefetch: p.Ahead, Returned: p.Back})
 		if err != nil {
 			return QuotaResult{}, peer.Refuse(err)
 		}
-		return QuotaResult{Granted: answer.Granted, WaitMS: answer.Wait.Milliseconds(), Level: answer.Level}, nil
+		return QuotaResult{Granted: answer.Granted, WaitMS: answer.RetryAfter.Milliseconds(), Level: answer.Level}, nil
 	})
 }
 
@@ -100,25 +100,25 @@
 )
 
 // count answers an ask as the host that counts the part, if this one is.
-func (q *quotas) count(ask quota.Ask) (quota.Answer, error) {
-	if ask.Part < 0 || ask.Part >= quota.Parts || !(ask.Cost >= 0) || !(ask.Ahead >= 0) || !(ask.Back >= 0) {
-		return quota.Answer{}, errors.Errorf("part %d, cost %g, ahead %g, back %g", ask.Part, ask.Cost, ask.Ahead, ask.Back)
+func (q *quotas) count(ask quota.GrantRequest) (quota.GrantResponse, error) {
+	if ask.Part < 0 || ask.Part >= quota.Parts || !(ask.Cost >= 0) || !(ask.Prefetch >= 0) || !(ask.Returned >= 0) {
+		return quota.GrantResponse{}, errors.Errorf("part %d, cost %g, ahead %g, back %g", ask.Part, ask.Cost, ask.Prefetch, ask.Returned)
 	}
 	now := q.now()
 	right, err := q.counting.right(ask.Key, ask.Part, now)
 	if err != nil {
-		return quota.Answer{}, err
+		return quota.GrantResponse{}, err
 	}
 	config := q.directory.Snapshot().Config
 	if config == nil {
-		return quota.Answer{}, errNoQuota
+		return quota.GrantResponse{}, errNoQuota
 	}
 	workspace, ok := config.Workspaces.ByName(ask.Key)
 	if !ok || !workspace.Quota.Bounded() {
-		return quota.Answer{}, errNoQuota
+		return quota.GrantResponse{}, errNoQuota
 	}
 	limit := quota.PartLimit(workspace.Quota, q.tolerance)
-	return q.counting.counter.Answer(ask, limit, right, now), nil
+	return q.counting.counter.Grant(ask, limit, right, now), nil
 }
 
 // Charge implements serve.Quotas.
@@ -129,11 +129,11 @@
 	charge := q.charge(ctx, workspace, cost, target)
 	switch charge.Outcome {
 	case serve.ChargeGranted:
-		q.usages.Note(workspace.Name, quota.Usage{Charged: 1, Units: cost})
+		q.usages.Add(workspace.Name, quota.Usage{Charged: 1, Units: cost})
 	case serve.ChargeRefused:
-		q.usages.Note(workspace.Name, quota.Usage{Refused: 1})
+		q.usages.Add(workspace.Name, quota.Usage{Refused: 1})
 	case serve.ChargeUnknown:
-		q.usages.Note(workspace.Name, quota.Usage{Unknown: 1})
+		q.usages.Add(workspace.Name, quota.Usage{Unknown: 1})
 	case serve.ChargeFree:
 	}
 	return charge
@@ -180,7 +180,7 @@
 // askAll asks for the units part by part: until one grants them, or all that are counted
 // refuse.
 func (q *quotas) askAll(ctx context.Context, workspace *site.Workspace, patience time.Duration, charge *serve.Charge) {
-	ask := quota.Ask{Key: workspace.Name, Cost: charge.Cost, Ahead: q.allowances.Ahead(workspace.Name, q.now())}
+	ask := quota.GrantRequest{Key: workspace.Name, Cost: charge.Cost, Prefetch: q.allowances.PrefetchUnits(workspace.Name, q.now())}
 	begin := int(q.turn.Add(1))
 	charge.Outcome, charge.Wait = serve.ChargeUnknown, quotaUnknownRetry
 	for i := range quota.Parts {
@@ -192,13 +192,13 @@
 		}
 		charge.CountedBy, charge.Level, charge.Age = by, answer.Level, q.now().Sub(sent)
 		if answer.Granted > 0 {
-			q.allowances.Used(workspace.Name, charge.Cost, q.now())
-			q.allowances.Granted(workspace.Name, ask.Part, answer.Granted-charge.Cost, q.now())
+			q.allowances.RecordUse(workspace.Name, charge.Cost, q.now())
+			q.allowances.AddGrant(workspace.Name, ask.Part, answer.Granted-charge.Cost, q.now())
 			charge.Outcome, charge.Part = serve.ChargeGranted, ask.Part
 			return
 		}
-		if charge.Outcome == serve.ChargeUnknown || answer.Wait < charge.Wait {
-			charge.Outcome, charge.Wait = serve.ChargeRefused, answer.Wait
+		if charge.Outcome == serve.ChargeUnknown || answer.RetryAfter < charge.Wait {
+			charge.Outcome, charge.Wait = serve.ChargeRefused, answer.RetryAfter
 		}
 	}
 	if charge.Outcome == serve.ChargeRefused {
@@ -207,16 +207,16 @@
 }
 
 // ask asks the host that counts a part, and gives its name.
-func (q *quotas) ask(ctx context.Context, ask quota.Ask, patience time.Duration) (quota.Answer, string, error) {
+func (q *quotas) ask(ctx context.Context, ask quota.GrantRequest, patience time.Duration) (quota.GrantResponse, string, error) {
 	host, address := q.counting.first(ask.Key, ask.Part)
 	switch {
 	case host == "":
-		return quota.Answer{}, "", errNoCounter
+		return quota.GrantResponse{}, "", errNoCounter
 	case host == q.host:
 		answer, err := q.count(ask)
 		return answer, host, err
 	case address == "" || q.resting.rests(host, q.now()):
-		return quota.Answer{}, host, errNoCounter
+		return quota.GrantResponse{}, host, errNoCounter
 	}
 	answers := make(chan askResult, 1)
 	go func() { answers <- q.call(address, ask) }()
@@ -231,26 +231,26 @@
 	case <-ctx.Done():
 	}
 	go q.takeLate(ask, answers)
-	return quota.Answer{}, host, errNoCounter
+	return quota.GrantResponse{}, host, errNoCounter
 }
 
 type askResult struct {
-	answer quota.Answer
+	answer quota.GrantResponse
 	err    error
 }
 
 // call asks another host. The call does not end with the request that it is for: what it
 // brings is of use to the next one.
-func (q *quotas) call(address string, ask quota.Ask) askResult {
+func (q *quotas) call(address string, ask quota.GrantRequest) askResult {
 	ctx, cancel := context.WithTimeout(context.Background(), quotaTimeout)
 	defer cancel()
-	params := QuotaParams{Workspace: ask.Key, Part: ask.Part, Cost: ask.Cost, Ahead: ask.Ahead, Back: ask.Back}
+	params := QuotaParams{Workspace: ask.Key, Part: ask.Part, Cost: ask.Cost, Ahead: ask.Prefetch, Back: ask.Returned}
 	var result QuotaResult
 	if err := q.pool.Call(ctx, address, methodQuota, params, &result); err != nil {
 		return askResult{err: err}
 	}
 	wait := time.Duration(result.WaitMS) * time.Millisecond
-	return askResult{answer: quota.Answer{Granted: result.Granted, Wait: wait, Level: result.Level}}
+	return askResult{answer: quota.GrantResponse{Granted: result.Granted, RetryAfter: wait, Level: result.Level}}
 }
 
 // noteCall leaves a host that cannot be reached alone for a time. One that answers that
@@ -264,17 +264,17 @@
 }
 
 // takeLate keeps what an answer brings that was not waited for.
-func (q *quotas) takeLate(ask quota.Ask, answers <-chan askResult) {
+func (q *quotas) takeLate(ask quota.GrantRequest, answers <-chan askResult) {
 	if result := <-answers; result.err == nil && result.answer.Granted > 0 {
-		q.allowances.Granted(ask.Key, ask.Part, result.answer.Granted, q.now())
+		q.allowances.AddGrant(ask.Key, ask.Part, result.answer.Granted, q.now())
 	}
 }
 
 // GiveBack implements serve.Quotas.
 func (q *quotas) GiveBack(charge serve.Charge) {
 	if charge.Outcome == serve.ChargeGranted {
-		q.allowances.Granted(charge.Workspace, charge.Part, charge.Cost, q.now())
-		q.usages.Note(charge.Workspace, quota.Usage{Returned: charge.Cost})
+		q.allowances.AddGrant(charge.Workspace, charge.Part, charge.Cost, q.now())
+		q.usages.Add(charge.Workspace, quota.Usage{Returned: charge.Cost})
 	}
 }
 
@@ -282,7 +282,7 @@
 func (q *quotas) run(ctx context.Context) {
 	timing.Every(ctx, backInterval, func() {
 		q.counting.keep()
-		for _, back := range q.allowances.Unspent(q.now()) {
+		for _, back := range q.allowances.TakeIdle(q.now()) {
 			go q.giveBack(ctx, back)
 		}
 	})
@@ -290,21 +290,21 @@
 
 // giveBack returns units once. Without an answer they count as spent: given back twice,
 // they would be granted twice.
-func (q *quotas) giveBack(ctx context.Context, back quota.Ask) {
+func (q *quotas) giveBack(ctx context.Context, back quota.GrantRequest) {
 	if _, host, err := q.ask(ctx, back, quotaTimeout); err != nil {
-		q.log.Debug("units not given back", "workspace", back.Key, "part", back.Part, "units", back.Back, "peer", host, "error", err.Error())
+		q.log.Debug("units not given back", "workspace", back.Key, "part", back.Part, "units", back.Returned, "peer", host, "error", err.Error())
 	}
 }
 
 // use gives the workspaces that sent requests to this host, with their quotas in force.
-func (q *quotas) use() map[string]quota.WorkspaceUse {
+func (q *quotas) use() map[string]quota.WorkspaceMetrics {
 	var workspaces *site.Workspaces
 	if config := q.directory.Snapshot().Config; config != nil {
 		workspaces = config.Workspaces
 	}
-	use := map[string]quota.WorkspaceUse{}
+	use := map[string]quota.WorkspaceMetrics{}
 	for name, usage := range q.usages.All() {
-		one := quota.WorkspaceUse{Usage: usage}
+		one := quota.WorkspaceMetrics{Usage: usage}
 		if workspace, ok := workspaces.ByName(name); ok {
 			one.Rate, one.Burst, one.InTokens = workspace.Quota.Rate, workspace.Quota.Burst, workspace.Quota.InTokens
 		}
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -8,7 +8,7 @@
 
 // report is one answer that broke off, on its way to the hosts that count for the fleet.
 type report struct {
-	cut quarantine.Cut
+	cut quarantine.Truncation
 	// hosts are those that were not tried yet, in their order.
 	hosts []string
 	// wanted is how many of them still have to hear.
@@ -16,7 +16,7 @@
 }
 
 // newReport makes a report to the first hosts of a ranking; self needs none.
-func newReport(cut quarantine.Cut, ranked []string, self string) *report {
+func newReport(cut quarantine.Truncation, ranked []string, self string) *report {
 	r := &report{cut: cut}
 	r.wanted.Store(counters)
 	for place, host := range ranked {
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -61,15 +61,15 @@
 	LastedMS int64 `json:"lasted_ms"`
 }
 
-func (p CutParams) cut(now time.Time) quarantine.Cut {
-	return quarantine.Cut{
+func (p CutParams) cut(now time.Time) quarantine.Truncation {
+	return quarantine.Truncation{
 		Content: p.Content, Runner: p.Runner, At: now.Add(-time.Duration(p.AgeMS) * time.Millisecond),
-		Lasted: time.Duration(p.LastedMS) * time.Millisecond,
+		Elapsed: time.Duration(p.LastedMS) * time.Millisecond,
 	}
 }
 
-func told(cut quarantine.Cut, now time.Time) CutParams {
-	return CutParams{Content: cut.Content, Runner: cut.Runner, AgeMS: now.Sub(cut.At).Milliseconds(), LastedMS: cut.Lasted.Milliseconds()}
+func told(cut quarantine.Truncation, now time.Time) CutParams {
+	return CutParams{Content: cut.Content, Runner: cut.Runner, AgeMS: now.Sub(cut.At).Milliseconds(), LastedMS: cut.Elapsed.Milliseconds()}
 }
 
 // SuspectsResult tells what a host knows of requests that end runners.
@@ -137,7 +137,7 @@
 		s.tell()
 		if s.now().Sub(recordedAt) >= recordInterval {
 			recordedAt = s.now()
-			s.quarantine.Forget(s.now())
+			s.quarantine.Prune(s.now())
 			s.record(ctx)
 		}
 		s.wait(ctx)
@@ -157,14 +157,14 @@
 	select {
 	case <-ctx.Done():
 	case <-due:
-	case <-s.quarantine.Woken():
+	case <-s.quarantine.Wakeups():
 	}
 }
 
 // report reports the answers that broke off to the hosts that count for the whole fleet,
 // and counts them here too: a host that is cut off from the others has only its own.
 func (s *suspects) report(ctx context.Context) {
-	due, dropped := s.quarantine.Due(s.now(), s.board.RespondedSince)
+	due, dropped := s.quarantine.TakeDue(s.now(), s.board.RespondedSince)
 	if dropped > 0 {
 		s.log.Warn("answers that broke off not counted: too many at once", "dropped", dropped)
 	}
@@ -229,11 +229,11 @@
 }
 
 // count counts an answer that broke off.
-func (s *suspects) count(cut quarantine.Cut, from string) {
+func (s *suspects) count(cut quarantine.Truncation, from string) {
 	counted := s.quarantine.Count(cut, s.now())
-	if counted.Ends > 1 || counted.Suspected {
-		s.log.Info("runners end under a request", "content", cut.Content.String(), "ends", counted.Ends, "runner", cut.Runner, "reported_by", from,
-			"age_ms", s.now().Sub(cut.At).Milliseconds(), "lasted_ms", cut.Lasted.Milliseconds(), "suspected", counted.Suspected)
+	if counted.Crashes > 1 || counted.Suspected {
+		s.log.Info("runners end under a request", "content", cut.Content.String(), "ends", counted.Crashes, "runner", cut.Runner, "reported_by", from,
+			"age_ms", s.now().Sub(cut.At).Milliseconds(), "lasted_ms", cut.Elapsed.Milliseconds(), "suspected", counted.Suspected)
 	}
 }
 
@@ -284,7 +284,7 @@
 	if news.Cleared {
 		message = "request cleared: it was answered whole"
 	}
-	s.log.Info(message, "content", news.Content.String(), "round", news.Round, "age_ms", news.AgeMS, "ends", len(news.Ends), "from", from)
+	s.log.Info(message, "content", news.Content.String(), "round", news.Round, "age_ms", news.AgeMS, "ends", len(news.Crashes), "from", from)
 }
 
 // recorded takes over lasting records.
@@ -304,7 +304,7 @@
 			s.log.Warn("record of a request not understood", "record", change.Name, "spec", string(change.Spec))
 			continue
 		}
-		if s.quarantine.Recorded(content, record.Round, s.now()) {
+		if s.quarantine.Restore(content, record.Round, s.now()) {
 			s.log.Info("request kept from runners", "content", content.String(), "round", record.Round, "from", "a record in the store")
 		}
 	}
@@ -316,7 +316,7 @@
 	if s.quarantine.Size() == 0 {
 		return
 	}
-	lasting := s.quarantine.Lasting(s.now())
+	lasting := s.quarantine.Snapshot(s.now())
 	for _, e := range s.quarantine.Entries(s.now()) {
 		if ranked := s.ranked(e.Content); len(ranked) == 0 || ranked[0] != s.host {
 			continue
--- a/internal/entry/suspects_test.go
+++ b/internal/entry/suspects_test.go
@@ -113,7 +113,7 @@
 
 // cutOff has a request's answer broken off on a host, at the end of a runner.
 func (h *suspectHost) cutOff(runner int) {
-	h.quarantine.CutOff(quarantine.Cut{Content: fatal, Runner: fmt.Sprintf("r%d", runner), At: time.Now(), Lasted: 50 * time.Millisecond})
+	h.quarantine.RecordTruncation(quarantine.Truncation{Content: fatal, Runner: fmt.Sprintf("r%d", runner), At: time.Now(), Elapsed: 50 * time.Millisecond})
 }
 
 // Each of three hosts sees one runner end under a request. None of them alone has seen
@@ -127,7 +127,7 @@
 		time.Sleep(time.Second)
 		counting := 0
 		for _, host := range hosts {
-			if _, held := host.quarantine.Held(fatal, time.Now()); held {
+			if _, held := host.quarantine.BlockedFor(fatal, time.Now()); held {
 				counting++
 			}
 		}
@@ -152,7 +152,7 @@
 		}
 		time.Sleep(time.Second)
 		for _, name := range left[:2] {
-			_, held := hosts[name].quarantine.Held(fatal, time.Now())
+			_, held := hosts[name].quarantine.BlockedFor(fatal, time.Now())
 			must.True(t, held, must.Sprint(name))
 		}
 	})
@@ -164,7 +164,7 @@
 	withSuspects(t, []string{"a", "b"}, func(hosts map[string]*suspectHost, _ *recordStore) {
 		a, b := hosts["a"], hosts["b"]
 		for i := range 3 {
-			a.quarantine.Count(quarantine.Cut{Content: fatal, Runner: fmt.Sprintf("r%d", i), At: time.Now()}, time.Now())
+			a.quarantine.Count(quarantine.Truncation{Content: fatal, Runner: fmt.Sprintf("r%d", i), At: time.Now()}, time.Now())
 		}
 		b.heard("a", 0)
 		time.Sleep(100 * time.Millisecond)
@@ -173,7 +173,7 @@
 		time.Sleep(time.Second)
 		must.Eq(t, a.quarantine.Digest(), b.quarantine.Digest())
 		must.Eq(t, 1, b.spreads.Load())
-		_, held := b.quarantine.Held(fatal, time.Now())
+		_, held := b.quarantine.BlockedFor(fatal, time.Now())
 		must.True(t, held)
 	})
 }
@@ -211,11 +211,11 @@
 		})
 		must.Eq(t, 0, fresh.Size(), must.Sprint("spoilt records, and those of others"))
 		restarted.recorded([]registry.Change{{Record: record}})
-		_, held := fresh.Held(fatal, time.Now())
+		_, held := fresh.BlockedFor(fatal, time.Now())
 		must.True(t, held)
 
 		for _, host := range hosts {
-			host.quarantine.Completed(fatal, time.Now())
+			host.quarantine.RecordCompletion(fatal, time.Now())
 		}
 		time.Sleep(2 * time.Second)
 		store.with(func() { must.MapEmpty(t, store.records) })
@@ -229,9 +229,9 @@
 	cut, err := json.Marshal(CutParams{Content: fatal, Runner: runner, AgeMS: 1000, LastedMS: 12000})
 	must.NoError(t, err)
 	must.LessEq(t, 110, len(cut), must.Sprint(string(cut)))
-	entry := quarantine.Entry{Content: fatal, Round: 1, AgeMS: 600_000, LastedMS: 12_000}
+	entry := quarantine.Entry{Content: fatal, Round: 1, AgeMS: 600_000, ElapsedMS: 12_000}
 	for range 8 {
-		entry.Ends = append(entry.Ends, quarantine.End{Runner: runner, AgeMS: 600_000})
+		entry.Crashes = append(entry.Crashes, quarantine.Crash{Runner: runner, AgeMS: 600_000})
 	}
 	told, err := json.Marshal(entry)
 	must.NoError(t, err)
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -127,7 +127,7 @@
 		r.refuse()
 		return
 	}
-	r.host.budget.Request(w.clock.now, len(w.hosts))
+	r.host.budget.RecordRequest(w.clock.now, len(w.hosts))
 	if w.policy == Reference {
 		r.placeByReference()
 		return
--- a/internal/hostmetrics/hostmetrics.go
+++ b/internal/hostmetrics/hostmetrics.go
@@ -19,14 +19,14 @@
 // Workspace is what a fleet's hosts did for a workspace since they started.
 type Workspace struct {
 	Name string `json:"name"`
-	quota.WorkspaceUse
+	quota.WorkspaceMetrics
 	// Hosts is the number of hosts that had requests of it.
 	Hosts int `json:"hosts"`
 }
 
 // page is what is read of a host's metrics.
 type page struct {
-	Workspaces map[string]quota.WorkspaceUse `json:"workspaces"`
+	Workspaces map[string]quota.WorkspaceMetrics `json:"workspaces"`
 }
 
 // Workspaces reads the metrics pages of hosts and adds up the use of each workspace. A host
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -32,7 +32,7 @@
 	if ask.ID == "" {
 		return ask, errors.New("no ID")
 	}
-	ask.Key, ask.Keyed = credential.Bearer(header["Authorization"])
+	ask.Key, ask.Keyed = credential.BearerDigest(header["Authorization"])
 	if text := header.Get("Patience"); text != "" {
 		patience, err := time.ParseDuration(text)
 		if err != nil {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -29,8 +29,8 @@
 	EndedBy string `json:"ended_by,omitempty"`
 }
 
-// Holds says whether a record is the living lease of an incarnation.
-func (r Record) Holds(incarnation string) bool {
+// HeldBy says whether a record is the living lease of an incarnation.
+func (r Record) HeldBy(incarnation string) bool {
 	return r.Incarnation == incarnation && r.EndedBy == ""
 }
 
@@ -51,9 +51,9 @@
 	return &Holder{life: life, margin: margin}
 }
 
-// Renewed notes a successful renewal that was sent at the given time. The life
+// RecordRenewal notes a successful renewal that was sent at the given time. The life
 // counts from the sending: the platform may have taken it at any time since.
-func (h *Holder) Renewed(sent time.Time) {
+func (h *Holder) RecordRenewal(sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	until := sent.Add(h.life)
@@ -62,15 +62,15 @@
 	}
 }
 
-// Lost notes that the lease was broken.
-func (h *Holder) Lost() {
+// MarkLost notes that the lease was broken.
+func (h *Holder) MarkLost() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.validUntil = time.Time{}
 }
 
-// Beat notes a regular tick and learns the longest pause of this process.
-func (h *Holder) Beat(now time.Time, interval time.Duration) {
+// RecordTick notes a regular tick and learns the longest pause of this process.
+func (h *Holder) RecordTick(now time.Time, interval time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if !h.lastBeat.IsZero() {
--- a/internal/quarantine/fingerprint.go
+++ b/internal/quarantine/fingerprint.go
@@ -22,10 +22,10 @@
 // Content is what makes two requests the same.
 type Content struct {
 	Method string
-	// Host and Target are the request's host, and its path and query as the caller sent
+	// Authority and Target are the request's host, and its path and query as the caller sent
 	// them.
-	Host   string
-	Target string
+	Authority  string
+	RequestURI string
 	// Adapter is the adapter that the request asks for, empty for services without.
 	Adapter string
 	Body    []byte
@@ -39,7 +39,7 @@
 func (c Content) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	var length [8]byte
-	for _, part := range [][]byte{[]byte(c.Method), []byte(c.Host), []byte(c.Target), []byte(c.Adapter), c.Body} {
+	for _, part := range [][]byte{[]byte(c.Method), []byte(c.Authority), []byte(c.RequestURI), []byte(c.Adapter), c.Body} {
 		// With its length before it, no part runs into the next.
 		binary.BigEndian.PutUint64(length[:], uint64(len(part)))
 		hash.Write(length[:])
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -9,16 +9,16 @@
 
 // Requests are the same if all of their content is, and no part runs into the next.
 func TestFingerprint(t *testing.T) {
-	content := Content{Method: "POST", Host: "a.example", Target: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompt")}
+	content := Content{Method: "POST", Authority: "a.example", RequestURI: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompt")}
 	same := content
 	must.Eq(t, content.Fingerprint(), same.Fingerprint())
 	for _, other := range []Content{
-		{Method: "GET", Host: "a.example", Target: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompt")},
-		{Method: "POST", Host: "b.example", Target: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompt")},
-		{Method: "POST", Host: "a.example", Target: "/live/x?y=2", Adapter: "base/a1", Body: []byte("prompt")},
-		{Method: "POST", Host: "a.example", Target: "/live/x?y=1", Adapter: "base/a2", Body: []byte("prompt")},
-		{Method: "POST", Host: "a.example", Target: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompts")},
-		{Method: "POST", Host: "a.example/live", Target: "/x?y=1", Adapter: "base/a1", Body: []byte("prompt")},
+		{Method: "GET", Authority: "a.example", RequestURI: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompt")},
+		{Method: "POST", Authority: "b.example", RequestURI: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompt")},
+		{Method: "POST", Authority: "a.example", RequestURI: "/live/x?y=2", Adapter: "base/a1", Body: []byte("prompt")},
+		{Method: "POST", Authority: "a.example", RequestURI: "/live/x?y=1", Adapter: "base/a2", Body: []byte("prompt")},
+		{Method: "POST", Authority: "a.example", RequestURI: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompts")},
+		{Method: "POST", Authority: "a.example/live", RequestURI: "/x?y=1", Adapter: "base/a1", Body: []byte("prompt")},
 	} {
 		must.NotEq(t, content.Fingerprint(), other.Fingerprint())
 	}
--- a/internal/quarantine/ledger.go
+++ b/internal/quarantine/ledger.go
@@ -22,14 +22,14 @@
 	maxSuspects = 2048
 )
 
-// Cut is an answer that broke off, most likely since its runner ended.
-type Cut struct {
+// Truncation is an answer that broke off, most likely since its runner ended.
+type Truncation struct {
 	Content Fingerprint
 	// Runner is the ID of the runner's lifetime.
 	Runner string
 	At     time.Time
-	// Lasted is how long the runner had had the request.
-	Lasted time.Duration
+	// Elapsed is how long the runner had had the request.
+	Elapsed time.Duration
 }
 
 // end is the end of a runner under a request.
@@ -105,8 +105,8 @@
 }
 
 // of gives the evidence of one cut.
-func of(cut Cut) evidence {
-	return evidence{ends: []end{{runner: cut.Runner, at: cut.At}}, lasted: cut.Lasted}
+func of(cut Truncation) evidence {
+	return evidence{ends: []end{{runner: cut.Runner, at: cut.At}}, lasted: cut.Elapsed}
 }
 
 // ledger keeps the evidence on requests that are not suspected yet. It is not safe for
@@ -115,7 +115,7 @@
 
 // count takes a cut into account and gives all evidence on its request, none if there
 // is no room for another request.
-func (l ledger) count(cut Cut, now time.Time) evidence {
+func (l ledger) count(cut Truncation, now time.Time) evidence {
 	known, ok := l[cut.Content]
 	if !ok && len(l) >= maxSuspects {
 		l.forgetOld(now)
--- a/internal/quarantine/list.go
+++ b/internal/quarantine/list.go
@@ -43,14 +43,14 @@
 	Cleared bool `json:"cleared,omitempty"`
 	// AgeMS is how long ago the request was suspected or cleared.
 	AgeMS int64 `json:"age_ms"`
-	// Ends are the ends of runners under it, LastedMS the longest time that one of these
+	// Crashes are the ends of runners under it, LastedMS the longest time that one of these
 	// had had it.
-	Ends     []End `json:"ends,omitempty"`
-	LastedMS int64 `json:"lasted_ms,omitempty"`
+	Crashes   []Crash `json:"ends,omitempty"`
+	ElapsedMS int64   `json:"lasted_ms,omitempty"`
 }
 
-// End is the end of a runner.
-type End struct {
+// Crash is the end of a runner.
+type Crash struct {
 	Runner string `json:"runner"`
 	AgeMS  int64  `json:"age_ms"`
 }
@@ -119,10 +119,10 @@
 func (e entry) told(content Fingerprint, now time.Time) Entry {
 	told := Entry{
 		Content: content, Round: e.round, Cleared: e.cleared,
-		AgeMS: now.Sub(e.at).Milliseconds(), LastedMS: e.lasted.Milliseconds(),
+		AgeMS: now.Sub(e.at).Milliseconds(), ElapsedMS: e.lasted.Milliseconds(),
 	}
 	for _, end := range e.ends {
-		told.Ends = append(told.Ends, End{Runner: end.runner, AgeMS: now.Sub(end.at).Milliseconds()})
+		told.Crashes = append(told.Crashes, Crash{Runner: end.runner, AgeMS: now.Sub(end.at).Milliseconds()})
 	}
 	return told
 }
@@ -130,8 +130,8 @@
 func heard(told Entry, now time.Time) entry {
 	ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
 	e := entry{round: told.Round, cleared: told.Cleared, at: ago(told.AgeMS)}
-	e.lasted = time.Duration(told.LastedMS) * time.Millisecond
-	for _, one := range told.Ends[:min(maxEnds, len(told.Ends))] {
+	e.lasted = time.Duration(told.ElapsedMS) * time.Millisecond
+	for _, one := range told.Crashes[:min(maxEnds, len(told.Crashes))] {
 		e.ends = append(e.ends, end{runner: one.Runner, at: ago(one.AgeMS)})
 	}
 	return e
--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -32,7 +32,7 @@
 
 	mu      sync.Mutex
 	ledger  ledger
-	pending []Cut
+	pending []Truncation
 	dropped int
 }
 
@@ -43,8 +43,8 @@
 	return q
 }
 
-// Woken receives when there may be something to report or to tell.
-func (q *Quarantine) Woken() <-chan struct{} { return q.woken }
+// Wakeups receives when there may be something to report or to tell.
+func (q *Quarantine) Wakeups() <-chan struct{} { return q.woken }
 
 func (q *Quarantine) wake() {
 	select {
@@ -53,13 +53,13 @@
 	}
 }
 
-// Held says whether a request is kept from runners, and for how much longer.
-func (q *Quarantine) Held(content Fingerprint, now time.Time) (left time.Duration, held bool) {
+// BlockedFor says whether a request is kept from runners, and for how much longer.
+func (q *Quarantine) BlockedFor(content Fingerprint, now time.Time) (left time.Duration, held bool) {
 	return q.list.Load().held(content, now)
 }
 
-// Completed notes that a request was answered whole. That clears it.
-func (q *Quarantine) Completed(content Fingerprint, now time.Time) {
+// RecordCompletion notes that a request was answered whole. That clears it.
+func (q *Quarantine) RecordCompletion(content Fingerprint, now time.Time) {
 	q.completions.note(content, now)
 	if !q.suspected(content) {
 		return
@@ -84,8 +84,8 @@
 	q.wake()
 }
 
-// CutOff notes that the answer to a request broke off, most likely since its runner ended.
-func (q *Quarantine) CutOff(cut Cut) {
+// RecordTruncation notes that the answer to a request broke off, most likely since its runner ended.
+func (q *Quarantine) RecordTruncation(cut Truncation) {
 	if at, ok := q.completions.last(cut.Content); ok && cut.At.Sub(at) < completedBefore {
 		return
 	}
@@ -99,9 +99,9 @@
 	q.wake()
 }
 
-// Due gives the cuts to report: those whose runner has not answered anything that was sent
+// TakeDue gives the cuts to report: those whose runner has not answered anything that was sent
 // since. It also gives how many had to be dropped.
-func (q *Quarantine) Due(now time.Time, answered func(runner string, since time.Time) bool) (due []Cut, dropped int) {
+func (q *Quarantine) TakeDue(now time.Time, answered func(runner string, since time.Time) bool) (due []Truncation, dropped int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	waiting := q.pending[:0]
@@ -125,16 +125,16 @@
 	return len(q.pending) > 0
 }
 
-// Counted is what came of a cut that was counted.
-type Counted struct {
-	// Ends is the number of ends of runners under the request.
-	Ends int
+// CountResult is what came of a cut that was counted.
+type CountResult struct {
+	// Crashes is the number of ends of runners under the request.
+	Crashes int
 	// Suspected says that this one was the last that it took.
 	Suspected bool
 }
 
 // Count counts a cut that this host or a peer reported.
-func (q *Quarantine) Count(cut Cut, now time.Time) Counted {
+func (q *Quarantine) Count(cut Truncation, now time.Time) CountResult {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	known, listed := q.list.Load().entries[cut.Content]
@@ -142,19 +142,19 @@
 	case !listed || known.over(now):
 		seen := q.ledger.count(cut, now)
 		suspected := len(seen.ends) >= endsToHold && q.suspect(cut.Content, 1, seen, now)
-		return Counted{Ends: len(seen.ends), Suspected: suspected}
+		return CountResult{Crashes: len(seen.ends), Suspected: suspected}
 	case known.cleared:
-		return Counted{}
+		return CountResult{}
 	case known.halfOpen(now):
 		since := of(cut).since(known.at.Add(holdTime))
-		return Counted{Ends: len(since.ends), Suspected: len(since.ends) > 0 && q.suspect(cut.Content, known.round+1, since, now)}
+		return CountResult{Crashes: len(since.ends), Suspected: len(since.ends) > 0 && q.suspect(cut.Content, known.round+1, since, now)}
 	default:
 		more := known
 		more.evidence = known.with(of(cut))
 		if more.differs(known) {
 			q.set(cut.Content, more)
 		}
-		return Counted{Ends: len(more.ends)}
+		return CountResult{Crashes: len(more.ends)}
 	}
 }
 
@@ -205,9 +205,9 @@
 	return news
 }
 
-// Recorded takes over that a request is kept from runners by a lasting record, which says
+// Restore takes over that a request is kept from runners by a lasting record, which says
 // nothing of when. A host that starts keeps to it at once.
-func (q *Quarantine) Recorded(content Fingerprint, round int, now time.Time) bool {
+func (q *Quarantine) Restore(content Fingerprint, round int, now time.Time) bool {
 	if _, listed := q.list.Load().entries[content]; listed {
 		return false
 	}
@@ -231,8 +231,8 @@
 // Size gives the number of requests that are kept from runners or were of late.
 func (q *Quarantine) Size() int { return len(q.list.Load().entries) }
 
-// Forget drops what is over.
-func (q *Quarantine) Forget(now time.Time) {
+// Prune drops what is over.
+func (q *Quarantine) Prune(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	q.ledger.forgetOld(now)
@@ -241,9 +241,9 @@
 	}
 }
 
-// Lasting gives the requests that a lasting record should keep from runners, by round: a
+// Snapshot gives the requests that a lasting record should keep from runners, by round: a
 // fleet that loses power forgets all else.
-func (q *Quarantine) Lasting(now time.Time) map[Fingerprint]int {
+func (q *Quarantine) Snapshot(now time.Time) map[Fingerprint]int {
 	lasting := map[Fingerprint]int{}
 	l := q.list.Load()
 	for content, e := range l.entries {
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -17,12 +17,12 @@
 func endsUnder(q *Quarantine, content Fingerprint, ends int, from time.Duration) {
 	for i := range ends {
 		at := after(from + time.Duration(i)*time.Second)
-		q.Count(Cut{Content: content, Runner: fmt.Sprintf("r%d", i), At: at}, at)
+		q.Count(Truncation{Content: content, Runner: fmt.Sprintf("r%d", i), At: at}, at)
 	}
 }
 
 func held(q *Quarantine, content Fingerprint, at time.Duration) bool {
-	_, held := q.Held(content, after(at))
+	_, held := q.BlockedFor(content, after(at))
 	return held
 }
 
@@ -32,16 +32,16 @@
 	q := New()
 	endsUnder(q, 1, 2, 0)
 	must.False(t, held(q, 1, 5*time.Second))
-	must.Eq(t, Counted{Ends: 3, Suspected: true}, q.Count(Cut{Content: 1, Runner: "r2", At: after(2 * time.Second)}, after(2*time.Second)))
+	must.Eq(t, CountResult{Crashes: 3, Suspected: true}, q.Count(Truncation{Content: 1, Runner: "r2", At: after(2 * time.Second)}, after(2*time.Second)))
 	must.False(t, held(q, 1, 2*time.Second+confirmWait-1), must.Sprint("the others may clear it first"))
 	must.True(t, held(q, 1, 2*time.Second+confirmWait))
-	left, _ := q.Held(1, after(time.Minute))
+	left, _ := q.BlockedFor(1, after(time.Minute))
 	must.Eq(t, holdTime-58*time.Second, left)
 
 	released := 2*time.Second + holdTime
 	must.False(t, held(q, 1, released))
-	must.MapEmpty(t, q.Lasting(after(released)))
-	must.True(t, q.Count(Cut{Content: 1, Runner: "r9", At: after(released + time.Second)}, after(released+time.Second)).Suspected)
+	must.MapEmpty(t, q.Snapshot(after(released)))
+	must.True(t, q.Count(Truncation{Content: 1, Runner: "r9", At: after(released + time.Second)}, after(released+time.Second)).Suspected)
 	must.True(t, held(q, 1, released+time.Second), must.Sprint("at once"))
 }
 
@@ -50,9 +50,9 @@
 func TestOneEndCountsOnce(t *testing.T) {
 	q := New()
 	for i, at := range []time.Duration{0, 3 * time.Millisecond, 400 * time.Millisecond} {
-		must.Eq(t, 1, q.Count(Cut{Content: 1, Runner: "r", At: after(at)}, after(time.Second)).Ends, must.Sprint(i))
+		must.Eq(t, 1, q.Count(Truncation{Content: 1, Runner: "r", At: after(at)}, after(time.Second)).Crashes, must.Sprint(i))
 	}
-	must.Eq(t, 2, q.Count(Cut{Content: 1, Runner: "r", At: after(4 * time.Second)}, after(4*time.Second)).Ends)
+	must.Eq(t, 2, q.Count(Truncation{Content: 1, Runner: "r", At: after(4 * time.Second)}, after(4*time.Second)).Crashes)
 }
 
 // Ends that lie far apart are no sign of a request that ends runners.
@@ -68,7 +68,7 @@
 // says so before anybody turns a caller away.
 func TestPopularRequestIsCleared(t *testing.T) {
 	counting, serving := New(), New()
-	serving.Completed(1, after(time.Second))
+	serving.RecordCompletion(1, after(time.Second))
 	endsUnder(counting, 1, 3, 0)
 	news := serving.Merge(counting.Entries(after(2200*time.Millisecond)), after(2200*time.Millisecond))
 	must.Len(t, 1, news)
@@ -85,16 +85,16 @@
 // shortly before is not suspect for it, on the host that served it and on the others.
 func TestRunnersLostTogether(t *testing.T) {
 	counting, serving := New(), New()
-	serving.Completed(1, begin)
+	serving.RecordCompletion(1, begin)
 	for i := range 3 {
 		at := after(5 * time.Second)
-		counting.Count(Cut{Content: 1, Runner: fmt.Sprintf("r%d", i), At: at}, at)
+		counting.Count(Truncation{Content: 1, Runner: fmt.Sprintf("r%d", i), At: at}, at)
 	}
 	serving.Merge(counting.Entries(after(5*time.Second)), after(5*time.Second))
 	counting.Merge(serving.Entries(after(5*time.Second)), after(5*time.Second))
 	must.False(t, held(counting, 1, 10*time.Second))
 
-	serving.CutOff(Cut{Content: 1, Runner: "r", At: after(5 * time.Second)})
+	serving.RecordTruncation(Truncation{Content: 1, Runner: "r", At: after(5 * time.Second)})
 	must.False(t, serving.Pending())
 }
 
@@ -104,7 +104,7 @@
 	q := New()
 	endsUnder(q, 1, 3, 0)
 	must.True(t, held(q, 1, 5*time.Second))
-	q.Completed(1, after(6*time.Second))
+	q.RecordCompletion(1, after(6*time.Second))
 	must.False(t, held(q, 1, 6*time.Second))
 }
 
@@ -112,14 +112,14 @@
 // ended, and its cut answers are not reported.
 func TestCutsOfRunnersThatLive(t *testing.T) {
 	q := New()
-	q.CutOff(Cut{Content: 1, Runner: "alive", At: begin})
-	q.CutOff(Cut{Content: 2, Runner: "ended", At: begin})
+	q.RecordTruncation(Truncation{Content: 1, Runner: "alive", At: begin})
+	q.RecordTruncation(Truncation{Content: 2, Runner: "ended", At: begin})
 	alive := func(runner string, _ time.Time) bool { return runner == "alive" }
-	due, _ := q.Due(after(settle-1), alive)
+	due, _ := q.TakeDue(after(settle-1), alive)
 	must.SliceEmpty(t, due)
 	must.True(t, q.Pending())
-	due, _ = q.Due(after(settle), alive)
-	must.Eq(t, []Cut{{Content: 2, Runner: "ended", At: begin}}, due)
+	due, _ = q.TakeDue(after(settle), alive)
+	must.Eq(t, []Truncation{{Content: 2, Runner: "ended", At: begin}}, due)
 	must.False(t, q.Pending())
 }
 
@@ -128,26 +128,26 @@
 func TestBounds(t *testing.T) {
 	q := New()
 	for i := range 2 * maxPending {
-		q.CutOff(Cut{Content: Fingerprint(i), Runner: "r", At: begin})
+		q.RecordTruncation(Truncation{Content: Fingerprint(i), Runner: "r", At: begin})
 	}
-	due, dropped := q.Due(after(settle), func(string, time.Time) bool { return false })
+	due, dropped := q.TakeDue(after(settle), func(string, time.Time) bool { return false })
 	must.Len(t, maxPending, due)
 	must.Eq(t, maxPending, dropped)
 	for i := range 2 * maxSuspects {
-		q.Count(Cut{Content: Fingerprint(i), Runner: "r", At: begin}, begin)
+		q.Count(Truncation{Content: Fingerprint(i), Runner: "r", At: begin}, begin)
 	}
 	must.MapLen(t, maxSuspects, q.ledger)
 	for i := range 2 * maxEntries {
-		q.Recorded(Fingerprint(i), 1, begin)
+		q.Restore(Fingerprint(i), 1, begin)
 	}
 	must.Eq(t, maxEntries, q.Size())
 	for i := range 10 * completionShards * completionsPerShard {
-		q.Completed(Fingerprint(i), begin)
+		q.RecordCompletion(Fingerprint(i), begin)
 	}
 	for i := range q.completions.shards {
 		must.LessEq(t, 2*completionsPerShard, len(q.completions.shards[i].young)+len(q.completions.shards[i].old))
 	}
-	q.Forget(after(holdTime + halfOpenTime + time.Second))
+	q.Prune(after(holdTime + halfOpenTime + time.Second))
 	must.Eq(t, 0, q.Size())
 	must.MapEmpty(t, q.ledger)
 }
@@ -164,7 +164,7 @@
 		for i := range 3 {
 			at := after(time.Duration(i) * time.Second)
 			for content, lasted := range map[Fingerprint]time.Duration{quick: 60 * time.Millisecond, slow: time.Second} {
-				q.Count(Cut{Content: content, Runner: fmt.Sprintf("r%d", i), At: at, Lasted: lasted}, at)
+				q.Count(Truncation{Content: content, Runner: fmt.Sprintf("r%d", i), At: at, Elapsed: lasted}, at)
 			}
 		}
 		must.True(t, held(q, quick, 4*time.Second))
@@ -172,23 +172,23 @@
 		return q
 	}
 	right := both()
-	right.Completed(slow, after(5*time.Second))
+	right.RecordCompletion(slow, after(5*time.Second))
 	must.True(t, held(right, quick, time.Minute))
 	must.False(t, held(right, slow, time.Minute))
 
 	wrong := both()
-	wrong.Count(Cut{Content: slow, Runner: "r3", At: after(5 * time.Second), Lasted: time.Second}, after(5*time.Second))
+	wrong.Count(Truncation{Content: slow, Runner: "r3", At: after(5 * time.Second), Elapsed: time.Second}, after(5*time.Second))
 	must.True(t, held(wrong, slow, 6*time.Second))
 	must.False(t, held(wrong, quick, 6*time.Second))
 
 	two := both()
 	for i := range 2 {
 		at := after(time.Duration(5+i) * time.Second)
-		two.Count(Cut{Content: slow, Runner: fmt.Sprintf("s%d", i), At: at, Lasted: time.Second}, at)
+		two.Count(Truncation{Content: slow, Runner: fmt.Sprintf("s%d", i), At: at, Elapsed: time.Second}, at)
 	}
 	for i := range 2 {
 		at := after(time.Duration(8+i) * time.Second)
-		two.Count(Cut{Content: quick, Runner: fmt.Sprintf("q%d", i), At: at, Lasted: time.Second}, at)
+		two.Count(Truncation{Content: quick, Runner: fmt.Sprintf("q%d", i), At: at, Elapsed: time.Second}, at)
 	}
 	must.True(t, held(two, slow, time.Minute))
 	must.True(t, held(two, quick, time.Minute))
@@ -197,10 +197,10 @@
 // A host that starts reads that a request is kept from runners. It keeps to that at once.
 func TestRecorded(t *testing.T) {
 	q := New()
-	must.True(t, q.Recorded(1, 2, begin))
-	must.False(t, q.Recorded(1, 2, begin))
+	must.True(t, q.Restore(1, 2, begin))
+	must.False(t, q.Restore(1, 2, begin))
 	must.True(t, held(q, 1, 0))
-	must.Eq(t, 2, q.Lasting(begin)[1])
+	must.Eq(t, 2, q.Snapshot(begin)[1])
 }
 
 // Hosts hear of suspicions, of further rounds and that a request was cleared in any order
@@ -233,15 +233,15 @@
 func BenchmarkHeld(b *testing.B) {
 	q := New()
 	for i := range 8 {
-		q.Recorded(Fingerprint(i), 1, begin)
+		q.Restore(Fingerprint(i), 1, begin)
 	}
 	for b.Loop() {
-		q.Held(99, begin)
+		q.BlockedFor(99, begin)
 	}
 }
 
 func BenchmarkFingerprint(b *testing.B) {
-	content := Content{Method: "POST", Host: "a.example", Target: "/live/x", Adapter: "base/a1", Body: make([]byte, 2048)}
+	content := Content{Method: "POST", Authority: "a.example", RequestURI: "/live/x", Adapter: "base/a1", Body: make([]byte, 2048)}
 	for b.Loop() {
 		content.Fingerprint()
 	}
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -125,48 +125,48 @@
 	})
 }
 
-// Ahead gives the units to ask for beyond those of the request at hand.
-func (a *Allowances) Ahead(workspace string, now time.Time) (ahead float64) {
+// PrefetchUnits gives the units to ask for beyond those of the request at hand.
+func (a *Allowances) PrefetchUnits(workspace string, now time.Time) (ahead float64) {
 	a.with(workspace, func(one *allowance) {
 		ahead = math.Floor(one.recentUse(now) * float64(aheadTime) / float64(useMemory))
 	})
 	return ahead
 }
 
-// Granted adds units of a part.
-func (a *Allowances) Granted(workspace string, part int, units float64, now time.Time) {
+// AddGrant adds units of a part.
+func (a *Allowances) AddGrant(workspace string, part int, units float64, now time.Time) {
 	a.with(workspace, func(one *allowance) {
 		one.left[part] += units
 		one.touched = now
 	})
 }
 
-// Used notes units that were granted for a request that was waiting for them.
-func (a *Allowances) Used(workspace string, cost float64, now time.Time) {
+// RecordUse notes units that were granted for a request that was waiting for them.
+func (a *Allowances) RecordUse(workspace string, cost float64, now time.Time) {
 	a.with(workspace, func(one *allowance) { one.used(cost, now) })
 }
 
-// Unspent takes out the units that have lain unused, to be given back, and forgets
+// TakeIdle takes out the units that have lain unused, to be given back, and forgets
 // workspaces of which nothing is left.
-func (a *Allowances) Unspent(now time.Time) []Ask {
-	var back []Ask
+func (a *Allowances) TakeIdle(now time.Time) []GrantRequest {
+	var back []GrantRequest
 	for i := range a.shards {
 		back = append(back, a.shards[i].unspent(now)...)
 	}
 	return back
 }
 
-func (s *allowanceShard) unspent(now time.Time) []Ask {
+func (s *allowanceShard) unspent(now time.Time) []GrantRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var back []Ask
+	var back []GrantRequest
 	for name, one := range s.workspaces {
 		if now.Sub(one.touched) < idleLife {
 			continue
 		}
 		for part, left := range one.left {
 			if left > 0 {
-				back = append(back, Ask{Key: name, Part: part, Back: left})
+				back = append(back, GrantRequest{Key: name, Part: part, Returned: left})
 			}
 		}
 		one.left = [Parts]float64{}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -39,20 +39,20 @@
 
 // take answers an ask. A request that costs more than the bucket can hold is granted once
 // it is full; what it takes beyond that is paid back by those after it.
-func (b *bucket) take(ask Ask, limit Limit, now time.Time) Answer {
+func (b *bucket) take(ask GrantRequest, limit Limit, now time.Time) GrantResponse {
 	b.refill(limit, now)
 	// What a bucket held under a limit that was lowered since is not granted any more.
-	b.level = min(limit.Burst, b.level+ask.Back)
+	b.level = min(limit.Burst, b.level+ask.Returned)
 	if ask.Cost == 0 {
-		return Answer{Level: b.level}
+		return GrantResponse{Level: b.level}
 	}
 	if needed := min(ask.Cost, limit.Burst); b.level < needed {
-		return Answer{Wait: b.wait(needed, limit), Level: b.level}
+		return GrantResponse{RetryAfter: b.wait(needed, limit), Level: b.level}
 	}
 	b.level -= ask.Cost
-	ahead := math.Floor(min(ask.Ahead, max(0, b.level-limit.Burst/2)*aheadShare))
+	ahead := math.Floor(min(ask.Prefetch, max(0, b.level-limit.Burst/2)*aheadShare))
 	b.level -= ahead
-	return Answer{Granted: ask.Cost + ahead, Level: b.level}
+	return GrantResponse{Granted: ask.Cost + ahead, Level: b.level}
 }
 
 // wait gives when a refused request may be granted: after those that were told before it.
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -10,9 +10,9 @@
 // shardCount divides what is counted over locks.
 const shardCount = 16
 
-// Right is a host's right to count a part: since when at least nobody else has granted
+// Ownership is a host's right to count a part: since when at least nobody else has granted
 // anything of it, and the epoch of the host's lease that it rests on.
-type Right struct {
+type Ownership struct {
 	Since time.Time
 	Epoch int64
 }
@@ -50,11 +50,11 @@
 
 func shardOf(key string) int { return int(xxhash.Sum64String(key) % shardCount) }
 
-// Answer answers an ask under a right and a part's limit.
+// Grant answers an ask under a right and a part's limit.
 //
 // A host whose lease was broken was followed by another one that granted units of the
 // part. It begins anew under its next lease, or the same units would be granted twice.
-func (c *Counter) Answer(ask Ask, limit Limit, right Right, now time.Time) Answer {
+func (c *Counter) Grant(ask GrantRequest, limit Limit, right Ownership, now time.Time) GrantResponse {
 	shard := &c.shards[shardOf(ask.Key)]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -67,8 +67,8 @@
 	return part.take(ask, limit, now)
 }
 
-// Keep forgets the parts that this host does not count any more.
-func (c *Counter) Keep(counts func(key string, part int) bool) {
+// Retain forgets the parts that this host does not count any more.
+func (c *Counter) Retain(counts func(key string, part int) bool) {
 	for i := range c.shards {
 		c.shards[i].keep(counts)
 	}
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -60,25 +60,25 @@
 	return "quota." + workspace + "." + strconv.Itoa(part)
 }
 
-// Ask is what a host asks of the one that counts a part.
-type Ask struct {
+// GrantRequest is what a host asks of the one that counts a part.
+type GrantRequest struct {
 	// Key names what is bounded: a workspace, or a runner that names a limit.
 	Key  string
 	Part int
 	// Cost is what the request at hand needs, 0 to give back only.
 	Cost float64
-	// Ahead is what the host will likely need besides.
-	Ahead float64
-	// Back is what the host was granted and does not need.
-	Back float64
+	// Prefetch is what the host will likely need besides.
+	Prefetch float64
+	// Returned is what the host was granted and does not need.
+	Returned float64
 }
 
-// Answer is that host's answer.
-type Answer struct {
+// GrantResponse is that host's answer.
+type GrantResponse struct {
 	// Granted is 0, or the cost and some ahead.
 	Granted float64
-	// Wait is when the cost may be granted, where it was not.
-	Wait time.Duration
+	// RetryAfter is when the cost may be granted, where it was not.
+	RetryAfter time.Duration
 	// Level is what the part holds after it.
 	Level float64
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -91,14 +91,14 @@
 			continue
 		}
 		f.asks++
-		ask := Ask{Key: name, Part: part, Cost: cost, Ahead: a.Ahead(name, now)}
-		answer := f.counters[part].Answer(ask, PartLimit(f.quota, bounds), Right{Since: f.since[part], Epoch: f.epoch[part]}, now)
+		ask := GrantRequest{Key: name, Part: part, Cost: cost, Prefetch: a.PrefetchUnits(name, now)}
+		answer := f.counters[part].Grant(ask, PartLimit(f.quota, bounds), Ownership{Since: f.since[part], Epoch: f.epoch[part]}, now)
 		if answer.Granted > 0 {
-			a.Used(name, cost, now)
-			a.Granted(name, part, answer.Granted-cost, now)
+			a.RecordUse(name, cost, now)
+			a.AddGrant(name, part, answer.Granted-cost, now)
 			return f.ran(cost, now)
 		}
-		wait = min(wait, answer.Wait)
+		wait = min(wait, answer.RetryAfter)
 	}
 	a.RefuseUntil(name, wait, f.quota.Rate, now)
 	f.refused++
@@ -114,9 +114,9 @@
 // giveBack has all hosts give back what lies unused.
 func (f *fleet) giveBack(now time.Time) {
 	for _, a := range f.hosts {
-		for _, back := range a.Unspent(now) {
+		for _, back := range a.TakeIdle(now) {
 			if !f.down[back.Part] {
-				f.counters[back.Part].Answer(back, PartLimit(f.quota, bounds), Right{Since: f.since[back.Part], Epoch: f.epoch[back.Part]}, now)
+				f.counters[back.Part].Grant(back, PartLimit(f.quota, bounds), Ownership{Since: f.since[back.Part], Epoch: f.epoch[back.Part]}, now)
 			}
 		}
 	}
@@ -211,7 +211,7 @@
 	const mean = 2000
 	for at := time.Duration(0); at < length; at += time.Duration(rng.ExpFloat64() * mean / rate * float64(time.Second)) {
 		cost := 200 + rng.Float64()*2*(mean-200)
-		if s.buckets[rng.IntN(len(s.buckets))].take(Ask{Cost: cost}, s.limit, epoch.Add(at)).Granted == 0 {
+		if s.buckets[rng.IntN(len(s.buckets))].take(GrantRequest{Cost: cost}, s.limit, epoch.Add(at)).Granted == 0 {
 			s.refused++
 			continue
 		}
@@ -263,9 +263,9 @@
 func TestPartIsCountedAnewUnderTheNextLease(t *testing.T) {
 	c := NewCounter()
 	limit := Limit{Rate: 100, Burst: 1000}
-	must.Eq(t, 900, c.Answer(Ask{Key: name, Cost: 900}, limit, Right{Since: epoch.Add(-time.Hour), Epoch: 1}, epoch).Granted)
+	must.Eq(t, 900, c.Grant(GrantRequest{Key: name, Cost: 900}, limit, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}, epoch).Granted)
 	later := epoch.Add(time.Hour)
-	answer := c.Answer(Ask{Key: name, Cost: 900}, limit, Right{Since: later.Add(-time.Second), Epoch: 2}, later)
+	answer := c.Grant(GrantRequest{Key: name, Cost: 900}, limit, Ownership{Since: later.Add(-time.Second), Epoch: 2}, later)
 	must.Eq(t, 0, answer.Granted)
 	must.Eq(t, 100, answer.Level)
 }
@@ -275,58 +275,58 @@
 // it counts too.
 func TestPartThatIsAskedForTooEarlyStaysEmpty(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 1000, Burst: 1000}, Right{Since: epoch.Add(time.Second), Epoch: 1}
-	must.Eq(t, 0, c.Answer(Ask{Key: name, Cost: 100}, limit, right, epoch).Granted)
-	must.Eq(t, 0, c.Answer(Ask{Key: name, Cost: 100}, limit, right, epoch.Add(time.Second)).Level)
-	must.Eq(t, 100, c.Answer(Ask{Key: name, Cost: 100}, limit, right, epoch.Add(1100*time.Millisecond)).Granted)
+	limit, right := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(time.Second), Epoch: 1}
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: name, Cost: 100}, limit, right, epoch).Granted)
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: name, Cost: 100}, limit, right, epoch.Add(time.Second)).Level)
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: name, Cost: 100}, limit, right, epoch.Add(1100*time.Millisecond)).Granted)
 }
 
 // A limit is lowered to a tenth. What the bucket held under the higher one is not
 // granted any more.
 func TestLoweredLimit(t *testing.T) {
 	c := NewCounter()
-	right := Right{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 100, c.Answer(Ask{Key: name, Cost: 100}, Limit{Rate: 1000, Burst: 1000}, right, epoch).Granted)
+	right := Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: name, Cost: 100}, Limit{Rate: 1000, Burst: 1000}, right, epoch).Granted)
 	low := Limit{Rate: 100, Burst: 100}
-	must.Eq(t, 100, c.Answer(Ask{Key: name, Cost: 100}, low, right, epoch).Granted)
-	answer := c.Answer(Ask{Key: name, Cost: 100}, low, right, epoch)
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: name, Cost: 100}, low, right, epoch).Granted)
+	answer := c.Grant(GrantRequest{Key: name, Cost: 100}, low, right, epoch)
 	must.Eq(t, 0, answer.Granted)
-	must.Eq(t, time.Second, answer.Wait)
+	must.Eq(t, time.Second, answer.RetryAfter)
 }
 
 // A request that costs more than a bucket can hold is granted once it is full, and paid
 // for by those after it.
 func TestRequestBeyondTheBurst(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 100, Burst: 100}, Right{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 300, c.Answer(Ask{Key: name, Cost: 300}, limit, right, epoch).Granted)
-	must.Eq(t, 0, c.Answer(Ask{Key: name, Cost: 1}, limit, right, epoch.Add(1990*time.Millisecond)).Granted)
-	must.Eq(t, 1, c.Answer(Ask{Key: name, Cost: 1}, limit, right, epoch.Add(2020*time.Millisecond)).Granted)
+	limit, right := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 300, c.Grant(GrantRequest{Key: name, Cost: 300}, limit, right, epoch).Granted)
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: name, Cost: 1}, limit, right, epoch.Add(1990*time.Millisecond)).Granted)
+	must.Eq(t, 1, c.Grant(GrantRequest{Key: name, Cost: 1}, limit, right, epoch.Add(2020*time.Millisecond)).Granted)
 }
 
 // Callers that are refused come back when they are told. Each finds its units, since
 // they are told times one after the other.
 func TestRefusedCallersFindTheirUnitsWhenTheyComeBack(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 1000, Burst: 1000}, Right{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 1000, c.Answer(Ask{Key: name, Cost: 1000}, limit, right, epoch).Granted)
+	limit, right := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 1000, c.Grant(GrantRequest{Key: name, Cost: 1000}, limit, right, epoch).Granted)
 	for i := range 5 {
-		wait := c.Answer(Ask{Key: name, Cost: 500}, limit, right, epoch).Wait
+		wait := c.Grant(GrantRequest{Key: name, Cost: 500}, limit, right, epoch).RetryAfter
 		must.Eq(t, time.Duration(i+1)*500*time.Millisecond, wait)
 	}
 	for i := range 5 {
 		at := epoch.Add(time.Duration(i+1)*500*time.Millisecond + time.Millisecond)
-		must.Eq(t, 500, c.Answer(Ask{Key: name, Cost: 500}, limit, right, at).Granted)
+		must.Eq(t, 500, c.Grant(GrantRequest{Key: name, Cost: 500}, limit, right, at).Granted)
 	}
 }
 
 // Units that were granted ahead and lie unused go back, once, and no others are lost.
 func TestUnusedUnitsGoBack(t *testing.T) {
 	a := NewAllowances()
-	a.Granted(name, 1, 500, epoch)
-	must.SliceEmpty(t, a.Unspent(epoch.Add(idleLife-time.Millisecond)))
-	must.Eq(t, []Ask{{Key: name, Part: 1, Back: 500}}, a.Unspent(epoch.Add(idleLife)))
-	must.SliceEmpty(t, a.Unspent(epoch.Add(time.Hour)))
+	a.AddGrant(name, 1, 500, epoch)
+	must.SliceEmpty(t, a.TakeIdle(epoch.Add(idleLife-time.Millisecond)))
+	must.Eq(t, []GrantRequest{{Key: name, Part: 1, Returned: 500}}, a.TakeIdle(epoch.Add(idleLife)))
+	must.SliceEmpty(t, a.TakeIdle(epoch.Add(time.Hour)))
 	_, ok := a.Spend(name, 1, epoch.Add(time.Hour))
 	must.False(t, ok)
 }
@@ -334,11 +334,11 @@
 // A part that another host counts now is forgotten: its bucket would have filled here.
 func TestPartOfAnotherHostIsForgotten(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 100, Burst: 100}, Right{Since: epoch.Add(-time.Hour), Epoch: 1}
-	c.Answer(Ask{Key: name, Cost: 100}, limit, right, epoch)
-	c.Keep(func(string, int) bool { return true })
+	limit, right := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	c.Grant(GrantRequest{Key: name, Cost: 100}, limit, right, epoch)
+	c.Retain(func(string, int) bool { return true })
 	must.Eq(t, 1, c.Size())
-	c.Keep(func(string, int) bool { return false })
+	c.Retain(func(string, int) bool { return false })
 	must.Eq(t, 0, c.Size())
 }
 
@@ -357,14 +357,14 @@
 		now, granted, largest := epoch, 0.0, 0.0
 		for range 200 {
 			now = now.Add(time.Duration(rng.Int64N(int64(time.Second))))
-			ask := Ask{Cost: 1 + rng.Float64()*burst*1.5, Ahead: rng.Float64() * burst}
+			ask := GrantRequest{Cost: 1 + rng.Float64()*burst*1.5, Prefetch: rng.Float64() * burst}
 			largest = max(largest, ask.Cost)
 			answer := b.take(ask, limit, now)
 			granted += answer.Granted
 			if bound := burst + rate*now.Sub(epoch).Seconds() + largest; granted > bound*1.000001 {
 				t.Fatalf("%g granted, %g there", granted, bound)
 			}
-			if answer.Granted == 0 && answer.Wait <= 0 {
+			if answer.Granted == 0 && answer.RetryAfter <= 0 {
 				t.Fatal("refused without a time to come back")
 			}
 		}
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -24,8 +24,8 @@
 	Returned float64 `json:"returned"`
 }
 
-// WorkspaceUse is what a host's metrics tell of a workspace.
-type WorkspaceUse struct {
+// WorkspaceMetrics is what a host's metrics tell of a workspace.
+type WorkspaceMetrics struct {
 	// Rate and Burst are the quota in force, in units a second and in units.
 	Rate     float64 `json:"rate"`
 	Burst    float64 `json:"burst"`
@@ -42,14 +42,14 @@
 	u.Returned += other.Returned
 }
 
-// Usages counts by workspace. It is safe for concurrent use.
-type Usages struct {
+// UsageByWorkspace counts by workspace. It is safe for concurrent use.
+type UsageByWorkspace struct {
 	mu sync.Mutex
 	by map[string]Usage
 }
 
-// Note adds to a workspace's usage.
-func (u *Usages) Note(workspace string, more Usage) {
+// Add adds to a workspace's usage.
+func (u *UsageByWorkspace) Add(workspace string, more Usage) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	if u.by == nil {
@@ -64,7 +64,7 @@
 }
 
 // All gives the usage of each workspace.
-func (u *Usages) All() map[string]Usage {
+func (u *UsageByWorkspace) All() map[string]Usage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
 	return maps.Clone(u.by)
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -50,10 +50,10 @@
 	return &Budget{limit: limit, at: now}
 }
 
-// Request counts a caller's request. Hosts is the number of hosts that share the
+// RecordRequest counts a caller's request. Hosts is the number of hosts that share the
 // limit, 0 while it is not known: nothing of the slack is given out then, for each of
 // a fleet that starts at once would take the whole of it for its own.
-func (b *Budget) Request(now time.Time, hosts int) {
+func (b *Budget) RecordRequest(now time.Time, hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now, hosts)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -35,7 +35,7 @@
 				}
 			}
 			for n := range perSecond / 10 {
-				budgets[n%hosts].Request(now, hosts)
+				budgets[n%hosts].RecordRequest(now, hosts)
 				requests = append(requests, now)
 			}
 			if tick < fail {
@@ -76,7 +76,7 @@
 	now := epoch
 	for range 40 {
 		now = now.Add(125 * time.Millisecond)
-		b.Request(now, hosts)
+		b.RecordRequest(now, hosts)
 	}
 	for range 3 {
 		must.True(t, b.Take(now, hosts))
@@ -89,7 +89,7 @@
 	b := New(Limit{Window: time.Second}, epoch)
 	for i := range 100 {
 		now := epoch.Add(time.Duration(i) * time.Second)
-		b.Request(now, 1)
+		b.RecordRequest(now, 1)
 		must.False(t, b.Take(now, 1))
 	}
 	must.Eq(t, 100, b.Denied())
@@ -101,10 +101,10 @@
 func TestNoSlackWhileTheFleetIsNotKnown(t *testing.T) {
 	b := New(limit, epoch)
 	now := epoch.Add(limit.Window)
-	b.Request(now, 0)
+	b.RecordRequest(now, 0)
 	must.False(t, b.Take(now, 0))
 	now = now.Add(limit.Window)
-	b.Request(now, 7)
+	b.RecordRequest(now, 7)
 	must.True(t, b.Take(now, 7), must.Sprint("once they are known the part is this host's"))
 }
 
@@ -119,7 +119,7 @@
 	tries := 0
 	for range hosts {
 		b := New(large, epoch)
-		b.Request(now, hosts)
+		b.RecordRequest(now, hosts)
 		for tick := range 100 {
 			for b.Take(now.Add(time.Duration(tick)*100*time.Millisecond), hosts) {
 				tries++
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -80,9 +80,9 @@
 	now := l.s.Now()
 	switch {
 	case failure == nil && l.finished && l.status/100 == 2:
-		l.s.Quarantine.Completed(l.content, now)
+		l.s.Quarantine.RecordCompletion(l.content, now)
 	case failure != nil && failure.CutOff && ctx.Err() == nil:
-		l.s.Quarantine.CutOff(quarantine.Cut{Content: l.content, Runner: l.runner.ID, At: now, Lasted: now.Sub(l.sentAt)})
+		l.s.Quarantine.RecordTruncation(quarantine.Truncation{Content: l.content, Runner: l.runner.ID, At: now, Elapsed: now.Sub(l.sentAt)})
 	}
 }
 
--- a/internal/serve/quarantine_test.go
+++ b/internal/serve/quarantine_test.go
@@ -91,7 +91,7 @@
 		// The retry budget starts empty.
 		time.Sleep(2 * time.Second)
 		w.askRepeatable()
-		due, _ := w.server.Quarantine.Due(time.Now().Add(time.Second), w.server.Board.RespondedSince)
+		due, _ := w.server.Quarantine.TakeDue(time.Now().Add(time.Second), w.server.Board.RespondedSince)
 		must.Len(t, 2, due)
 		must.NotEq(t, due[0].Runner, due[1].Runner)
 		for _, cut := range due {
@@ -99,7 +99,7 @@
 		}
 		w.hold()
 		must.Eq(t, http.StatusServiceUnavailable, w.askRepeatable().Code)
-		w.server.Quarantine.Completed(due[0].Content, time.Now())
+		w.server.Quarantine.RecordCompletion(due[0].Content, time.Now())
 		w.answer = nil
 		must.Eq(t, http.StatusOK, w.askRepeatable().Code)
 	})
--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -190,7 +190,7 @@
 		if l.superseded() {
 			return errSuperseded
 		}
-		if _, held := l.s.Quarantine.Held(l.content, l.s.Now()); held {
+		if _, held := l.s.Quarantine.BlockedFor(l.content, l.s.Now()); held {
 			return errKept
 		}
 		left := end.Sub(l.s.Now())
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -223,7 +223,7 @@
 		return
 	}
 	l.budget = s.budget(name)
-	l.budget.Request(s.Now(), s.Hosts())
+	l.budget.RecordRequest(s.Now(), s.Hosts())
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(l.deadline.Sub(s.Now())))
 	defer cancel()
 	if l.chargeWorkspace(ctx) {
@@ -237,7 +237,7 @@
 }
 
 func contentOf(request *forward.Request) quarantine.Content {
-	content := quarantine.Content{Method: request.Method, Host: request.Host, Target: request.Target, Body: request.Body}
+	content := quarantine.Content{Method: request.Method, Authority: request.Host, RequestURI: request.Target, Body: request.Body}
 	if request.Adapter != (site.Adapter{}) {
 		content.Adapter = request.Adapter.String()
 	}
@@ -299,7 +299,7 @@
 // cuts off all that runs beside it. Since each host asks before each send, only the sends
 // of the moment in which the hosts agree follow the third end.
 func (l *life) keptFromRunners() bool {
-	left, held := l.s.Quarantine.Held(l.content, l.s.Now())
+	left, held := l.s.Quarantine.BlockedFor(l.content, l.s.Now())
 	if !held {
 		return false
 	}
