--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -1,5 +1,5 @@
-// Package board is what a host knows of how busy and how well the runners are:
-// its own requests on them, those of its peers, and what came of them.
+// Package board tracks the load and health of the runners as one host sees them: its own
+// requests, those that its peers report, and their outcomes.
 package board
 
 import (
@@ -10,12 +10,11 @@
 
 const shardCount = 16
 
-// peerCountLife is how long a peer's numbers count. Peers tell them when they
-// change, and every second besides; a peer that stopped telling may be gone with
-// its requests.
-const peerCountLife = 3 * time.Second
+// peerLoadTTL is how long a peer's reported counts are valid. Peers send them on every change
+// and once a second; one that stopped may have crashed, and its requests with it.
+const peerLoadTTL = 3 * time.Second
 
-// Board holds an entry for each runner, in shards with a lock each. It is safe
+// Board holds the state of each runner, sharded by runner to reduce lock contention. It is safe
 // for concurrent use.
 type Board struct {
 	seed   maphash.Seed
@@ -29,28 +28,29 @@
 
 type entry struct {
 	own int
-	// heardAt is when the runner last sent anything for this host's requests, or
-	// when the first of them began.
-	heardAt time.Time
-	// answeredSent is when the last request was sent that the runner answered.
-	answeredSent time.Time
-	peers        map[string]peerCount
-	health       health
-	limit        limit
-	unread       string
-	// restUntil is until when the runner wants no request of this host.
-	restUntil time.Time
-	refusals  refusals
-	// goneAt is when the runner was given up, zero if a request was sent to it since.
-	goneAt time.Time
-}
-
-type peerCount struct {
-	running int
-	at      time.Time
-}
-
-// New makes an empty board.
+	// lastActivity is when the runner last sent data for any request of this host, or when the
+	// oldest of the current requests started.
+	lastActivity time.Time
+	// respondedSent is the latest send time among the requests that the runner responded to.
+	respondedSent time.Time
+	peers         map[string]peerLoad
+	health        health
+	limit         rateLimit
+	malformed     string
+	// backoffUntil is when the runner accepts requests of this host again.
+	backoffUntil time.Time
+	refusals     refusals
+	// removedAt is when Forget was last called for the runner; zero if a request was sent to it
+	// since.
+	removedAt time.Time
+}
+
+type peerLoad struct {
+	running   int
+	updatedAt time.Time
+}
+
+// New returns an empty board.
 func New() *Board {
 	b := &Board{seed: maphash.MakeSeed()}
 	for i := range b.shards {
@@ -63,72 +63,73 @@
 	return &b.shards[maphash.String(b.seed, runner)%shardCount]
 }
 
-// with runs do on the runner's entry under its shard's lock.
-func (b *Board) with(runner string, do func(e *entry)) {
+// withEntry calls update with the runner's entry, creating it if necessary, under the shard
+// lock.
+func (b *Board) withEntry(runner string, update func(e *entry)) {
 	s := b.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.entries[runner]
 	if e == nil {
-		e = &entry{peers: map[string]peerCount{}}
+		e = &entry{peers: map[string]peerLoad{}}
 		s.entries[runner] = e
 	}
-	do(e)
+	update(e)
 }
 
-// RecordStart counts a request of this host on a runner.
+// RecordStart counts a request of this host that is sent to the runner.
 func (b *Board) RecordStart(runner string, now time.Time) {
-	b.with(runner, func(e *entry) {
+	b.withEntry(runner, func(e *entry) {
 		if e.own == 0 {
-			e.heardAt = now
+			e.lastActivity = now
 		}
 		e.own++
-		e.goneAt = time.Time{}
+		e.removedAt = time.Time{}
 	})
 }
 
-// RecordActivity notes that a runner sent something for one of this host's requests.
+// RecordActivity records that the runner sent data for a request of this host.
 func (b *Board) RecordActivity(runner string, now time.Time) {
-	b.with(runner, func(e *entry) { e.heardAt = now })
+	b.withEntry(runner, func(e *entry) { e.lastActivity = now })
 }
 
-// RecordResponse notes that a runner answered a request that was sent at a time.
+// RecordResponse records a response to a request that was sent at the given time.
 func (b *Board) RecordResponse(runner string, sent time.Time) {
-	b.with(runner, func(e *entry) {
-		if sent.After(e.answeredSent) {
-			e.answeredSent = sent
+	b.withEntry(runner, func(e *entry) {
+		if sent.After(e.respondedSent) {
+			e.respondedSent = sent
 		}
 		e.refusals = refusals{}
 	})
 }
 
-// RespondedSince says whether a runner answered a request that was sent after a moment, so
-// that it lived then.
-func (b *Board) RespondedSince(runner string, moment time.Time) bool {
-	var since bool
-	b.with(runner, func(e *entry) { since = e.answeredSent.After(moment) })
-	return since
+// RespondedSince reports whether the runner responded to a request that was sent after t, which
+// shows that it was alive at t.
+func (b *Board) RespondedSince(runner string, t time.Time) bool {
+	var responded bool
+	b.withEntry(runner, func(e *entry) { responded = e.respondedSent.After(t) })
+	return responded
 }
 
-// A runner that sends nothing for any of several requests has most likely gone
-// dark: running streams show an event every 50 ms, and 250 ms is the longest
-// pause that callers allow. Found by single requests, which may take twice their
-// target, a dark runner got new ones for over a second, and all were lost.
+// A runner that sends nothing for several concurrent requests has most likely failed: active
+// streams send an event every 50 ms, and 250 ms is the longest pause that callers allow. When it
+// was detected only by single requests, which may take twice their latency limit, a failed
+// runner received new requests for over a second and all of them were lost.
 const (
-	silentAfter    = 400 * time.Millisecond
-	silentRequests = 2
+	silenceThreshold  = 400 * time.Millisecond
+	minSilentRequests = 2
 )
 
 func (e *entry) silent(now time.Time) bool {
-	return e.own >= silentRequests && now.Sub(e.heardAt) > silentAfter
+	return e.own >= minSilentRequests && now.Sub(e.lastActivity) > silenceThreshold
 }
 
-// RecordEnd takes a request back that Begin counted.
+// RecordEnd removes a request that RecordStart counted.
 func (b *Board) RecordEnd(runner string) {
-	b.with(runner, func(e *entry) { e.own = max(0, e.own-1) })
+	b.withEntry(runner, func(e *entry) { e.own = max(0, e.own-1) })
 }
 
-// OwnRequests gives the requests of this host on each runner.
+// OwnRequests returns the number of requests that this host has in flight, by runner.
 func (b *Board) OwnRequests() map[string]int {
 	own := map[string]int{}
 	for i := range b.shards {
@@ -144,72 +145,72 @@
 	return own
 }
 
-// OwnRequestsOn gives the requests of this host on a runner.
+// OwnRequestsOn returns the number of requests that this host has in flight on a runner.
 func (b *Board) OwnRequestsOn(runner string) int {
 	var own int
-	b.with(runner, func(e *entry) { own = e.own })
+	b.withEntry(runner, func(e *entry) { own = e.own })
 	return own
 }
 
-// SetPeerRequests takes a peer's requests on one runner.
+// SetPeerRequests records the number of requests that a peer has in flight on a runner.
 func (b *Board) SetPeerRequests(peer, runner string, running int, now time.Time) {
-	b.with(runner, func(e *entry) { e.peers[peer] = peerCount{running: running, at: now} })
+	b.withEntry(runner, func(e *entry) { e.peers[peer] = peerLoad{running: running, updatedAt: now} })
 }
 
-// View is the state of one runner.
+// View is a snapshot of one runner's state.
 type View struct {
-	// Own is the number of this host's requests on the runner, Load that of all
-	// hosts together.
+	// Own is the number of requests in flight from this host, Load that from all hosts.
 	Own, Load int
-	// Suspect says that the runner should be avoided.
+	// Suspect reports that the runner should be avoided.
 	Suspect bool
-	// Limited says that the runner takes only Rate requests a second from all hosts together,
-	// and SaidAgo how long ago it last said so.
+	// Limited reports that the runner accepts only Rate requests per second from all hosts
+	// together. LimitAge is the time since it last said so.
 	Limited  bool
 	Rate     float64
 	LimitAge time.Duration
-	// Refusing says that the runner turns away whatever comes.
+	// Refusing reports that the runner is rejecting every request.
 	Refusing bool
-	// BlockedFor is for how long no request of this host may be sent to the runner, 0 if one may.
+	// BlockedFor is how long this host must not send requests to the runner, 0 if it may.
 	BlockedFor time.Duration
 }
 
-// View gives the state of a runner.
+// View returns the current state of a runner.
 func (b *Board) View(runner string, now time.Time) View {
 	var view View
-	b.with(runner, func(e *entry) {
+	b.withEntry(runner, func(e *entry) {
 		view.Own = e.own
 		view.Load = e.own
 		for _, peer := range e.peers {
-			if now.Sub(peer.at) < peerCountLife {
+			if now.Sub(peer.updatedAt) < peerLoadTTL {
 				view.Load += peer.running
 			}
 		}
 		view.Suspect = e.health.suspect(now) || e.silent(now)
 		if e.limit.limited {
-			view.Limited, view.Rate, view.LimitAge = true, e.limit.rate, now.Sub(e.limit.saidAt)
+			view.Limited, view.Rate, view.LimitAge = true, e.limit.rate, now.Sub(e.limit.reportedAt)
 		}
-		view.Refusing = e.refusals.hold(now)
-		view.BlockedFor = e.barred(now)
+		view.Refusing = e.refusals.paused(now)
+		view.BlockedFor = e.blockedFor(now)
 	})
 	return view
 }
 
-// goneLife is how long what a runner asked of the hosts is kept once it is given up.
-const goneLife = 10 * time.Minute
+// removedRetention is how long the rate limit and backoff of a removed runner are kept.
+const removedRetention = 10 * time.Minute
 
-// Forget drops a runner that is gone, but for what it asked of the hosts. Entries lapse in an
-// outage of the store and come back with the runner, which still wants what it asked for.
+// Forget drops the state of a removed runner, except for its rate limit and backoff: entries
+// also expire during a store outage, and a runner that returns afterwards still expects the
+// hosts to respect both.
 func (b *Board) Forget(runner string, now time.Time) {
 	s := b.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for other, e := range s.entries {
-		if !e.goneAt.IsZero() && now.Sub(e.goneAt) > goneLife {
+		if !e.removedAt.IsZero() && now.Sub(e.removedAt) > removedRetention {
 			delete(s.entries, other)
 		}
 	}
 	if e := s.entries[runner]; e != nil {
-		s.entries[runner] = &entry{peers: map[string]peerCount{}, limit: e.limit, restUntil: e.restUntil, goneAt: now}
+		s.entries[runner] = &entry{peers: map[string]peerLoad{}, limit: e.limit, backoffUntil: e.backoffUntil, removedAt: now}
 	}
 }
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -19,17 +19,16 @@
 	b.SetPeerRequests("p", "s", 2, epoch)
 	must.Eq(t, 1, b.View("r", epoch).Load)
 	must.Eq(t, 2, b.View("s", epoch).Load)
-	must.Eq(t, 0, b.View("s", epoch.Add(peerCountLife)).Load, must.Sprint("a peer that stopped telling may be gone"))
+	must.Eq(t, 0, b.View("s", epoch.Add(peerLoadTTL)).Load, must.Sprint("a silent peer's requests are dropped"))
 	b.RecordEnd("r")
 	b.RecordEnd("r")
 	must.Eq(t, 0, b.View("r", epoch).Own)
 	must.MapEmpty(t, b.OwnRequests())
 }
 
-// A runner's connections break off, some since it ended and some for other reasons. An
-// answer to what was sent before says nothing of it; one to what was sent later says that
-// the runner lives.
-func TestAnswerShowsThatARunnerLives(t *testing.T) {
+// Connections to a runner also break for reasons other than its failure. Only a response to a
+// request that was sent after the break shows that the runner is alive.
+func TestRespondedSince(t *testing.T) {
 	b := New()
 	b.RecordResponse("r", epoch)
 	b.RecordResponse("r", epoch.Add(-time.Second))
@@ -39,48 +38,46 @@
 	must.False(t, b.RespondedSince("r", epoch.Add(-time.Millisecond)))
 }
 
-// A runner fails two fifths of its requests while its health page is good. It
-// is avoided after some requests, tried again after a while, and trusted once
-// it serves.
+// A runner fails two fifths of its requests while its health endpoint reports success. It is
+// avoided after a few requests and tried again after a while.
 func TestFailingRunnerIsAvoided(t *testing.T) {
 	b := New()
 	now := epoch
-	turned := false
+	suspected := false
 	for i := range 20 {
 		now = now.Add(20 * time.Millisecond)
 		if i%5 < 2 {
-			turned = b.RecordFailure("r", false, now) || turned
+			suspected = b.RecordFailure("r", false, now) || suspected
 		} else {
 			b.RecordSuccess("r", now)
 		}
-		if turned {
+		if suspected {
 			break
 		}
 	}
-	must.True(t, turned)
+	must.True(t, suspected)
 	must.True(t, b.View("r", now).Suspect)
-	must.False(t, b.View("r", now.Add(suspectFirst)).Suspect)
+	must.False(t, b.View("r", now.Add(initialSuspicion)).Suspect)
 }
 
-// One broken answer among good ones is no reason to avoid a runner: with all
-// runners failing one in a hundred, nowhere would be left to go.
-func TestOneFailureIsForgiven(t *testing.T) {
+// A single failure must not make a runner suspect: if every runner failed one request in a
+// hundred, none would be left to choose.
+func TestSingleFailureIsTolerated(t *testing.T) {
 	b := New()
 	b.RecordSuccess("r", epoch)
 	must.False(t, b.RecordFailure("r", false, epoch))
 	must.False(t, b.View("r", epoch).Suspect)
 }
 
-// A runner that cannot be reached is avoided at once, longer each time, and
-// never for ever.
+// An unreachable runner is avoided at once, for longer each time up to a maximum.
 func TestUnreachableRunner(t *testing.T) {
 	b := New()
 	now := epoch
-	for _, want := range []time.Duration{suspectFirst, 2 * suspectFirst, 4 * suspectFirst, 8 * suspectFirst, suspectMost, suspectMost} {
+	for _, want := range []time.Duration{initialSuspicion, 2 * initialSuspicion, 4 * initialSuspicion, 8 * initialSuspicion, maxSuspicion, maxSuspicion} {
 		must.True(t, b.RecordFailure("r", true, now))
-		left := b.Suspects(now)["r"]
-		must.Eq(t, want, left)
-		now = now.Add(left)
+		remaining := b.Suspects(now)["r"]
+		must.Eq(t, want, remaining)
+		now = now.Add(remaining)
 	}
 	b.RecordSuccess("r", now)
 	b.RecordSuccess("r", now)
@@ -91,8 +88,7 @@
 	must.False(t, b.View("r", now).Suspect)
 }
 
-// A peer is cut off from a runner that serves this host. Its word must not take
-// the runner away from this host's callers.
+// A peer that is cut off from a runner must not make this host avoid a runner that serves it.
 func TestPeersSuspicion(t *testing.T) {
 	b := New()
 	b.RecordSuccess("r", epoch)
@@ -100,21 +96,20 @@
 	must.False(t, b.View("r", epoch.Add(time.Millisecond)).Suspect)
 	b.MergePeerSuspicion("s", time.Second, epoch)
 	must.True(t, b.View("s", epoch).Suspect)
-	must.False(t, b.View("s", epoch.Add(suspectFirst)).Suspect, must.Sprint("each host tries for itself"))
+	must.False(t, b.View("s", epoch.Add(initialSuspicion)).Suspect, must.Sprint("each host tries the runner itself"))
 }
 
-// A runner goes dark while three streams run on it. It is avoided as soon as
-// none of them shows anything for longer than any pause; a single request that
-// takes long says nothing yet.
-func TestDarkRunner(t *testing.T) {
+// A runner fails silently with three streams open. It becomes suspect once none of them has
+// received data for longer than the longest normal pause; one slow request is not enough.
+func TestSilentRunnerIsAvoided(t *testing.T) {
 	b := New()
 	b.RecordStart("r", epoch)
 	must.False(t, b.View("r", epoch.Add(time.Second)).Suspect)
 	b.RecordStart("r", epoch)
 	b.RecordStart("r", epoch)
 	b.RecordActivity("r", epoch.Add(time.Second))
-	must.False(t, b.View("r", epoch.Add(time.Second+silentAfter)).Suspect)
-	now := epoch.Add(time.Second + silentAfter + time.Millisecond)
+	must.False(t, b.View("r", epoch.Add(time.Second+silenceThreshold)).Suspect)
+	now := epoch.Add(time.Second + silenceThreshold + time.Millisecond)
 	must.True(t, b.View("r", now).Suspect)
 	must.MapContainsKey(t, b.Suspects(now), "r")
 	b.RecordActivity("r", now)
--- a/internal/board/health.go
+++ b/internal/board/health.go
@@ -3,79 +3,80 @@
 import "time"
 
 const (
-	// failureWeight is the weight of the newest outcome in the failure rate. A
-	// runner that fails two fifths of its requests passes suspectRate after
-	// some four requests; one failure among good ones does not.
-	failureWeight = 0.25
-	suspectRate   = 0.35
-	// suspectFirst and suspectMost bound how long a runner is avoided. The first
-	// is short, since one refused connection may be the connection's fault; the
-	// longest keeps trials of a dead runner to one in four seconds a host.
-	suspectFirst = 300 * time.Millisecond
-	suspectMost  = 4 * time.Second
-	// recentSuccess outweighs a peer's suspicion: the peer may be the one that
-	// is cut off.
+	// failureWeight is the weight of the latest outcome in the moving average of the failure
+	// rate. A runner that fails two fifths of its requests exceeds suspectFailureRate after
+	// about four requests; a single failure among successes does not.
+	failureWeight      = 0.25
+	suspectFailureRate = 0.35
+	// initialSuspicion and maxSuspicion bound how long a runner is avoided. The first is short
+	// because a refused connection may be a network fault; the maximum limits each host to one
+	// attempt every four seconds on a dead runner.
+	initialSuspicion = 300 * time.Millisecond
+	maxSuspicion     = 4 * time.Second
+	// recentSuccess is how long after a success a peer's suspicion is ignored: the peer may be
+	// the one that is partitioned.
 	recentSuccess = 500 * time.Millisecond
 )
 
-// health is the judgement on one runner from requests alone: a runner's own
-// health page may answer while it fails its requests.
+// health rates a runner by the outcomes of its requests alone: its health endpoint may succeed
+// while its requests fail.
 type health struct {
-	rate    float64
-	strikes int
-	until   time.Time
-	goodAt  time.Time
+	failureRate  float64
+	suspicions   int
+	suspectUntil time.Time
+	lastSuccess  time.Time
 }
 
-func (h *health) suspect(now time.Time) bool { return now.Before(h.until) }
+func (h *health) suspect(now time.Time) bool { return now.Before(h.suspectUntil) }
 
-// good notes a success and says whether it ends the suspicion.
-func (h *health) good(now time.Time) bool {
-	h.rate *= 1 - failureWeight
-	h.goodAt = now
-	if h.rate >= suspectRate/2 {
+// recordSuccess records a success and reports whether it ends the suspicion.
+func (h *health) recordSuccess(now time.Time) bool {
+	h.failureRate *= 1 - failureWeight
+	h.lastSuccess = now
+	if h.failureRate >= suspectFailureRate/2 {
 		return false
 	}
-	ended := !h.until.IsZero()
-	h.strikes = 0
-	h.until = time.Time{}
+	ended := !h.suspectUntil.IsZero()
+	h.suspicions = 0
+	h.suspectUntil = time.Time{}
 	return ended
 }
 
-// bad notes a failure; hard ones (no connection at all) suffice alone.
-func (h *health) bad(now time.Time, hard bool) bool {
-	h.rate = h.rate*(1-failureWeight) + failureWeight
-	if !hard && h.rate < suspectRate {
+// recordFailure records a failure and reports whether the runner becomes suspect. A hard failure
+// (no connection) is enough on its own.
+func (h *health) recordFailure(now time.Time, hard bool) bool {
+	h.failureRate = h.failureRate*(1-failureWeight) + failureWeight
+	if !hard && h.failureRate < suspectFailureRate {
 		return false
 	}
 	if h.suspect(now) {
 		return false
 	}
-	h.until = now.Add(min(suspectFirst<<h.strikes, suspectMost))
-	h.strikes = min(h.strikes+1, 4)
+	h.suspectUntil = now.Add(min(initialSuspicion<<h.suspicions, maxSuspicion))
+	h.suspicions = min(h.suspicions+1, 4)
 	return true
 }
 
-// RecordSuccess notes that a runner served a request, and reports whether that ends the
-// suspicion against it.
+// RecordSuccess records that a runner served a request, and reports whether this ends its
+// suspicion.
 func (b *Board) RecordSuccess(runner string, now time.Time) bool {
 	var ended bool
-	b.with(runner, func(e *entry) {
-		ended = e.health.good(now)
+	b.withEntry(runner, func(e *entry) {
+		ended = e.health.recordSuccess(now)
 		e.refusals = refusals{}
 	})
 	return ended
 }
 
-// RecordFailure notes that a runner failed a request, and reports whether it is suspect
-// since then. Hard failures are those to connect at all.
+// RecordFailure records that a runner failed a request, and reports whether this makes it
+// suspect. A failure is hard if no connection could be made.
 func (b *Board) RecordFailure(runner string, hard bool, now time.Time) bool {
-	var turned bool
-	b.with(runner, func(e *entry) { turned = e.health.bad(now, hard) })
-	return turned
+	var suspected bool
+	b.withEntry(runner, func(e *entry) { suspected = e.health.recordFailure(now, hard) })
+	return suspected
 }
 
-// Suspects gives the runners that this host avoids, and for how much longer.
+// Suspects returns the runners that this host avoids and for how much longer.
 func (b *Board) Suspects(now time.Time) map[string]time.Duration {
 	suspects := map[string]time.Duration{}
 	for i := range b.shards {
@@ -84,9 +85,9 @@
 		for runner, e := range s.entries {
 			switch {
 			case e.health.suspect(now):
-				suspects[runner] = e.health.until.Sub(now)
+				suspects[runner] = e.health.suspectUntil.Sub(now)
 			case e.silent(now):
-				suspects[runner] = suspectFirst
+				suspects[runner] = initialSuspicion
 			}
 		}
 		s.mu.Unlock()
@@ -94,16 +95,16 @@
 	return suspects
 }
 
-// MergePeerSuspicion takes over a peer's suspicion of a runner, unless the runner
-// has just served this host.
-func (b *Board) MergePeerSuspicion(runner string, left time.Duration, now time.Time) {
-	b.with(runner, func(e *entry) {
-		if now.Sub(e.health.goodAt) < recentSuccess {
+// MergePeerSuspicion adopts a peer's suspicion of a runner unless the runner served this host
+// within recentSuccess.
+func (b *Board) MergePeerSuspicion(runner string, remaining time.Duration, now time.Time) {
+	b.withEntry(runner, func(e *entry) {
+		if now.Sub(e.health.lastSuccess) < recentSuccess {
 			return
 		}
-		until := now.Add(min(left, suspectFirst))
-		if until.After(e.health.until) {
-			e.health.until = until
+		until := now.Add(min(remaining, initialSuspicion))
+		if until.After(e.health.suspectUntil) {
+			e.health.suspectUntil = until
 		}
 	})
 }
--- a/internal/board/refusals.go
+++ b/internal/board/refusals.go
@@ -3,41 +3,41 @@
 import "time"
 
 const (
-	// refusalsInRow is how many requests a runner turns away, with none between that it
-	// takes, until it counts as one that takes none. A full one takes the next as soon as
-	// another ends.
-	refusalsInRow = 3
-	// refusingFirst and refusingMost bound for how long such a runner is left alone before
-	// it is tried again.
-	refusingFirst = 100 * time.Millisecond
-	refusingMost  = time.Second
+	// refusalThreshold is the number of consecutive refusals after which a runner counts as
+	// refusing everything. A runner that is merely full accepts a request as soon as another
+	// ends.
+	refusalThreshold = 3
+	// initialRefusalPause and maxRefusalPause bound how long such a runner is skipped before it
+	// is tried again.
+	initialRefusalPause = 100 * time.Millisecond
+	maxRefusalPause     = time.Second
 )
 
-// refusals are the requests that a runner turned away in a row.
+// refusals tracks a runner's consecutive refusals.
 //
-// A runner that turns all away at once has nothing under way. Taken for the idlest of all,
-// it would get every request first: callers wait for the tries, and the retry budget is
-// spent on it.
+// A runner that refuses immediately has nothing in flight. If it were ranked as the least
+// loaded, it would be offered every request first, which delays callers and uses up the retry
+// budget.
 type refusals struct {
-	inRow int
-	until time.Time
+	consecutive int
+	pausedUntil time.Time
 }
 
-// hold says whether the runner is to be left alone.
-func (r *refusals) hold(now time.Time) bool { return now.Before(r.until) }
+// paused reports whether the runner is to be skipped.
+func (r *refusals) paused(now time.Time) bool { return now.Before(r.pausedUntil) }
 
-func (r *refusals) note(now time.Time) {
-	if r.hold(now) {
-		// Sent before it was known.
+func (r *refusals) record(now time.Time) {
+	if r.paused(now) {
+		// Sent before the pause began.
 		return
 	}
-	r.inRow++
-	if beyond := r.inRow - refusalsInRow; beyond >= 0 {
-		r.until = now.Add(min(refusingFirst<<min(beyond, 4), refusingMost))
+	r.consecutive++
+	if excess := r.consecutive - refusalThreshold; excess >= 0 {
+		r.pausedUntil = now.Add(min(initialRefusalPause<<min(excess, 4), maxRefusalPause))
 	}
 }
 
-// RecordRefusal notes that a runner turned a request away, as busy as it looked.
+// RecordRefusal records that a runner refused a request for lack of capacity.
 func (b *Board) RecordRefusal(runner string, now time.Time) {
-	b.with(runner, func(e *entry) { e.refusals.note(now) })
+	b.withEntry(runner, func(e *entry) { e.refusals.record(now) })
 }
--- a/internal/board/signal.go
+++ b/internal/board/signal.go
@@ -6,146 +6,148 @@
 	"time"
 )
 
-// Signal is what one answer of a runner says of the requests that it can take.
+// Signal is the backpressure information in one response of a runner.
 type Signal struct {
-	// Limited says that the runner names a Rate: the requests a second that it takes from
-	// all hosts together, for as long as its answers say so.
+	// Limited reports that the response carries a rate limit. Rate is the number of requests per
+	// second that the runner accepts from all hosts together, for as long as its responses
+	// repeat it.
 	Limited bool
 	Rate    float64
-	// Leaving says that the runner is about to end its work.
+	// Leaving reports that the runner is about to shut down.
 	Leaving bool
-	// Backoff is for how long the runner wants no request from the host that it turned away,
-	// 0 where it did not say.
+	// Backoff is how long the runner wants no requests from the host that it refused, 0 if
+	// unspecified.
 	Backoff time.Duration
-	// Malformed is what the runner said and is not understood.
+	// Malformed describes a header that could not be parsed, empty if there was none.
 	Malformed string
 }
 
-// limit is what is known of a runner's limit. The zero value is that of a runner that never
-// named one.
-type limit struct {
+// rateLimit is the known state of a runner's rate limit. The zero value is that of a runner that
+// never announced one.
+type rateLimit struct {
 	limited bool
 	rate    float64
-	// saidAt is when the answer came that said so, to this host or to a peer.
-	saidAt time.Time
-	// refusedUntil is until when the host that counts for all has nothing for this one.
-	refusedUntil time.Time
+	// reportedAt is when this host or a peer received the response that set the state.
+	reportedAt time.Time
+	// blockedUntil is when the counting host may grant this host a request again.
+	blockedUntil time.Time
 }
 
-// SignalChange is what an answer changed in what is known of its runner.
+// SignalChange describes how a response changed the known state of its runner.
 type SignalChange struct {
 	LimitChange
-	// BackoffStarted says that the runner asks for rest, and did not rest before.
+	// BackoffStarted reports that the runner requests a backoff and had none in effect.
 	BackoffStarted bool
-	// MalformedStarted says that the runner says something that is not understood, and did not before.
+	// MalformedStarted reports a malformed signal that differs from that of the previous
+	// response.
 	MalformedStarted bool
 }
 
-// LimitChange is a change of a runner's limit.
+// LimitChange describes a change of a runner's rate limit.
 type LimitChange struct {
 	Changed bool
-	// Before and After are in requests a second, 0 where there is no limit.
+	// Before and After are in requests per second, 0 without a limit.
 	Before, After float64
 }
 
-// RecordSignal notes what an answer to a request that was sent at a time says.
+// RecordSignal applies the signal of a response to a request that was sent at the given time.
 func (b *Board) RecordSignal(runner string, signal Signal, sent, now time.Time) SignalChange {
 	var change SignalChange
-	b.with(runner, func(e *entry) {
+	b.withEntry(runner, func(e *entry) {
 		if signal.Malformed == "" {
-			change.LimitChange = e.limit.hear(signal, sent, now)
+			change.LimitChange = e.limit.applySignal(signal, sent, now)
 		}
-		change.BackoffStarted = e.rest(signal.Backoff, now)
-		change.MalformedStarted = signal.Malformed != "" && signal.Malformed != e.unread
-		e.unread = signal.Malformed
+		change.BackoffStarted = e.startBackoff(signal.Backoff, now)
+		change.MalformedStarted = signal.Malformed != "" && signal.Malformed != e.malformed
+		e.malformed = signal.Malformed
 	})
 	return change
 }
 
-// rest notes that the runner wants nothing from this host for a time, and says whether it
-// did not rest before. What it asked for earlier and lasts longer still holds.
-func (e *entry) rest(length time.Duration, now time.Time) bool {
-	until := now.Add(length)
-	if length <= 0 || !until.After(e.restUntil) {
+// startBackoff extends the backoff to at least duration from now, and reports whether none was
+// in effect before. A longer backoff that was requested earlier stays in effect.
+func (e *entry) startBackoff(duration time.Duration, now time.Time) bool {
+	until := now.Add(duration)
+	if duration <= 0 || !until.After(e.backoffUntil) {
 		return false
 	}
-	began := !now.Before(e.restUntil)
-	e.restUntil = until
+	began := !now.Before(e.backoffUntil)
+	e.backoffUntil = until
 	return began
 }
 
-// hear takes an answer's word. Without a limit it ends one only if its request was sent
-// after the last word of it: answers overtake each other, and an old one would lift what
-// the runner still wants.
-func (l *limit) hear(signal Signal, sent, now time.Time) LimitChange {
+// applySignal updates the limit from a response. A response without a limit lifts it only if its
+// request was sent after the last report: responses are reordered, and a stale one would lift a
+// limit that is still in force.
+func (l *rateLimit) applySignal(signal Signal, sent, now time.Time) LimitChange {
 	before := *l
 	switch {
 	case signal.Limited:
-		l.limited, l.rate, l.saidAt = true, signal.Rate, now
-	case l.limited && sent.After(l.saidAt):
-		*l = limit{saidAt: now}
+		l.limited, l.rate, l.reportedAt = true, signal.Rate, now
+	case l.limited && sent.After(l.reportedAt):
+		*l = rateLimit{reportedAt: now}
 	}
-	return l.change(before)
+	return l.changeFrom(before)
 }
 
-func (l *limit) change(before limit) LimitChange {
+func (l *rateLimit) changeFrom(before rateLimit) LimitChange {
 	if before.limited == l.limited && before.rate == l.rate {
 		return LimitChange{}
 	}
 	return LimitChange{Changed: true, Before: before.rate, After: l.rate}
 }
 
-// LimitReport is what hosts tell each other of a runner's limit.
+// LimitReport is the state of a runner's rate limit as hosts exchange it.
 type LimitReport struct {
 	Runner string `json:"runner"`
-	// Limited is false where the runner has lifted its limit.
+	// Limited is false if the runner has lifted its limit.
 	Limited bool    `json:"limited,omitempty"`
 	Rate    float64 `json:"rate,omitempty"`
-	// AgeMS is how long ago the runner said so.
+	// AgeMS is the time since the runner reported the state.
 	AgeMS int64 `json:"age_ms"`
 }
 
 const (
-	// liftedLife is how long others are told that a limit was lifted: for longer than it
-	// takes to reach all hosts.
-	liftedLife = 10 * time.Second
-	// mostLimits bounds what one heartbeat tells, 2 KB. Hosts that hear others tell on, so
-	// the newest words of each reach all.
-	mostLimits = 32
-	// newerBy is how much newer a peer's word must be to replace what is known. The way of
-	// a heartbeat makes each word look that much newer than it is, and two hosts that tell
-	// each other would keep an old one young.
-	newerBy = 50 * time.Millisecond
+	// liftedLimitTTL is how long peers are told that a limit was lifted; it exceeds the time
+	// that a report takes to reach all hosts.
+	liftedLimitTTL = 10 * time.Second
+	// maxLimitReports bounds the reports in one heartbeat, to 2 KB. Hosts forward what they
+	// receive, so the latest report on each runner reaches all.
+	maxLimitReports = 32
+	// minAgeGain is how much newer a peer's report must be to replace the known state. Transit
+	// time makes a report look newer by that much, and two hosts could otherwise keep refreshing
+	// a stale one between them.
+	minAgeGain = 50 * time.Millisecond
 )
 
-// LimitReports gives what to tell a peer, the newest words first.
+// LimitReports returns the reports to send to a peer, newest first.
 func (b *Board) LimitReports(now time.Time) []LimitReport {
-	var limits []LimitReport
+	var reports []LimitReport
 	for i := range b.shards {
-		limits = b.shards[i].limits(limits, now)
+		reports = b.shards[i].appendLimitReports(reports, now)
 	}
-	slices.SortFunc(limits, func(x, y LimitReport) int {
+	slices.SortFunc(reports, func(x, y LimitReport) int {
 		return cmp.Or(cmp.Compare(x.AgeMS, y.AgeMS), cmp.Compare(x.Runner, y.Runner))
 	})
-	return limits[:min(len(limits), mostLimits)]
+	return reports[:min(len(reports), maxLimitReports)]
 }
 
-func (s *shard) limits(limits []LimitReport, now time.Time) []LimitReport {
+func (s *shard) appendLimitReports(reports []LimitReport, now time.Time) []LimitReport {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for runner, e := range s.entries {
-		if e.limit.limited || now.Sub(e.limit.saidAt) < liftedLife {
-			limits = append(limits, e.limit.told(runner, now))
+		if e.limit.limited || now.Sub(e.limit.reportedAt) < liftedLimitTTL {
+			reports = append(reports, e.limit.report(runner, now))
 		}
 	}
-	return limits
+	return reports
 }
 
-func (l *limit) told(runner string, now time.Time) LimitReport {
-	return LimitReport{Runner: runner, Limited: l.limited, Rate: l.rate, AgeMS: now.Sub(l.saidAt).Milliseconds()}
+func (l *rateLimit) report(runner string, now time.Time) LimitReport {
+	return LimitReport{Runner: runner, Limited: l.limited, Rate: l.rate, AgeMS: now.Sub(l.reportedAt).Milliseconds()}
 }
 
-// LimitedCount gives the number of runners that name a limit.
+// LimitedCount returns the number of runners with a rate limit.
 func (b *Board) LimitedCount() int {
 	count := 0
 	for i := range b.shards {
@@ -160,43 +162,44 @@
 	return count
 }
 
-// LimitReportFor gives what to tell a peer of one runner.
+// LimitReportFor returns the report on one runner.
 func (b *Board) LimitReportFor(runner string, now time.Time) LimitReport {
-	var told LimitReport
-	b.with(runner, func(e *entry) { told = e.limit.told(runner, now) })
-	return told
+	var report LimitReport
+	b.withEntry(runner, func(e *entry) { report = e.limit.report(runner, now) })
+	return report
 }
 
-// MergePeerLimit takes over what a peer tells of a runner's limit, if it is newer.
-func (b *Board) MergePeerLimit(told LimitReport, now time.Time) LimitChange {
+// MergePeerLimit applies a peer's report if it is newer than the known state.
+func (b *Board) MergePeerLimit(report LimitReport, now time.Time) LimitChange {
 	var change LimitChange
-	b.with(told.Runner, func(e *entry) { change = e.limit.hearPeer(told, now) })
+	b.withEntry(report.Runner, func(e *entry) { change = e.limit.mergeReport(report, now) })
 	return change
 }
 
-func (l *limit) hearPeer(told LimitReport, now time.Time) LimitChange {
-	saidAt := now.Add(-time.Duration(told.AgeMS) * time.Millisecond)
-	if !saidAt.After(l.saidAt.Add(newerBy)) {
+func (l *rateLimit) mergeReport(report LimitReport, now time.Time) LimitChange {
+	reportedAt := now.Add(-time.Duration(report.AgeMS) * time.Millisecond)
+	if !reportedAt.After(l.reportedAt.Add(minAgeGain)) {
 		return LimitChange{}
 	}
 	before := *l
-	l.limited, l.rate, l.saidAt = told.Limited, told.Rate, saidAt
+	l.limited, l.rate, l.reportedAt = report.Limited, report.Rate, reportedAt
 	if !l.limited {
-		l.refusedUntil = time.Time{}
+		l.blockedUntil = time.Time{}
 	}
-	return l.change(before)
+	return l.changeFrom(before)
 }
 
-// BlockUntil notes until when this host gets nothing of a runner's limit.
+// BlockUntil records that this host is granted nothing of the runner's limit until the given
+// time.
 func (b *Board) BlockUntil(runner string, until time.Time) {
-	b.with(runner, func(e *entry) { e.limit.refusedUntil = until })
+	b.withEntry(runner, func(e *entry) { e.limit.blockedUntil = until })
 }
 
-// barred gives for how long no request may be sent to the runner.
-func (e *entry) barred(now time.Time) time.Duration {
-	left := e.restUntil.Sub(now)
+// blockedFor returns how long no request may be sent to the runner.
+func (e *entry) blockedFor(now time.Time) time.Duration {
+	remaining := e.backoffUntil.Sub(now)
 	if e.limit.limited {
-		left = max(left, e.limit.refusedUntil.Sub(now))
+		remaining = max(remaining, e.limit.blockedUntil.Sub(now))
 	}
-	return max(0, left)
+	return max(0, remaining)
 }
