--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -89,7 +89,7 @@
 	err = o.pool.Call(asking, address, methodAdmit, AdmitParams{
 		Runner: runner.ID, Model: ask.Key.Model, Adapter: ask.Key.Name, Version: ask.Key.Version, Tokens: ask.PromptTokens, Output: ask.MaxOutputTokens, Likely: ask.ExpectedOutputTokens,
 		PatienceMS: ask.PromptWait.Milliseconds(), WithinMS: ask.MaxWait.Milliseconds(), TargetMS: ask.LatencyBudget.Milliseconds(),
-		Running: o.board.Running(runner.ID), Last: ask.LastResort, Home: ask.Home, Anew: ask.Retry, Waited: ask.Waited, Barred: ask.Barred,
+		Running: o.board.OwnRequestsOn(runner.ID), Last: ask.LastResort, Home: ask.Home, Anew: ask.Retry, Waited: ask.Waited, Barred: ask.Barred,
 	}, &result)
 	if err != nil {
 		return adapters.AdmissionResult{}, o.failed(host, err)
--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -26,10 +26,10 @@
 		}
 		l.runner = runners[step.Rank]
 		view := l.s.Board.View(l.runner.ID, l.s.Now())
-		if view.Barred > 0 {
-			l.passOver(l.runner.ID, view.Barred)
+		if view.BlockedFor > 0 {
+			l.passOver(l.runner.ID, view.BlockedFor)
 		}
-		barred := view.Barred > 0 || !last && view.Refusing
+		barred := view.BlockedFor > 0 || !last && view.Refusing
 		if barred && (last || !step.Home) {
 			continue
 		}
@@ -190,7 +190,7 @@
 		if l.superseded() {
 			return errSuperseded
 		}
-		if _, held := l.s.Quarantine.Held(l.content, l.s.Now()); held {
+		if _, held := l.s.Quarantine.BlockedFor(l.content, l.s.Now()); held {
 			return errKept
 		}
 		left := end.Sub(l.s.Now())
