--- a/internal/entry/counting.go
+++ b/internal/entry/counting.go
@@ -27,7 +27,7 @@
 
 // right gives this host's right to count a part, if it has it.
 func (c *counting) right(key string, part int, now time.Time) (quota.Right, error) {
-	right, ok := c.mesh.RightTo(c.keyOf(key, part), now)
+	right, ok := c.mesh.Leads(c.keyOf(key, part), now)
 	if !ok {
 		return quota.Right{}, errNotCounted
 	}
@@ -36,13 +36,13 @@
 
 // first gives the host that counts a part, and where it can be reached.
 func (c *counting) first(key string, part int) (host, address string) {
-	return c.mesh.FirstFor(c.keyOf(key, part))
+	return c.mesh.LeaderFor(c.keyOf(key, part))
 }
 
 // keep follows the hosts that joined or left: a part that another host counted in the
 // meantime is counted anew.
 func (c *counting) keep() {
-	recomposed := c.mesh.Recomposed()
+	recomposed := c.mesh.MembershipChangedAt()
 	if recomposed.Equal(c.keptAt) {
 		return
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -120,7 +120,7 @@
 	e.directory.OnRunner = func(runner *site.Runner, gone bool) { e.runnerChanged(runner, gone) }
 	e.directory.OnVersion = func(version site.AdapterVersion) { go e.loadAhead(version) }
 	e.board = board.New()
-	e.state = mesh.NewState(cfg.Host, mesh.Timing{Lease: mesh.UsualLease, OrderGap: cfg.OrderGap, Margin: mesh.UsualMargin}, now())
+	e.state = mesh.NewState(cfg.Host, mesh.Timing{Lease: mesh.DefaultLease, OrderGap: cfg.OrderGap, Margin: mesh.DefaultMargin}, now())
 	e.owners = newOwners(cfg.Host, e.state, pool, e.board, now, log)
 	e.pressure = newPressure(cfg.Host, e.state, pool, e.board, e.directory, now, log)
 	e.suspects = newSuspects(cfg.Host, e.state, pool, platform.Store, e.board, now, log)
@@ -143,9 +143,9 @@
 			platform.RunnerKind:  e.directory.Runners,
 			platform.VersionKind: e.directory.Versions,
 		},
-		Pool: pool, Statuses: told, Runners: e.engines, Other: e.suspects.recorded, Now: now, Log: log,
+		Pool: pool, Statuses: told, Runners: e.engines, OtherChanges: e.suspects.recorded, Now: now, Log: log,
 	})
-	e.suspects.spread, e.suspects.records = e.mesh.Spread, e.mesh.Fleet()
+	e.suspects.spread, e.suspects.records = e.mesh.HeartbeatNow, e.mesh.Fleet()
 	e.follow(platform)
 	mux := peer.NewMux()
 	e.mesh.Register(mux)
@@ -195,8 +195,8 @@
 	follower := func(kind string, sink registry.Sink, rhythm rhythm) *registry.Follower {
 		return &registry.Follower{
 			Store: platform.Store, Kind: kind, Sink: sink, Wait: rhythm.wait, Pace: rhythm.pace, Now: e.now, Log: e.log,
-			Due:       func() time.Duration { return e.mesh.Due(kind, rhythm.stale) },
-			Patience:  func() time.Duration { return e.mesh.Patience(kind) },
+			Due:       func() time.Duration { return e.mesh.WatchDelay(kind, rhythm.stale) },
+			Patience:  func() time.Duration { return e.mesh.MaxRetryPause(kind) },
 			Confirmed: func(asOf time.Time) { e.mesh.Confirmed(kind, asOf) },
 		}
 	}
@@ -206,7 +206,7 @@
 	for kind, later := range map[string]*registry.Follower{platform.RunnerKind: runners, platform.VersionKind: versions} {
 		// A runner or a version that a host learns of a moment late costs a request one
 		// more try; a configuration or a host that it learns of late may cost more.
-		later.Copied = func() { e.mesh.Copied(kind) }
+		later.Copied = func() { e.mesh.ListedStale(kind) }
 	}
 	fleet := follower(mesh.Kind, e.mesh.Fleet(), fleetRhythm)
 	for _, later := range []*registry.Follower{runners, versions, fleet} {
@@ -407,7 +407,7 @@
 	vars.Set("quota_parts_counted", expvar.Func(func() any { return e.quotas.counting.counter.Size() }))
 	vars.Set("runners_limited", expvar.Func(func() any { return e.board.Limited() }))
 	vars.Set("config_version", expvar.Func(func() any { return e.configVersion() }))
-	vars.Set("knowledge", expvar.Func(func() any { return e.mesh.Knowledge() }))
+	vars.Set("knowledge", expvar.Func(func() any { return e.mesh.ReplicationStatus() }))
 	vars.Set("hosts_in_force", expvar.Func(func() any { return e.state.Size() }))
 	vars.Set("adapters_in_transit", expvar.Func(func() any { transit, _ := e.owner.Transit(); return transit }))
 	return vars
--- a/internal/entry/owners_test.go
+++ b/internal/entry/owners_test.go
@@ -73,7 +73,7 @@
 			return network.Host("a").Dial(ctx, proto, address)
 		}
 		pool := peer.NewPool(peer.Identity{Host: "a", Incarnation: "1"}, key, dial, hclog.NewNullLogger())
-		state := mesh.NewState("a", mesh.Timing{Lease: mesh.UsualLease, OrderGap: 3 * time.Second, Margin: mesh.UsualMargin}, time.Now())
+		state := mesh.NewState("a", mesh.Timing{Lease: mesh.DefaultLease, OrderGap: 3 * time.Second, Margin: mesh.DefaultMargin}, time.Now())
 		state.Apply([]registry.Change{
 			recordOf(t, "host.b", mesh.HostRecord{Address: "b:1", Epoch: 1}),
 			recordOf(t, "runner.r-80", mesh.OwnerRecord{Host: "b", Epoch: 1}),
--- a/internal/entry/rhythm_test.go
+++ b/internal/entry/rhythm_test.go
@@ -56,7 +56,7 @@
 			} {
 				terms := map[string]time.Duration{
 					"knowledge too old":  change.rhythm.stale,
-					"the last turn":      mesh.LongestWait(d.hosts),
+					"the last turn":      mesh.MaxFallbackDelay(d.hosts),
 					"the store's answer": storeAnswer,
 					"the host's link":    time.Duration(change.bytes * 8 / d.mbps * float64(time.Microsecond)),
 					"reading":            time.Duration(change.bytes * float64(readingPerByte) / d.core),
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -40,7 +40,7 @@
 // statusLife is how long what a peer told holds.
 const statusLife = 2 * time.Second
 
-// statuses implements mesh.Statuses.
+// statuses implements mesh.StatusExchange.
 type statuses struct {
 	board     *board.Board
 	owner     *adapters.Owner
@@ -64,7 +64,7 @@
 	at time.Time
 }
 
-// Status implements mesh.Statuses.
+// Status implements mesh.StatusExchange.
 func (s *statuses) Status() any {
 	told := status{Running: map[string]int{}, SuspectMS: map[string]int64{}}
 	snapshot := s.directory.Snapshot()
@@ -87,8 +87,8 @@
 	return told
 }
 
-// StatusFrom implements mesh.Statuses.
-func (s *statuses) StatusFrom(host string, raw json.RawMessage) {
+// ReceiveStatus implements mesh.StatusExchange.
+func (s *statuses) ReceiveStatus(host string, raw json.RawMessage) {
 	var told status
 	if err := json.Unmarshal(raw, &told); err != nil {
 		s.log.Warn("peer's status not understood", "peer", host, "error", err.Error())
--- a/internal/entry/status_test.go
+++ b/internal/entry/status_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	raw, err := json.Marshal(told)
 	must.NoError(t, err)
-	s.StatusFrom(host, raw)
+	s.ReceiveStatus(host, raw)
 }
 
 // A third of the runners is slow, and a host hears of a few. What it takes for usual is
@@ -59,7 +59,7 @@
 	now := time.Unix(1000, 0)
 	s := newStatuses(&now)
 	s.hear(t, "a", status{Transit: 3, Runners: 2, Load: 6, Slots: 24})
-	s.StatusFrom("a", json.RawMessage(`{"transit":"many"}`))
+	s.ReceiveStatus("a", json.RawMessage(`{"transit":"many"}`))
 	transit, runners := s.crowd()
 	must.Eq(t, 3, transit)
 	must.Eq(t, 2, runners)
--- a/internal/entry/suspects_test.go
+++ b/internal/entry/suspects_test.go
@@ -84,7 +84,7 @@
 		store := &recordStore{records: map[string]registry.Record{}}
 		hosts := map[string]*suspectHost{}
 		for _, name := range names {
-			state := mesh.NewState(name, mesh.Timing{Lease: mesh.UsualLease, OrderGap: time.Second, Margin: mesh.UsualMargin}, time.Now())
+			state := mesh.NewState(name, mesh.Timing{Lease: mesh.DefaultLease, OrderGap: time.Second, Margin: mesh.DefaultMargin}, time.Now())
 			for i, other := range names {
 				spec, err := json.Marshal(mesh.HostRecord{Address: other + ":1", Epoch: 1})
 				must.NoError(t, err)
--- a/internal/mesh/beats.go
+++ b/internal/mesh/beats.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Spread sends heartbeats at once, since something changed that others should
+// HeartbeatNow sends heartbeats at once, since something changed that others should
 // know.
-func (s *Service) Spread() {
+func (s *Service) HeartbeatNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, b := range s.beating {
@@ -171,7 +171,7 @@
 		go s.pursue(kind)
 	}
 	if len(status) > 0 {
-		s.Statuses.StatusFrom(host, status)
+		s.Statuses.ReceiveStatus(host, status)
 	}
 }
 
@@ -179,19 +179,19 @@
 // word.
 func (s *Service) Confirmed(kind string, asOf time.Time) { s.spread.confirmed(kind, asOf) }
 
-// Copied notes that a kind's replica was listed from a copy of the store.
-func (s *Service) Copied(kind string) { s.spread.copied(kind) }
+// ListedStale notes that a kind's replica was listed from a copy of the store.
+func (s *Service) ListedStale(kind string) { s.spread.copied(kind) }
 
 // Age gives how old what is known of a kind of record may be.
 func (s *Service) Age(kind string) time.Duration { return s.spread.age(kind) }
 
-// Due gives how long this host may leave a kind of record to the hosts that
+// WatchDelay gives how long this host may leave a kind of record to the hosts that
 // watch it: not at all if it is one of them, and else until what it knows
 // is older than a limit, or until it has known for a while that there is more.
 //
 // The limit and the longest turn bound, for every host and whatever others tell or fail to
 // tell it, how old what it goes by may be before it asks the store itself.
-func (s *Service) Due(kind string, limit time.Duration) time.Duration {
+func (s *Service) WatchDelay(kind string, limit time.Duration) time.Duration {
 	turn := s.State.Turn(kind)
 	if turn == 0 {
 		return 0
--- a/internal/mesh/breaktry_test.go
+++ b/internal/mesh/breaktry_test.go
@@ -111,8 +111,8 @@
 
 type noStatus struct{}
 
-func (noStatus) Status() any                        { return struct{}{} }
-func (noStatus) StatusFrom(string, json.RawMessage) {}
+func (noStatus) Status() any                           { return struct{}{} }
+func (noStatus) ReceiveStatus(string, json.RawMessage) {}
 
 // All hosts of a fleet but one fall silent for good. The one that is left is a witness
 // of five of them, and too few of their other witnesses answer to end their leases.
--- a/internal/mesh/counting.go
+++ b/internal/mesh/counting.go
@@ -15,9 +15,9 @@
 	maxFirsts = 1 << 14
 )
 
-// FirstFor gives the host that comes first for a key, empty where none is known, and
+// LeaderFor gives the host that comes first for a key, empty where none is known, and
 // where it can be reached.
-func (s *State) FirstFor(key string) (host, address string) {
+func (s *State) LeaderFor(key string) (host, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	host = s.inForce().firstFor(key)
@@ -36,35 +36,35 @@
 	return first
 }
 
-// Right is the right of one host to do alone what a key names.
-type Right struct {
+// Leadership is the right of one host to do alone what a key names.
+type Leadership struct {
 	// Since is when at least no other host had it any more.
 	Since time.Time
 	// Epoch is that of the lease that it rests on.
 	Epoch int64
 }
 
-// RightTo says whether this host alone may do what a key names: it comes first for the
+// Leads says whether this host alone may do what a key names: it comes first for the
 // key, and its lease is not over.
 //
 // A host that is suspended or cut off would otherwise go on beside its successor, and what
 // each grants would add up. It suffices because the lease of a host is broken, and another
 // one comes first, only after the host's own lease has been over for the order gap.
-func (s *State) RightTo(key string, now time.Time) (Right, bool) {
+func (s *State) Leads(key string, now time.Time) (Leadership, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.epoch == 0 || s.inForce().firstFor(key) != s.self || !now.Add(s.timing.Margin).Before(s.validUntil()) {
-		return Right{}, false
+		return Leadership{}, false
 	}
 	since := s.started
 	if settled := s.recomposed.Add(recomposeSettle); !s.recomposed.IsZero() && settled.After(since) {
 		since = settled
 	}
-	return Right{Since: since, Epoch: s.epoch}, true
+	return Leadership{Since: since, Epoch: s.epoch}, true
 }
 
-// Recomposed gives when hosts last joined or left, zero where this host has seen no change.
-func (s *State) Recomposed() time.Time {
+// MembershipChangedAt gives when hosts last joined or left, zero where this host has seen no change.
+func (s *State) MembershipChangedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.recomposed
--- a/internal/mesh/counting_test.go
+++ b/internal/mesh/counting_test.go
@@ -13,7 +13,7 @@
 	t.Helper()
 	for i := range 1000 {
 		key := "quota.w." + string(rune('0'+i%10)) + string(rune('a'+i/10%26))
-		if first, _ := hosts["a"].FirstFor(key); first == host {
+		if first, _ := hosts["a"].LeaderFor(key); first == host {
 			return key
 		}
 	}
@@ -31,7 +31,7 @@
 	for passed := 10 * time.Millisecond; passed < 20*time.Second; passed += 10 * time.Millisecond {
 		now := epoch.Add(passed)
 		beatAll(hosts, now, "a")
-		if _, ok := hosts["a"].RightTo(key, now); ok {
+		if _, ok := hosts["a"].Leads(key, now); ok {
 			lastRight = passed
 		}
 		if firstBreak == 0 && breaks(hosts, "b", now) {
@@ -49,7 +49,7 @@
 	for _, first := range []string{"a", "b", "c", "d", "e"} {
 		key := keyOf(t, hosts, first)
 		for name, host := range hosts {
-			_, ok := host.RightTo(key, epoch.Add(time.Millisecond))
+			_, ok := host.Leads(key, epoch.Add(time.Millisecond))
 			must.Eq(t, name == first, ok)
 		}
 	}
@@ -62,14 +62,14 @@
 	hosts := newHosts(t, "a", "b", "c")
 	key := keyOf(t, hosts, "a")
 	beatAll(hosts, epoch)
-	right, ok := hosts["a"].RightTo(key, epoch)
+	right, ok := hosts["a"].Leads(key, epoch)
 	must.True(t, ok)
 	must.Eq(t, epoch, right.Since)
 
 	later := epoch.Add(time.Second)
 	hosts["a"].Apply([]registry.Change{change(t, hostName("c"), HostRecord{Address: "c:1", Epoch: 1, Broken: true}, 100)}, later)
 	beatAll(hosts, later)
-	right, ok = hosts["a"].RightTo(key, later)
+	right, ok = hosts["a"].Leads(key, later)
 	must.True(t, ok)
 	must.Eq(t, later.Add(recomposeSettle), right.Since)
 }
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -56,7 +56,7 @@
 	}
 	s.tellFetch(kind, address, before, s.Now().Sub(begun), err)
 	if before.Before(replica.Position()) {
-		s.Spread()
+		s.HeartbeatNow()
 	}
 }
 
--- a/internal/mesh/join.go
+++ b/internal/mesh/join.go
@@ -100,9 +100,9 @@
 	behindPatience = 400 * time.Millisecond
 )
 
-// Patience gives the longest pause after a failed call to the store for a kind of
+// MaxRetryPause gives the longest pause after a failed call to the store for a kind of
 // record.
-func (s *Service) Patience(kind string) time.Duration {
+func (s *Service) MaxRetryPause(kind string) time.Duration {
 	if s.State.Watcher(kind) || s.spread.silence() > heardLately {
 		return watcherPause
 	}
--- a/internal/mesh/join_test.go
+++ b/internal/mesh/join_test.go
@@ -24,7 +24,7 @@
 	}
 	services := make([]*Service, 0, size)
 	for _, name := range names {
-		state := NewState(name, Timing{Lease: UsualLease, OrderGap: 3 * time.Second, Margin: UsualMargin}, now())
+		state := NewState(name, Timing{Lease: DefaultLease, OrderGap: 3 * time.Second, Margin: DefaultMargin}, now())
 		s := NewService(Deps{
 			Self: peer.Identity{Host: name}, Address: name + ":1", State: state, Now: now, Log: hclog.NewNullLogger(),
 			Kinds: map[string]*registry.Replica{"k": registry.NewReplica()},
@@ -47,7 +47,7 @@
 func due(services []*Service, after time.Duration) int {
 	count := 0
 	for _, s := range services {
-		if !s.State.Watcher("k") && s.Due("k", time.Second) <= after {
+		if !s.State.Watcher("k") && s.WatchDelay("k", time.Second) <= after {
 			count++
 		}
 	}
@@ -79,7 +79,7 @@
 	services := fleetOf(88, func() time.Time { return now })
 	now = now.Add(heardLately + time.Millisecond)
 	must.Eq(t, 86, due(services, 0))
-	must.Eq(t, watcherPause, services[0].Patience("k"))
+	must.Eq(t, watcherPause, services[0].MaxRetryPause("k"))
 }
 
 // Others told a host of a change and do not give it to it, since they freeze or their links
@@ -92,13 +92,13 @@
 			s = other
 		}
 	}
-	must.Positive(t, s.Due("k", time.Second)-behindPatience)
+	must.Positive(t, s.WatchDelay("k", time.Second)-behindPatience)
 	s.spread.learn("other:1", map[string]Known{"k": {Version: registry.Version{Position: registry.Position{Revision: 7}, Digest: 7}}}, now)
-	must.Eq(t, behindPatience, s.Due("k", time.Second))
+	must.Eq(t, behindPatience, s.WatchDelay("k", time.Second))
 	now = now.Add(behindPatience)
-	must.Eq(t, 0, s.Due("k", time.Second))
+	must.Eq(t, 0, s.WatchDelay("k", time.Second))
 	s.Kinds["k"].Changed([]registry.Change{{Record: registry.Record{Name: "a", Revision: 7}}}, registry.Position{Revision: 7})
-	must.Positive(t, s.Due("k", time.Second))
+	must.Positive(t, s.WatchDelay("k", time.Second))
 }
 
 // The longest pause after a failure grows with the fleet, so that the calls of all
@@ -111,10 +111,10 @@
 	}{{7, 3 * time.Second}, {20, 3 * time.Second}, {88, 13200 * time.Millisecond}} {
 		for _, s := range fleetOf(test.hosts, func() time.Time { return now }) {
 			if s.State.Watcher("k") {
-				must.Eq(t, watcherPause, s.Patience("k"))
+				must.Eq(t, watcherPause, s.MaxRetryPause("k"))
 				continue
 			}
-			must.Eq(t, test.want, s.Patience("k"))
+			must.Eq(t, test.want, s.MaxRetryPause("k"))
 		}
 	}
 }
--- a/internal/mesh/membership.go
+++ b/internal/mesh/membership.go
@@ -79,8 +79,8 @@
 // of those that watch; the first one comes at once.
 func lastTurn(hosts int) int { return bits.Len(uint((hosts - 1) / watchers)) }
 
-// LongestWait gives for how long the last host of a fleet waits for its turn to ask the store.
-func LongestWait(hosts int) time.Duration { return waitForTurn(lastTurn(hosts)) }
+// MaxFallbackDelay gives for how long the last host of a fleet waits for its turn to ask the store.
+func MaxFallbackDelay(hosts int) time.Duration { return waitForTurn(lastTurn(hosts)) }
 
 func waitForTurn(turn int) time.Duration { return time.Duration(turn-1) * turnStep }
 
--- a/internal/mesh/service.go
+++ b/internal/mesh/service.go
@@ -43,12 +43,12 @@
 	methodKnown = "mesh.known"
 )
 
-// Statuses is what hosts tell each other in heartbeats.
-type Statuses interface {
+// StatusExchange is what hosts tell each other in heartbeats.
+type StatusExchange interface {
 	// Status gives what a peer should know.
 	Status() any
-	// StatusFrom takes over what a peer told.
-	StatusFrom(host string, status json.RawMessage)
+	// ReceiveStatus takes over what a peer told.
+	ReceiveStatus(host string, status json.RawMessage)
 }
 
 // Service does the I/O of the mesh.
@@ -89,14 +89,14 @@
 	// Kinds are the replicas that hosts pass on to each other.
 	Kinds    map[string]*registry.Replica
 	Pool     *peer.Pool
-	Statuses Statuses
+	Statuses StatusExchange
 	// Runners gives the runners that need an owner.
 	Runners func() []Runner
-	// Other takes changes of records that are neither a host's nor an owner's. They share
+	// OtherChanges takes changes of records that are neither a host's nor an owner's. They share
 	// the kind, so that no further watch is needed for what seldom changes.
-	Other func(changes []registry.Change)
-	Now   func() time.Time
-	Log   hclog.Logger
+	OtherChanges func(changes []registry.Change)
+	Now          func() time.Time
+	Log          hclog.Logger
 }
 
 // NewService makes a service.
@@ -114,8 +114,8 @@
 	s.fleet.OnChange = func(changes []registry.Change, _ bool) {
 		s.State.Apply(changes, s.Now())
 		s.forgetGone(changes)
-		if other := otherRecords(changes); len(other) > 0 && s.Other != nil {
-			s.Other(other)
+		if other := otherRecords(changes); len(other) > 0 && s.OtherChanges != nil {
+			s.OtherChanges(other)
 		}
 		s.wake()
 	}
@@ -131,28 +131,28 @@
 	}
 }
 
-// Knowledge tells, for the metrics, what the host knows of the store's records and how old
+// ReplicationStatus tells, for the metrics, what the host knows of the store's records and how old
 // that may be.
-type Knowledge struct {
-	Kinds         map[string]Freshness `json:"kinds"`
-	Fetches       int64                `json:"fetches"`
-	FetchesFailed int64                `json:"fetches_failed"`
+type ReplicationStatus struct {
+	Kinds         map[string]KindStatus `json:"kinds"`
+	Fetches       int64                 `json:"fetches"`
+	FetchesFailed int64                 `json:"fetches_failed"`
 }
 
-// Freshness is how old what is known of a kind of record may be, and for how long it has
+// KindStatus is how old what is known of a kind of record may be, and for how long it has
 // been known that there is more.
-type Freshness struct {
+type KindStatus struct {
 	registry.Position
 	AgeMS    int64 `json:"age_ms"`
 	BehindMS int64 `json:"behind_ms"`
 }
 
-// Knowledge gives what the host knows.
-func (s *Service) Knowledge() Knowledge {
-	told := Knowledge{Kinds: map[string]Freshness{}, Fetches: s.fetches.Load(), FetchesFailed: s.fetchesFailed.Load()}
+// ReplicationStatus gives what the host knows.
+func (s *Service) ReplicationStatus() ReplicationStatus {
+	told := ReplicationStatus{Kinds: map[string]KindStatus{}, Fetches: s.fetches.Load(), FetchesFailed: s.fetchesFailed.Load()}
 	for kind, known := range s.spread.known() {
 		behind, _ := s.spread.behind(kind)
-		told.Kinds[kind] = Freshness{Position: known.Position, AgeMS: known.AgeMS, BehindMS: behind.Milliseconds()}
+		told.Kinds[kind] = KindStatus{Position: known.Position, AgeMS: known.AgeMS, BehindMS: behind.Milliseconds()}
 	}
 	return told
 }
--- a/internal/mesh/state.go
+++ b/internal/mesh/state.go
@@ -32,8 +32,8 @@
 // Usual timing. A lease of 1.5 s survives four lost heartbeats of 300 ms, and
 // ends early enough that a takeover takes about 5 s with a gap of 3 s.
 const (
-	UsualLease  = 1500 * time.Millisecond
-	UsualMargin = 200 * time.Millisecond
+	DefaultLease  = 1500 * time.Millisecond
+	DefaultMargin = 200 * time.Millisecond
 )
 
 // silence is how long a host must have been silent before its lease is broken:
--- a/internal/mesh/state_test.go
+++ b/internal/mesh/state_test.go
@@ -14,7 +14,7 @@
 
 var (
 	epoch = time.Unix(1000, 0)
-	usual = Timing{Lease: UsualLease, OrderGap: 3 * time.Second, Margin: UsualMargin}
+	usual = Timing{Lease: DefaultLease, OrderGap: 3 * time.Second, Margin: DefaultMargin}
 )
 
 const runnerAddress = "10.0.0.9:80"
