--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -194,23 +194,23 @@
 func (e *Entry) follow(platform Platform) {
 	follower := func(kind string, sink registry.Sink, rhythm rhythm) *registry.Follower {
 		return &registry.Follower{
-			Store: platform.Store, Kind: kind, Sink: sink, Wait: rhythm.wait, Pace: rhythm.pace, Now: e.now, Log: e.log,
-			Due:       func() time.Duration { return e.mesh.WatchDelay(kind, rhythm.stale) },
-			Patience:  func() time.Duration { return e.mesh.MaxRetryPause(kind) },
-			Confirmed: func(asOf time.Time) { e.mesh.Confirmed(kind, asOf) },
+			Store: platform.Store, Kind: kind, Sink: sink, Wait: rhythm.wait, MinInterval: rhythm.pace, Now: e.now, Log: e.log,
+			WatchDelay:    func() time.Duration { return e.mesh.WatchDelay(kind, rhythm.stale) },
+			MaxRetryPause: func() time.Duration { return e.mesh.MaxRetryPause(kind) },
+			OnConfirmed:   func(asOf time.Time) { e.mesh.Confirmed(kind, asOf) },
 		}
 	}
 	runners := follower(platform.RunnerKind, e.directory.Runners, runnerRhythm)
-	runners.Outage = e.outageEnded
+	runners.OnOutageEnd = e.outageEnded
 	versions := follower(platform.VersionKind, e.directory.Versions, versionRhythm)
 	for kind, later := range map[string]*registry.Follower{platform.RunnerKind: runners, platform.VersionKind: versions} {
 		// A runner or a version that a host learns of a moment late costs a request one
 		// more try; a configuration or a host that it learns of late may cost more.
-		later.Copied = func() { e.mesh.ListedStale(kind) }
+		later.OnStaleList = func() { e.mesh.ListedStale(kind) }
 	}
 	fleet := follower(mesh.Kind, e.mesh.Fleet(), fleetRhythm)
 	for _, later := range []*registry.Follower{runners, versions, fleet} {
-		later.Hold = func() bool { return e.directory.Configs.Revision() == 0 }
+		later.DeferList = func() bool { return e.directory.Configs.Revision() == 0 }
 	}
 	e.followers = []*registry.Follower{follower(platform.ConfigKind, e.directory.Configs, configRhythm), runners, versions, fleet}
 }
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -348,7 +348,7 @@
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	era := s.records.Position().Era
-	if err := s.store.Delete(ctx, mesh.Kind, record.Name, record.Revision); err != nil && !registry.NotFound(err) {
+	if err := s.store.Delete(ctx, mesh.Kind, record.Name, record.Revision); err != nil && !registry.IsNotFound(err) {
 		s.log.Info("request's record not removed", "record", record.Name, "error", err.Error())
 		return
 	}
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	if snapshot.Since != before.Revision || !replica.MergeSince(snapshot, before) {
+	if snapshot.Since != before.Revision || !replica.MergeChanges(snapshot, before) {
 		return errIncomplete
 	}
 	return nil
@@ -114,7 +114,7 @@
 		return err
 	}
 	if before.Before(snapshot.Position) || snapshot.Parts != nil && snapshot.Position == before.Position {
-		replica.Merge(snapshot, before)
+		replica.MergeParts(snapshot, before)
 	}
 	return nil
 }
@@ -187,7 +187,7 @@
 	}
 	var snapshot registry.Snapshot
 	if params.Since == 0 {
-		snapshot = replica.Differing(params.Parts)
+		snapshot = replica.DifferingParts(params.Parts)
 	} else {
 		// Where the changes are not all known the asker hears so and asks for parts.
 		snapshot, _ = replica.ChangedSince(registry.Position{Era: params.Era, Revision: params.Since})
--- a/internal/mesh/service.go
+++ b/internal/mesh/service.go
@@ -345,7 +345,7 @@
 		}
 		s.storePause = 0
 		s.State.Registered(own.Epoch, own.Witnesses, sent)
-	case registry.Conflict(err):
+	case registry.IsConflict(err):
 		s.State.Doubt()
 		s.reread(ctx)
 	case errors.Is(err, objectapi.ErrAnswerLost):
@@ -373,7 +373,7 @@
 	sent := s.Now()
 	era := s.fleet.Position().Era
 	record, err := s.Store.Get(ctx, Kind, hostName(s.Self.Host))
-	if registry.NotFound(err) {
+	if registry.IsNotFound(err) {
 		s.State.Lost(s.Now())
 		s.fleet.Drop(hostName(s.Self.Host), era)
 		return
@@ -443,7 +443,7 @@
 
 // refresh reads a record again after a conflict; the watch may be behind.
 func (s *Service) refresh(ctx context.Context, name string, cause error) {
-	if !registry.Conflict(cause) && !errors.Is(cause, objectapi.ErrAnswerLost) {
+	if !registry.IsConflict(cause) && !errors.Is(cause, objectapi.ErrAnswerLost) {
 		return
 	}
 	era := s.fleet.Position().Era
@@ -451,7 +451,7 @@
 	switch {
 	case err == nil:
 		s.took(record)
-	case registry.NotFound(err):
+	case registry.IsNotFound(err):
 		s.fleet.Drop(name, era)
 	default:
 		s.Log.Debug("record not read", "record", name, "error", err.Error())
--- a/internal/mesh/spread.go
+++ b/internal/mesh/spread.go
@@ -223,7 +223,7 @@
 			continue
 		}
 		if own := k.replica.Position(); own.Era != known.Era || own.Revision == 0 {
-			k.replica.Adopt(known.Version)
+			k.replica.AdoptPosition(known.Version)
 		}
 	}
 }
--- a/internal/registry/era_test.go
+++ b/internal/registry/era_test.go
@@ -98,7 +98,7 @@
 		confirmed := 0
 		follower := &Follower{
 			Store: store, Kind: "k", Sink: replica, Wait: 10 * time.Millisecond, Now: time.Now, Log: hclog.NewNullLogger(),
-			Confirmed: func(time.Time) { confirmed++ },
+			OnConfirmed: func(time.Time) { confirmed++ },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
@@ -116,14 +116,14 @@
 	a, b := NewContentReplica(keep), NewContentReplica(keep)
 	a.Listed([]Record{spelled("main", 40, "1")}, in(2, 50))
 	b.Listed([]Record{spelled("main", 90, "1")}, in(1, 100))
-	must.True(t, b.Adopt(a.Version()))
+	must.True(t, b.AdoptPosition(a.Version()))
 	must.Eq(t, in(2, 50), b.Position())
 	b.Changed([]Change{{Record: spelled("main", 60, "2")}}, in(2, 60))
 	got, _ := b.Get("main")
 	must.Eq(t, "2", string(got.Spec))
 	other := NewContentReplica(keep)
 	other.Listed([]Record{spelled("main", 90, "3")}, in(1, 100))
-	must.False(t, other.Adopt(a.Version()))
+	must.False(t, other.AdoptPosition(a.Version()))
 }
 
 // A record that the store has lost and one that it wrote since have one name and one revision.
@@ -132,9 +132,9 @@
 	a, b := NewReplica(), NewReplica()
 	a.Listed([]Record{spelled("claim", 9, "x")}, in(1, 9))
 	b.Listed([]Record{spelled("claim", 9, "y")}, in(2, 9))
-	must.False(t, a.Adopt(b.Version()))
+	must.False(t, a.AdoptPosition(b.Version()))
 	parts, base := a.Parts()
-	a.Merge(b.Differing(parts), base)
+	a.MergeParts(b.DifferingParts(parts), base)
 	got, _ := a.Get("claim")
 	must.Eq(t, "y", string(got.Spec))
 	must.Eq(t, b.Version(), a.Version())
--- a/internal/registry/follow.go
+++ b/internal/registry/follow.go
@@ -29,8 +29,8 @@
 	// Listed replaces all records, as of a position of the store, and says whether the sink
 	// knows all of that now. It does not go back to an earlier era.
 	Listed(records []Record, at Position) bool
-	// Copied replaces all records by those of a copy of the store, of no known position.
-	Copied(records []Record)
+	// ListedStale replaces all records by those of a copy of the store, of no known position.
+	ListedStale(records []Record)
 	// Changed applies changes up to a position of the store.
 	Changed(changes []Change, at Position)
 	// Position tells up to where the sink is complete by the store's own word; its revision
@@ -50,36 +50,36 @@
 	// nothing of a change and stay open. The next one begins where it began and
 	// gets the change at once, so Wait bounds how late a change is seen.
 	Wait time.Duration
-	// Pace is the least time between two watches. Changes that come in between
+	// MinInterval is the least time between two watches. Changes that come in between
 	// are told together, for the price of one call.
-	Pace time.Duration
-	// Due gives how long the next watch may be left to other hosts, which pass on
+	MinInterval time.Duration
+	// WatchDelay gives how long the next watch may be left to other hosts, which pass on
 	// what they learn; it may be nil.
-	Due func() time.Duration
-	// Patience gives the longest pause after a failed call while other hosts look
+	WatchDelay func() time.Duration
+	// MaxRetryPause gives the longest pause after a failed call while other hosts look
 	// after this kind of record as well; it may be nil.
-	Patience func() time.Duration
-	// Hold says that the first listing is of no use yet; it may be nil. Hosts that
+	MaxRetryPause func() time.Duration
+	// DeferList says that the first listing is of no use yet; it may be nil. Hosts that
 	// all start while the store is down then ask for one kind of record and not
 	// for each.
-	Hold func() bool
-	// Copied is set where the first listing may come from a copy of the store that is
+	DeferList func() bool
+	// OnStaleList is set where the first listing may come from a copy of the store that is
 	// some seconds behind, and is called after it. Others, or the next listing, tell what
 	// has changed since. No watch goes on from a copy: what it holds may be of an earlier
 	// era, and the watch would miss what the store has lost of that.
 	//
 	// The load it answers: hundreds of hosts start in the same second and list each
 	// kind of record, two thirds of all that they ever ask of the store.
-	Copied func()
-	// Confirmed is called once the sink has taken an answer that is not from a copy, with
+	OnStaleList func()
+	// OnConfirmed is called once the sink has taken an answer that is not from a copy, with
 	// a moment up to which the sink has everything; it may be nil.
 	//
 	// Called before, a host that takes half a second to read a configuration told others
 	// meanwhile that the one before was the newest.
-	Confirmed func(asOf time.Time)
-	// Outage is called when the store answers again after it was out of reach
+	OnConfirmed func(asOf time.Time)
+	// OnOutageEnd is called when the store answers again after it was out of reach
 	// for a time; it may be nil.
-	Outage func(length time.Duration)
+	OnOutageEnd func(length time.Duration)
 
 	lost   atomic.Bool
 	lostAt time.Time
@@ -93,8 +93,8 @@
 	pause := retryFirst
 	relist := !f.copied(ctx)
 	for ctx.Err() == nil {
-		if !relist && f.Due != nil {
-			if due := f.Due(); due > 0 {
+		if !relist && f.WatchDelay != nil {
+			if due := f.WatchDelay(); due > 0 {
 				timing.Sleep(ctx, min(due, dueStep))
 				continue
 			}
@@ -102,7 +102,7 @@
 		begun := f.Now()
 		err := f.step(ctx, relist)
 		if err == nil {
-			timing.Sleep(ctx, f.Pace-f.Now().Sub(begun))
+			timing.Sleep(ctx, f.MinInterval-f.Now().Sub(begun))
 			relist = false
 			pause = retryFirst
 			continue
@@ -125,7 +125,7 @@
 const holdStep = 10 * time.Millisecond
 
 func (f *Follower) hold(ctx context.Context) {
-	for ctx.Err() == nil && f.Hold != nil && f.Hold() && !f.knows() {
+	for ctx.Err() == nil && f.DeferList != nil && f.DeferList() && !f.knows() {
 		timing.Sleep(ctx, holdStep)
 	}
 }
@@ -158,21 +158,21 @@
 
 // informed says that others have told this host enough not to ask the store.
 func (f *Follower) informed() bool {
-	return f.Due != nil && f.knows() && f.Due() > 0
+	return f.WatchDelay != nil && f.knows() && f.WatchDelay() > 0
 }
 
 // longestPause is short for a host that knows nothing yet: all hosts may have
 // started together, and nobody could tell it.
 func (f *Follower) longestPause() time.Duration {
-	if f.Patience == nil || !f.knows() {
+	if f.MaxRetryPause == nil || !f.knows() {
 		return retryMost
 	}
-	return f.Patience()
+	return f.MaxRetryPause()
 }
 
 // copied takes the first listing from a copy, and says whether it was had.
 func (f *Follower) copied(ctx context.Context) bool {
-	if f.Copied == nil || ctx.Err() != nil {
+	if f.OnStaleList == nil || ctx.Err() != nil {
 		return false
 	}
 	listing, err := f.Store.ListStale(ctx, f.Kind)
@@ -180,8 +180,8 @@
 		f.Log.Debug("no listing from a copy", "kind", f.Kind, "revision", listing.Revision, "error", err)
 		return false
 	}
-	f.Sink.Copied(listing.Records)
-	f.Copied()
+	f.Sink.ListedStale(listing.Records)
+	f.OnStaleList()
 	return true
 }
 
@@ -251,15 +251,15 @@
 }
 
 func (f *Follower) confirm(asOf time.Time) {
-	if f.Confirmed != nil {
-		f.Confirmed(asOf)
+	if f.OnConfirmed != nil {
+		f.OnConfirmed(asOf)
 	}
 }
 
 func (f *Follower) regained() {
 	if f.lost.CompareAndSwap(true, false) {
-		if f.Outage != nil {
-			f.Outage(f.Now().Sub(f.lostAt))
+		if f.OnOutageEnd != nil {
+			f.OnOutageEnd(f.Now().Sub(f.lostAt))
 		}
 		f.Log.Info("dependency regained", "dependency", "store", "kind", f.Kind, "revision", f.Sink.Position().Revision)
 	}
--- a/internal/registry/follow_test.go
+++ b/internal/registry/follow_test.go
@@ -36,7 +36,7 @@
 		}
 		follower := &Follower{
 			Store: store, Kind: "k", Sink: replica, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
-			Patience: func() time.Duration { return patience },
+			MaxRetryPause: func() time.Duration { return patience },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
@@ -66,7 +66,7 @@
 		begun := time.Now()
 		follower := &Follower{
 			Store: store, Kind: "k", Sink: replica, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
-			Patience: func() time.Duration {
+			MaxRetryPause: func() time.Duration {
 				if time.Since(begun) < 10*time.Second {
 					quiet = store.calls
 					return time.Minute
@@ -131,7 +131,7 @@
 				copied, confirmed := 0, 0
 				follower := &Follower{
 					Store: &test.store, Kind: "k", Sink: replica, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
-					Copied: func() { copied++ }, Confirmed: func(time.Time) { confirmed++ },
+					OnStaleList: func() { copied++ }, OnConfirmed: func(time.Time) { confirmed++ },
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
 				defer cancel()
@@ -207,7 +207,7 @@
 				var confirmed, asOf time.Duration
 				follower := &Follower{
 					Store: &oneWatch{answer: test.answer, after: test.after}, Kind: "k", Sink: slowSink{replica}, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
-					Copied: nil, Confirmed: func(at time.Time) { confirmed, asOf = time.Since(begun), at.Sub(begun) },
+					OnStaleList: nil, OnConfirmed: func(at time.Time) { confirmed, asOf = time.Since(begun), at.Sub(begun) },
 				}
 				ctx, cancel := context.WithTimeout(t.Context(), 6*time.Second)
 				defer cancel()
@@ -228,7 +228,7 @@
 		var asOf time.Duration
 		follower := &Follower{
 			Store: &oneWatch{answer: Changes{Age: time.Second}, after: 3 * time.Second}, Kind: "k", Sink: NewReplica(), Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
-			Confirmed: func(at time.Time) { asOf = at.Sub(begun) },
+			OnConfirmed: func(at time.Time) { asOf = at.Sub(begun) },
 		}
 		must.NoError(t, follower.list(t.Context()))
 		must.Eq(t, 2*time.Second, asOf)
@@ -248,8 +248,8 @@
 		told := 2 * time.Second
 		follower := &Follower{
 			Store: store, Kind: "k", Sink: replica, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
-			Patience: func() time.Duration { return 20 * time.Second },
-			Due: func() time.Duration {
+			MaxRetryPause: func() time.Duration { return 20 * time.Second },
+			WatchDelay: func() time.Duration {
 				if since := time.Since(begun); since > told {
 					return told + time.Second - since
 				}
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -20,13 +20,13 @@
 	}
 	if snapshot, ok := from.ChangedSince(before.Position); ok {
 		bytes += size(snapshot)
-		if into.MergeSince(snapshot, before) {
+		if into.MergeChanges(snapshot, before) {
 			return bytes
 		}
 	}
 	parts, base := into.Parts()
-	snapshot := from.Differing(parts)
-	into.Merge(snapshot, base)
+	snapshot := from.DifferingParts(parts)
+	into.MergeParts(snapshot, base)
 	return bytes + size(snapshot)
 }
 
@@ -42,7 +42,7 @@
 	must.True(t, ok)
 	must.Len(t, 2, snapshot.Records)
 	must.Eq(t, []string{"c"}, snapshot.Removed)
-	must.True(t, b.MergeSince(snapshot, b.Version()))
+	must.True(t, b.MergeChanges(snapshot, b.Version()))
 	must.Eq(t, a.Version(), b.Version())
 }
 
@@ -59,7 +59,7 @@
 	a.Changed([]Change{{Record: state(9, `"x"`)}}, at(9))
 	snapshot, ok := a.ChangedSince(at(5))
 	must.True(t, ok)
-	must.False(t, b.MergeSince(snapshot, b.Version()))
+	must.False(t, b.MergeChanges(snapshot, b.Version()))
 	pull(t, a, b)
 	must.Eq(t, a.Version(), b.Version())
 }
@@ -86,7 +86,7 @@
 	b.Put(record("own", 3))
 	snapshot, ok := a.ChangedSince(at(1))
 	must.True(t, ok)
-	must.True(t, b.MergeSince(snapshot, b.Version()))
+	must.True(t, b.MergeChanges(snapshot, b.Version()))
 	_, kept := b.Get("own")
 	must.True(t, kept)
 }
@@ -162,11 +162,11 @@
 		a.Changed(claims(first, batch), at(uint64(first+batch+1)))
 		fetched += pull(t, a, b)
 		parts, base := byParts.Parts()
-		snapshot := a.Differing(parts)
+		snapshot := a.DifferingParts(parts)
 		encoded, err := json.Marshal(snapshot)
 		must.NoError(t, err)
 		fetchedByParts += len(encoded)
-		byParts.Merge(snapshot, base)
+		byParts.MergeParts(snapshot, base)
 	}
 	whole, err := json.Marshal(a.Snapshot())
 	must.NoError(t, err)
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -71,8 +71,8 @@
 // revision, so the watcher must list again.
 var ErrHistoryGone = errors.New("the store's history no longer reaches back to the asked revision")
 
-// Any is the revision of an unconditional write.
-const Any uint64 = 0
+// AnyRevision is the revision of an unconditional write.
+const AnyRevision uint64 = 0
 
 // Store is the platform's store. Failed calls return an error whose cause is
 // one of package objectapi, or ErrHistoryGone.
@@ -95,8 +95,8 @@
 	Delete(ctx context.Context, kind, name string, revision uint64) error
 }
 
-// Conflict says that a conditional write found another revision.
-func Conflict(err error) bool { return errors.Is(err, objectapi.ErrConflict) }
+// IsConflict says that a conditional write found another revision.
+func IsConflict(err error) bool { return errors.Is(err, objectapi.ErrConflict) }
 
-// NotFound says that the record does not exist.
-func NotFound(err error) bool { return errors.Is(err, objectapi.ErrNotFound) }
+// IsNotFound says that the record does not exist.
+func IsNotFound(err error) bool { return errors.Is(err, objectapi.ErrNotFound) }
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -183,8 +183,8 @@
 	})
 }
 
-// Copied implements Sink. A copy counts for nothing beside the store's own word.
-func (r *Replica) Copied(records []Record) {
+// ListedStale implements Sink. A copy counts for nothing beside the store's own word.
+func (r *Replica) ListedStale(records []Record) {
 	r.update(func() ([]Change, bool, bool) {
 		if r.at.Revision > 0 {
 			return nil, false, false
@@ -279,9 +279,9 @@
 	}
 }
 
-// Adopt takes over the position of a peer that holds the same records, if the store's own
+// AdoptPosition takes over the position of a peer that holds the same records, if the store's own
 // word or its era is news. All hosts would otherwise fetch all records when the era changes.
-func (r *Replica) Adopt(theirs Version) bool {
+func (r *Replica) AdoptPosition(theirs Version) bool {
 	return r.update(func() ([]Change, bool, bool) {
 		news := theirs.Era != r.at.Era || r.at.Revision == 0
 		if !r.fed || !news || r.digest != theirs.Digest || !r.at.Before(theirs.Position) {
@@ -299,9 +299,9 @@
 	return slices.Clone(r.parts[:]), r.version()
 }
 
-// Differing gives the records of the parts that differ from a peer's, or all where
+// DifferingParts gives the records of the parts that differ from a peer's, or all where
 // the peer tells of none.
-func (r *Replica) Differing(theirs []uint64) Snapshot {
+func (r *Replica) DifferingParts(theirs []uint64) Snapshot {
 	if len(theirs) != partCount {
 		return r.Snapshot()
 	}
@@ -321,10 +321,10 @@
 	return snapshot
 }
 
-// Merge takes over what a peer gave for the digests of a version. If the replica
+// MergeParts takes over what a peer gave for the digests of a version. If the replica
 // has changed since, the other parts may no longer be the peer's: nothing is taken,
 // and the next heartbeat tells of the difference again.
-func (r *Replica) Merge(snapshot Snapshot, base Version) {
+func (r *Replica) MergeParts(snapshot Snapshot, base Version) {
 	if snapshot.Parts == nil {
 		r.Listed(snapshot.Records, snapshot.Position)
 		return
@@ -363,10 +363,10 @@
 	return snapshot, true
 }
 
-// MergeSince takes over a peer's differences to a version, and says whether the replica
+// MergeChanges takes over a peer's differences to a version, and says whether the replica
 // holds what the peer does then. What changed back in between is not among the
 // differences; the digests tell, and the parts that differ have to be fetched.
-func (r *Replica) MergeSince(snapshot Snapshot, base Version) (complete bool) {
+func (r *Replica) MergeChanges(snapshot Snapshot, base Version) (complete bool) {
 	return r.update(func() ([]Change, bool, bool) {
 		if r.movedOn(snapshot, base) {
 			return nil, false, true
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -110,11 +110,11 @@
 	second.Listed(records, at(1000))
 	first.Changed([]Change{{Record: record("r7", 1001)}, {Record: record("r8", 1002), Removed: true}, {Record: record("new", 1003)}}, at(1003))
 	parts, base := second.Parts()
-	snapshot := first.Differing(parts)
+	snapshot := first.DifferingParts(parts)
 	must.Less(t, 100, len(snapshot.Records))
 	var told []Change
 	second.OnChange = func(changed []Change, _ bool) { told = changed }
-	second.Merge(snapshot, base)
+	second.MergeParts(snapshot, base)
 	must.Eq(t, first.Version(), second.Version())
 	must.Len(t, 3, told)
 	_, there := second.Get("r8")
@@ -128,11 +128,11 @@
 	first.Listed([]Record{record("a", 1)}, at(2))
 	second.Listed([]Record{record("a", 1)}, at(1))
 	parts, base := second.Parts()
-	wire, err := json.Marshal(first.Differing(parts))
+	wire, err := json.Marshal(first.DifferingParts(parts))
 	must.NoError(t, err)
 	var snapshot Snapshot
 	must.NoError(t, json.Unmarshal(wire, &snapshot))
-	second.Merge(snapshot, base)
+	second.MergeParts(snapshot, base)
 	_, there := second.Get("a")
 	must.True(t, there)
 	must.Eq(t, 2, second.Revision())
@@ -145,9 +145,9 @@
 	first.Listed([]Record{record("a", 9), record("b", 2)}, at(9))
 	second.Listed([]Record{record("a", 1), record("b", 2)}, at(2))
 	parts, base := second.Parts()
-	snapshot := first.Differing(parts)
+	snapshot := first.DifferingParts(parts)
 	second.Changed([]Change{{Record: record("b", 5)}}, at(5))
-	second.Merge(snapshot, base)
+	second.MergeParts(snapshot, base)
 	got, _ := second.Get("a")
 	must.Eq(t, 1, got.Revision)
 	must.Eq(t, 5, second.Revision())
@@ -169,14 +169,14 @@
 			from := append(replicas, store)[rapid.IntRange(0, 3).Draw(t, "from")]
 			before := to.Revision()
 			parts, base := to.Parts()
-			to.Merge(from.Differing(parts), base)
+			to.MergeParts(from.DifferingParts(parts), base)
 			if to.Revision() < before {
 				t.Fatalf("revision went back from %d to %d", before, to.Revision())
 			}
 		}
 		for _, to := range replicas {
 			parts, base := to.Parts()
-			to.Merge(store.Differing(parts), base)
+			to.MergeParts(store.DifferingParts(parts), base)
 			if to.Version() != store.Version() {
 				t.Fatalf("%v is not %v", to.Version(), store.Version())
 			}
@@ -193,9 +193,9 @@
 	for name, pass := range map[string]func(own, peer *Replica){
 		"differences": func(own, peer *Replica) {
 			parts, base := own.Parts()
-			own.Merge(peer.Differing(parts), base)
+			own.MergeParts(peer.DifferingParts(parts), base)
 		},
-		"listing": func(own, peer *Replica) { own.Merge(peer.Snapshot(), own.Version()) },
+		"listing": func(own, peer *Replica) { own.MergeParts(peer.Snapshot(), own.Version()) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			own, peer := NewReplica(), NewReplica()
