--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -175,8 +175,8 @@
 	return nil
 }
 
-// Accepted puts a change in force that this node has just had accepted.
-func (s *Service) Accepted(change configlog.Change) {
+// ApplyAccepted puts a change in force that this node has just had accepted.
+func (s *Service) ApplyAccepted(change configlog.Change) {
 	if err := s.follower.Follow([]configlog.Change{change}); err != nil {
 		// The change stands in chunks or does not follow; the next reading of the head brings it.
 		s.log.Debug("accepted change not applied directly", "error", err)
@@ -232,9 +232,9 @@
 	})
 }
 
-// Heard takes a peer's revision; if it is newer, this node asks the peer for
+// PullIfNewer takes a peer's revision; if it is newer, this node asks the peer for
 // what it lacks. One call at a time is made to a peer.
-func (s *Service) Heard(ctx context.Context, member fleet.Member) {
+func (s *Service) PullIfNewer(ctx context.Context, member fleet.Member) {
 	if inventory.Revision(member.Revision) <= s.follower.Snapshot().Revision() {
 		return
 	}
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -22,8 +22,8 @@
 // beatTimeout bounds one heartbeat; a connection that lets one pass is given up.
 const beatTimeout = 1500 * time.Millisecond
 
-// Beat is a heartbeat.
-type Beat struct {
+// Heartbeat is a heartbeat.
+type Heartbeat struct {
 	Member fleet.Member     `json:"member"`
 	Views  []residency.View `json:"views,omitempty"`
 	Counts []demand.Count   `json:"counts,omitempty"`
@@ -33,8 +33,8 @@
 	Full bool `json:"full,omitempty"`
 }
 
-// Answer is the answer to a heartbeat.
-type Answer struct {
+// HeartbeatResult is the answer to a heartbeat.
+type HeartbeatResult struct {
 	Member fleet.Member     `json:"member"`
 	Views  []residency.View `json:"views,omitempty"`
 }
@@ -53,18 +53,18 @@
 	Self func() fleet.Member
 	// Views gives the runners that this node owns.
 	Views func() []residency.View
-	// Seen takes what a peer tells of its runners.
-	Seen func(views []residency.View)
+	// OnViews takes what a peer tells of its runners.
+	OnViews func(views []residency.View)
 	// TakeCounts gives the requests counted for a peer since the last call;
 	// Counted takes those that a peer sends.
 	TakeCounts func(host string) []demand.Count
-	Counted    func(counts []demand.Count)
+	OnCounts   func(counts []demand.Count)
 	// TakeRates gives rates for a peer that owns runners; Rates takes a peer's.
 	TakeRates func(host string) []demand.Count
-	Rates     func(rates []demand.Count)
-	// Heard is told each member's word.
-	Heard func(member fleet.Member)
-	Log   hclog.Logger
+	OnRates   func(rates []demand.Count)
+	// OnMember is told each member's word.
+	OnMember func(member fleet.Member)
+	Log      hclog.Logger
 }
 
 // Service sends and takes heartbeats.
@@ -88,13 +88,13 @@
 
 // Register adds the methods that peers call.
 func (s *Service) Register(mux *peer.Mux) {
-	peer.Handle(mux, methodBeat, func(_ context.Context, from peer.Identity, beat Beat) (Answer, error) {
+	peer.Handle(mux, methodBeat, func(_ context.Context, from peer.Identity, beat Heartbeat) (HeartbeatResult, error) {
 		beat.Member.Host = from.Host
 		beat.Member.Incarnation = from.Incarnation
 		s.take(beat.Member, beat.Views)
-		s.deps.Counted(beat.Counts)
-		s.deps.Rates(beat.Rates)
-		answer := Answer{Member: s.deps.Self()}
+		s.deps.OnCounts(beat.Counts)
+		s.deps.OnRates(beat.Rates)
+		answer := HeartbeatResult{Member: s.deps.Self()}
 		if beat.Full {
 			answer.Views = s.deps.Views()
 		}
@@ -105,8 +105,8 @@
 func (s *Service) take(member fleet.Member, views []residency.View) {
 	now := time.Now()
 	s.deps.Members.Heard(member, now)
-	s.deps.Seen(views)
-	s.deps.Heard(member)
+	s.deps.OnViews(views)
+	s.deps.OnMember(member)
 }
 
 // Run sends heartbeats until the context ends.
@@ -114,7 +114,7 @@
 	ticker := time.NewTicker(s.interval)
 	defer ticker.Stop()
 	for {
-		s.Round(ctx)
+		s.SendHeartbeats(ctx)
 		select {
 		case <-ctx.Done():
 			return
@@ -128,17 +128,17 @@
 // nudgePause lets changes that come together go out together.
 const nudgePause = 20 * time.Millisecond
 
-// Nudge makes a round go out soon.
-func (s *Service) Nudge() {
+// TriggerRound makes a round go out soon.
+func (s *Service) TriggerRound() {
 	select {
 	case s.nudged <- struct{}{}:
 	default:
 	}
 }
 
-// Round sends one heartbeat to each neighbour. A slow peer does not hold the
+// SendHeartbeats sends one heartbeat to each neighbour. A slow peer does not hold the
 // next round up; it is sent to again once it has answered.
-func (s *Service) Round(ctx context.Context) {
+func (s *Service) SendHeartbeats(ctx context.Context) {
 	self := s.deps.Self()
 	s.deps.Members.Heard(self, time.Now())
 	s.forgetGone()
@@ -178,11 +178,11 @@
 	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
 	defer cancel()
 	fresh := s.changedFor(to.host)
-	beat := Beat{
+	beat := Heartbeat{
 		Member: s.deps.Self(), Views: fresh, Counts: s.deps.TakeCounts(to.host),
 		Rates: s.deps.TakeRates(to.host), Full: !s.hasMet(to.host, ""),
 	}
-	var answer Answer
+	var answer HeartbeatResult
 	if err := s.deps.Peers.Call(ctx, to.address, methodBeat, beat, &answer); err != nil {
 		s.forgetSent(to.host)
 		s.deps.Log.Trace("heartbeat not answered", "peer", to.host, "error", err)
@@ -238,8 +238,8 @@
 	delete(s.sent, host)
 }
 
-// Beats gives the number of heartbeats answered so far.
-func (s *Service) Beats() int64 {
+// HeartbeatsAnswered gives the number of heartbeats answered so far.
+func (s *Service) HeartbeatsAnswered() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.count
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -169,8 +169,8 @@
 		Hosts: n.hosts, Members: n.members, Holder: n.holder, Publish: n.publish, Log: n.log.Named("control"),
 	})
 	n.membership = membership.NewService(membership.Deps{
-		Peers: n.pool, Hosts: n.hosts, Members: n.members, Self: n.member, Views: n.ownedViews, Seen: n.seen,
-		TakeCounts: n.demand.take, Counted: n.demand.counted, TakeRates: n.demand.ratesFor, Rates: n.demand.tell, Heard: n.heard, Log: n.log.Named("membership"),
+		Peers: n.pool, Hosts: n.hosts, Members: n.members, Self: n.member, Views: n.ownedViews, OnViews: n.seen,
+		TakeCounts: n.demand.take, OnCounts: n.demand.counted, TakeRates: n.demand.ratesFor, OnRates: n.demand.tell, OnMember: n.heard, Log: n.log.Named("membership"),
 	}, t.HeartbeatInterval, splitSeeds(n.cfg.Seeds))
 	n.sync = configsync.New(configsync.Config{
 		Host: n.cfg.Host, DataCentre: n.cfg.DataCentre, WatchWait: t.WatchWait, Poll: t.PollInterval,
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -58,7 +58,7 @@
 	if moved {
 		// Told at once: homes that place loads by a view half a second old
 		// evict models while other runners have free slots.
-		n.membership.Nudge()
+		n.membership.TriggerRound()
 	}
 }
 
@@ -86,10 +86,10 @@
 	}
 }
 
-func (n *Node) heard(member fleet.Member) { n.sync.Heard(n.context(), member) }
+func (n *Node) heard(member fleet.Member) { n.sync.PullIfNewer(n.context(), member) }
 
 // announce tells the peers of a new revision at once.
-func (n *Node) announce() { n.membership.Round(n.context()) }
+func (n *Node) announce() { n.membership.SendHeartbeats(n.context()) }
 
 func (n *Node) context() context.Context {
 	n.mu.Lock()
@@ -104,7 +104,7 @@
 func (n *Node) Accepted(change configlog.Change) {
 	n.log.Named("audit").Info("change accepted", "revision", uint64(change.Revision), "change", change.ID,
 		"operator", change.Operator, "from", uint64(change.From), "items", change.Items)
-	n.sync.Accepted(change)
+	n.sync.ApplyAccepted(change)
 }
 
 // Status gives the state of the deployment as this host sees it.
