--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -22,8 +22,8 @@
 	"github.com/pkg/errors"
 )
 
-// Ask is what a caller's headers say of its request.
-type Ask struct {
+// RequestMetadata is what a caller's headers say of its request.
+type RequestMetadata struct {
 	// ID names this attempt of the caller.
 	ID string
 	// Adapter names the model, and the adapter unless its name is empty. It is
@@ -31,48 +31,48 @@
 	Adapter      site.Adapter
 	PromptTokens int
 	OutputTokens int
-	// Counted is what the caller's numbers of tokens come to.
-	Counted Counted
-	// Key is the digest of the caller's bearer key, Keyed whether there is one.
-	Key   credential.Digest
-	Keyed bool
-	// LikelyTokens is the caller's estimate of the answer's length, 0 if it has none.
-	LikelyTokens int
-	// Patience is how long the caller waits for the answer; 0 if it does not say.
-	Patience time.Duration
+	// TokenCounts is what the caller's numbers of tokens come to.
+	TokenCounts TokenCounts
+	// KeyDigest is the digest of the caller's bearer key, HasKey whether there is one.
+	KeyDigest credential.Digest
+	HasKey    bool
+	// ExpectedOutputTokens is the caller's estimate of the answer's length, 0 if it has none.
+	ExpectedOutputTokens int
+	// ClientTimeout is how long the caller waits for the answer; 0 if it does not say.
+	ClientTimeout time.Duration
 	// ResumeAfter is the last event that the caller has of an earlier answer.
 	ResumeAfter string
 }
 
-// Counted is the number of tokens of a request, of its prompt and its answer together,
+// TokenCounts is the number of tokens of a request, of its prompt and its answer together,
 // as its caller tells it.
-type Counted struct {
+type TokenCounts struct {
 	Tokens int64
-	// Told says that the caller tells numbers, Bad what is wrong with them.
-	Told bool
-	Bad  error
+	// Present says that the caller tells numbers, Err what is wrong with them.
+	Present bool
+	Err     error
 }
 
 // Caller is whose request it is.
 type Caller struct {
-	// Checked says that callers' keys count here: the runner gets no key, and the
+	// KeysEnforced says that callers' keys count here: the runner gets no key, and the
 	// workspace that this host found in place of one that the caller names.
-	Checked bool
+	KeysEnforced bool
 	// Workspace is nil on public routes and where keys do not count.
 	Workspace *site.Workspace
 }
 
-// Send is what an attempt's headers tell the runner.
-type Send struct {
+// Attempt is what an attempt's headers tell the runner.
+type Attempt struct {
 	// Instance is the runner that the request is meant for.
 	Instance string
-	// Left is the time after which the answer is of no use.
-	Left time.Duration
+	// Remaining is the time after which the answer is of no use.
+	Remaining time.Duration
 	// AdapterVersion is the version that must serve; 0 for any.
 	AdapterVersion int64
-	// Urgency is the request's place among those that wait at the runner, from
+	// Priority is the request's place among those that wait at the runner, from
 	// 0, the first, to 9.
-	Urgency int
+	Priority int
 	// ResumeAfter is the last event that the caller already has.
 	ResumeAfter string
 	// Caller is whose request it is.
@@ -84,10 +84,10 @@
 	Running, Waiting, Slots int
 }
 
-// Told is what an answer's headers say beside the answer itself.
-type Told struct {
-	// ID is the request that the answer belongs to.
-	ID string
+// ResponseMetadata is what an answer's headers say beside the answer itself.
+type ResponseMetadata struct {
+	// RequestID is the request that the answer belongs to.
+	RequestID string
 	// Stamped answers carry the runner's mark.
 	Stamped bool
 	// NotRun is the runner's word that it did not run the request.
@@ -103,27 +103,27 @@
 
 // Dialect reads and writes the platform's headers.
 type Dialect interface {
-	// Ask reads a caller's headers.
-	Ask(header http.Header) (Ask, error)
-	// Set replaces the headers that belong to this layer. The header is what
+	// ParseRequest reads a caller's headers.
+	ParseRequest(header http.Header) (RequestMetadata, error)
+	// SetRequestHeaders replaces the headers that belong to this layer. The header is what
 	// goes on of the caller's header, source.
-	Set(header, source http.Header, ask Ask, send Send)
-	// Told reads an answer's headers.
-	Told(status int, header http.Header) Told
+	SetRequestHeaders(header, source http.Header, ask RequestMetadata, send Attempt)
+	// ParseResponse reads an answer's headers.
+	ParseResponse(status int, header http.Header) ResponseMetadata
 }
 
 // Request is a caller's request, read whole.
 type Request struct {
-	Ask
+	RequestMetadata
 	Method string
 	Host   string
 	// Target is the request's path and query as the caller sent them.
 	Target string
 	Header http.Header
 	Body   []byte
-	// From is the address that the request came from.
-	From   string
-	Caller Caller
+	// ClientAddr is the address that the request came from, without a port.
+	ClientAddr string
+	Caller     Caller
 }
 
 // WorkspaceName gives the name of the request's workspace, empty where it has none.
@@ -134,15 +134,15 @@
 	return r.Caller.Workspace.Name
 }
 
-// Answer is a runner's answer whose headers have arrived. Its body must be
+// Response is a runner's answer whose headers have arrived. Its body must be
 // closed.
-type Answer struct {
-	Status int
-	Header http.Header
-	Told   Told
-	Body   io.ReadCloser
-	// Length is the body's length, -1 where the runner does not tell it.
-	Length int64
+type Response struct {
+	Status   int
+	Header   http.Header
+	Metadata ResponseMetadata
+	Body     io.ReadCloser
+	// ContentLength is the body's length, -1 where the runner does not tell it.
+	ContentLength int64
 }
 
 // Failure is an attempt that brought no answer to pass on.
@@ -150,16 +150,16 @@
 	Verdict verdict.Verdict
 	Reason  Reason
 	Cause   error
-	// Told is set where an answer came.
-	Told Told
-	// CutOff says that the connection ended before the whole answer was there, as it does
+	// Metadata is set where an answer came.
+	Metadata ResponseMetadata
+	// ConnectionLost says that the connection ended before the whole answer was there, as it does
 	// when the runner's process ends.
-	CutOff bool
+	ConnectionLost bool
 }
 
-// BrokenOff gives the failure of an answer whose body ended before it was whole.
-func BrokenOff(told Told, cause error) *Failure {
-	return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Told: told, Cause: cause, CutOff: ended(cause)}
+// TruncatedResponse gives the failure of an answer whose body ended before it was whole.
+func TruncatedResponse(told ResponseMetadata, cause error) *Failure {
+	return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Metadata: told, Cause: cause, ConnectionLost: ended(cause)}
 }
 
 // ended says whether an error is that of a connection that the other side ended.
@@ -239,7 +239,7 @@
 func (c *Client) Dialed() int64 { return c.dialed.Load() }
 
 // Do makes one attempt. It returns when the answer's headers are there.
-func (c *Client) Do(ctx context.Context, address string, request *Request, send Send) (*Answer, *Failure) {
+func (c *Client) Do(ctx context.Context, address string, request *Request, send Attempt) (*Response, *Failure) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
@@ -249,26 +249,26 @@
 	if err != nil {
 		return nil, failure(ctx, err, connected.Load())
 	}
-	told := c.dialect.Told(response.StatusCode, response.Header)
+	told := c.dialect.ParseResponse(response.StatusCode, response.Header)
 	if refusal := judge(request, response, told); refusal != nil {
 		_ = response.Body.Close()
 		return nil, refusal
 	}
-	return &Answer{
-		Status: response.StatusCode,
-		Header: endToEnd(response.Header),
-		Told:   told,
-		Body:   response.Body,
-		Length: response.ContentLength,
+	return &Response{
+		Status:        response.StatusCode,
+		Header:        endToEnd(response.Header),
+		Metadata:      told,
+		Body:          response.Body,
+		ContentLength: response.ContentLength,
 	}, nil
 }
 
 // outgoing builds the request that the runner gets. Its body is never
 // replayable for net/http, which otherwise sends a GET a second time by itself
 // when a kept connection breaks: a second run that nobody counted.
-func (c *Client) outgoing(address string, request *Request, send Send) *http.Request {
+func (c *Client) outgoing(address string, request *Request, send Attempt) *http.Request {
 	header := endToEnd(request.Header)
-	c.dialect.Set(header, request.Header, request.Ask, send)
+	c.dialect.SetRequestHeaders(header, request.Header, request.RequestMetadata, send)
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = nil
 	}
@@ -286,7 +286,7 @@
 }
 
 func failure(ctx context.Context, err error, connected bool) *Failure {
-	result := &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Cause: err, CutOff: connected && ended(err)}
+	result := &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Cause: err, ConnectionLost: connected && ended(err)}
 	if !connected {
 		result.Verdict = verdict.NotRun
 		result.Reason = ReasonConnect
@@ -301,27 +301,27 @@
 }
 
 // judge says whether an answer is one to pass on.
-func judge(request *Request, response *http.Response, told Told) *Failure {
-	if told.ID != "" && told.ID != request.ID {
+func judge(request *Request, response *http.Response, told ResponseMetadata) *Failure {
+	if told.RequestID != "" && told.RequestID != request.ID {
 		// A late second answer to an earlier request arrives where this one's is
 		// due. Passed on, a caller would get somebody else's answer.
-		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonForeign, Told: told, Cause: errors.Errorf("answer to request %q", told.ID)}
+		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonForeign, Metadata: told, Cause: errors.Errorf("answer to request %q", told.RequestID)}
 	}
 	if told.NotRun || told.Misdirected {
 		reason := ReasonRefused
 		if told.Misdirected {
 			reason = ReasonAbsent
 		}
-		return &Failure{Verdict: verdict.NotRun, Reason: reason, Told: told, Cause: errors.Errorf("status %d", response.StatusCode)}
+		return &Failure{Verdict: verdict.NotRun, Reason: reason, Metadata: told, Cause: errors.Errorf("status %d", response.StatusCode)}
 	}
 	if promises[response.StatusCode] {
 		// To a caller these statuses say that the request has not run. Only the
 		// runner's explicit word says so.
-		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Told: told, Cause: errors.Errorf("status %d without the word that the request has not run", response.StatusCode)}
+		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Metadata: told, Cause: errors.Errorf("status %d without the word that the request has not run", response.StatusCode)}
 	}
 	success := response.StatusCode/100 == 2
-	if success && (!told.Stamped || told.ID == "" || response.Header.Get("Content-Encoding") != "") {
-		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonForeign, Told: told, Cause: errors.New("a success without the runner's marks")}
+	if success && (!told.Stamped || told.RequestID == "" || response.Header.Get("Content-Encoding") != "") {
+		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonForeign, Metadata: told, Cause: errors.New("a success without the runner's marks")}
 	}
 	return nil
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,11 +19,11 @@
 // has run. A wrong "not run" has a request run twice; a wrong success gives a caller
 // somebody else's answer, or half of one.
 func TestAnswersAreJudged(t *testing.T) {
-	request := &Request{Ask: Ask{ID: "q"}}
-	whole := Told{ID: "q", Stamped: true}
+	request := &Request{RequestMetadata: RequestMetadata{ID: "q"}}
+	whole := ResponseMetadata{RequestID: "q", Stamped: true}
 	for name, test := range map[string]struct {
 		status  int
-		told    Told
+		told    ResponseMetadata
 		header  http.Header
 		passed  bool
 		reason  Reason
@@ -31,14 +31,14 @@
 	}{
 		"a whole success":                       {status: 200, told: whole, passed: true},
 		"the runner's own failure":              {status: 500, told: whole, passed: true},
-		"another request's answer":              {status: 200, told: Told{ID: "p", Stamped: true}, reason: ReasonForeign, verdict: verdict.MayHaveRun},
-		"a success without a mark":              {status: 200, told: Told{ID: "q"}, reason: ReasonForeign, verdict: verdict.MayHaveRun},
-		"a success without its request":         {status: 200, told: Told{Stamped: true}, reason: ReasonForeign, verdict: verdict.MayHaveRun},
+		"another request's answer":              {status: 200, told: ResponseMetadata{RequestID: "p", Stamped: true}, reason: ReasonForeign, verdict: verdict.MayHaveRun},
+		"a success without a mark":              {status: 200, told: ResponseMetadata{RequestID: "q"}, reason: ReasonForeign, verdict: verdict.MayHaveRun},
+		"a success without its request":         {status: 200, told: ResponseMetadata{Stamped: true}, reason: ReasonForeign, verdict: verdict.MayHaveRun},
 		"an encoded success":                    {status: 200, told: whole, header: http.Header{"Content-Encoding": {"gzip"}}, reason: ReasonForeign, verdict: verdict.MayHaveRun},
-		"full, and says that it has not run it": {status: 503, told: Told{ID: "q", NotRun: true}, reason: ReasonRefused, verdict: verdict.NotRun},
-		"another runner has the address":        {status: 421, told: Told{ID: "q", Misdirected: true}, reason: ReasonAbsent, verdict: verdict.NotRun},
-		"503 without the word":                  {status: 503, told: Told{ID: "q"}, reason: ReasonBroken, verdict: verdict.MayHaveRun},
-		"429 without the word":                  {status: 429, told: Told{ID: "q"}, reason: ReasonBroken, verdict: verdict.MayHaveRun},
+		"full, and says that it has not run it": {status: 503, told: ResponseMetadata{RequestID: "q", NotRun: true}, reason: ReasonRefused, verdict: verdict.NotRun},
+		"another runner has the address":        {status: 421, told: ResponseMetadata{RequestID: "q", Misdirected: true}, reason: ReasonAbsent, verdict: verdict.NotRun},
+		"503 without the word":                  {status: 503, told: ResponseMetadata{RequestID: "q"}, reason: ReasonBroken, verdict: verdict.MayHaveRun},
+		"429 without the word":                  {status: 429, told: ResponseMetadata{RequestID: "q"}, reason: ReasonBroken, verdict: verdict.MayHaveRun},
 		"408 without the word":                  {status: 408, told: whole, reason: ReasonBroken, verdict: verdict.MayHaveRun},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -62,13 +62,13 @@
 func TestAnswersThatAreCutOff(t *testing.T) {
 	reset := &net.OpError{Op: "read", Err: syscall.ECONNRESET}
 	for _, cause := range []error{io.EOF, io.ErrUnexpectedEOF, reset, errors.Wrap(reset, "read")} {
-		must.True(t, BrokenOff(Told{}, cause).CutOff, must.Sprint(cause))
-		must.True(t, failure(t.Context(), cause, true).CutOff, must.Sprint(cause))
-		must.False(t, failure(t.Context(), cause, false).CutOff, must.Sprint("the request was not sent: ", cause))
+		must.True(t, TruncatedResponse(ResponseMetadata{}, cause).ConnectionLost, must.Sprint(cause))
+		must.True(t, failure(t.Context(), cause, true).ConnectionLost, must.Sprint(cause))
+		must.False(t, failure(t.Context(), cause, false).ConnectionLost, must.Sprint("the request was not sent: ", cause))
 	}
 	for _, cause := range []error{errors.New("malformed HTTP response"), context.DeadlineExceeded} {
-		must.False(t, BrokenOff(Told{}, cause).CutOff, must.Sprint(cause))
-		must.False(t, failure(t.Context(), cause, true).CutOff, must.Sprint(cause))
+		must.False(t, TruncatedResponse(ResponseMetadata{}, cause).ConnectionLost, must.Sprint(cause))
+		must.False(t, failure(t.Context(), cause, true).ConnectionLost, must.Sprint(cause))
 	}
 }
 
@@ -84,9 +84,11 @@
 // plain reads and writes no headers of its own.
 type plain struct{}
 
-func (plain) Ask(http.Header) (Ask, error)            { return Ask{}, nil }
-func (plain) Set(_, _ http.Header, _ Ask, _ Send)     {}
-func (plain) Told(_ int, header http.Header) (t Told) { return Told{ID: header.Get("Id")} }
+func (plain) ParseRequest(http.Header) (RequestMetadata, error)                { return RequestMetadata{}, nil }
+func (plain) SetRequestHeaders(_, _ http.Header, _ RequestMetadata, _ Attempt) {}
+func (plain) ParseResponse(_ int, header http.Header) (t ResponseMetadata) {
+	return ResponseMetadata{RequestID: header.Get("Id")}
+}
 
 // A runner cannot be reached, or breaks off after it has the request. Only the first has
 // certainly not run it.
@@ -117,7 +119,7 @@
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
 			request := &Request{Method: http.MethodGet, Host: "h", Target: "/x", Header: http.Header{}, Body: []byte(strings.Repeat("x", 10))}
-			answer, failure := client.Do(ctx, "r:80", request, Send{})
+			answer, failure := client.Do(ctx, "r:80", request, Attempt{})
 			must.Nil(t, answer)
 			must.Eq(t, test.reason, failure.Reason)
 			must.Eq(t, test.verdict, failure.Verdict)
--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -104,7 +104,7 @@
 			w.Header().Set("Connection", "close")
 		}
 	}
-	ask, err := i.Dialect.Ask(r.Header)
+	ask, err := i.Dialect.ParseRequest(r.Header)
 	if err != nil {
 		i.reject(w, r, http.StatusBadRequest, err.Error())
 		return
@@ -131,27 +131,27 @@
 		return
 	}
 	request := &forward.Request{
-		Ask:    ask,
-		Method: r.Method,
-		Host:   r.Host,
-		Target: targetOf(r),
-		Header: r.Header,
-		Body:   body,
-		From:   hostName(r.RemoteAddr),
-		Caller: caller,
+		RequestMetadata: ask,
+		Method:          r.Method,
+		Host:            r.Host,
+		Target:          targetOf(r),
+		Header:          r.Header,
+		Body:            body,
+		ClientAddr:      hostName(r.RemoteAddr),
+		Caller:          caller,
 	}
 	i.Serve(r.Context(), w, route, request, arrived)
 }
 
 // callerOf finds whose request it is by the configuration in force. It is not known
 // where the route wants a key and no workspace holds the one that came.
-func callerOf(config *site.Config, route *site.Route, ask forward.Ask) (forward.Caller, bool) {
-	caller := forward.Caller{Checked: config.Workspaces != nil}
-	if !caller.Checked {
+func callerOf(config *site.Config, route *site.Route, ask forward.RequestMetadata) (forward.Caller, bool) {
+	caller := forward.Caller{KeysEnforced: config.Workspaces != nil}
+	if !caller.KeysEnforced {
 		return caller, true
 	}
-	if ask.Keyed {
-		caller.Workspace, _ = config.Workspaces.ByKey(ask.Key)
+	if ask.HasKey {
+		caller.Workspace, _ = config.Workspaces.ByKey(ask.KeyDigest)
 	}
 	return caller, caller.Workspace != nil || route.Public
 }
@@ -178,7 +178,7 @@
 }
 
 // read reads the body and gives the status to reject the request with, or 0.
-func (i *Ingress) read(w http.ResponseWriter, r *http.Request, config *site.Config, ask forward.Ask) ([]byte, int) {
+func (i *Ingress) read(w http.ResponseWriter, r *http.Request, config *site.Config, ask forward.RequestMetadata) ([]byte, int) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, 0
 	}
@@ -189,7 +189,7 @@
 	if r.ContentLength > limit {
 		return nil, http.StatusRequestEntityTooLarge
 	}
-	patience := ask.Patience
+	patience := ask.ClientTimeout
 	if patience == 0 {
 		patience = bodyTimeout
 	}
@@ -238,7 +238,7 @@
 
 // idOf gives the request's id for the log, where it has one.
 func (i *Ingress) idOf(r *http.Request) string {
-	ask, err := i.Dialect.Ask(r.Header)
+	ask, err := i.Dialect.ParseRequest(r.Header)
 	if err != nil {
 		return ""
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -27,24 +27,26 @@
 // dialect reads a request's ID and its caller's patience.
 type dialect struct{}
 
-func (dialect) Ask(header http.Header) (forward.Ask, error) {
-	ask := forward.Ask{ID: header.Get("Id")}
+func (dialect) ParseRequest(header http.Header) (forward.RequestMetadata, error) {
+	ask := forward.RequestMetadata{ID: header.Get("Id")}
 	if ask.ID == "" {
 		return ask, errors.New("no ID")
 	}
-	ask.Key, ask.Keyed = credential.Bearer(header["Authorization"])
+	ask.KeyDigest, ask.HasKey = credential.Bearer(header["Authorization"])
 	if text := header.Get("Patience"); text != "" {
 		patience, err := time.ParseDuration(text)
 		if err != nil {
 			return ask, errors.Wrap(err, "patience")
 		}
-		ask.Patience = patience
+		ask.ClientTimeout = patience
 	}
 	return ask, nil
 }
 
-func (dialect) Set(_, _ http.Header, _ forward.Ask, _ forward.Send) {}
-func (dialect) Told(int, http.Header) forward.Told                  { return forward.Told{} }
+func (dialect) SetRequestHeaders(_, _ http.Header, _ forward.RequestMetadata, _ forward.Attempt) {}
+func (dialect) ParseResponse(int, http.Header) forward.ResponseMetadata {
+	return forward.ResponseMetadata{}
+}
 
 // decoder knows one configuration.
 type decoder struct{ config *site.Config }
@@ -155,7 +157,7 @@
 		must.Eq(t, "/a/b%20c/../d?x=1%2b2&x=3", request.Target)
 		must.Eq(t, "abcde", string(request.Body))
 		must.Eq(t, "q", request.ID)
-		must.Eq(t, "caller", request.From)
+		must.Eq(t, "caller", request.ClientAddr)
 	})
 }
 
--- a/internal/ingress/keys_test.go
+++ b/internal/ingress/keys_test.go
@@ -55,7 +55,7 @@
 					return
 				}
 				must.Eq(t, test.workspace, e.served[0].WorkspaceName())
-				must.Eq(t, test.checked, e.served[0].Caller.Checked)
+				must.Eq(t, test.checked, e.served[0].Caller.KeysEnforced)
 			})
 		})
 	}
--- a/internal/serve/answer.go
+++ b/internal/serve/answer.go
@@ -98,7 +98,7 @@
 	snapshot := l.s.Directory.Snapshot()
 	configAge, runnersAge := l.s.Ages()
 	fields := []any{
-		"id", l.request.ID, "content", l.content.String(), "from", l.request.From, "route", l.route.Name, "kind", l.route.Kind.String(), "status", l.status, "complete", l.finished,
+		"id", l.request.ID, "content", l.content.String(), "from", l.request.ClientAddr, "route", l.route.Name, "kind", l.route.Kind.String(), "status", l.status, "complete", l.finished,
 		"sends", l.sends, "may_have_run", l.mayRun, "ms", now.Sub(l.arrived).Milliseconds(),
 		"target_ms", l.route.TargetLatency.Milliseconds(), "target_gap_ms", l.route.TargetGap.Milliseconds(),
 		"left_ms", l.deadline.Sub(now).Milliseconds(), "config", snapshot.Config.Version,
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -62,12 +62,12 @@
 
 // noteSignal notes what an answer, whatever it is, says of the requests that its runner can
 // take.
-func (l *life) noteSignal(answer *forward.Answer, failure *forward.Failure) {
-	var told forward.Told
+func (l *life) noteSignal(answer *forward.Response, failure *forward.Failure) {
+	var told forward.ResponseMetadata
 	if failure == nil {
-		told = answer.Told
+		told = answer.Metadata
 	} else {
-		told = failure.Told
+		told = failure.Metadata
 	}
 	if told.Signal != nil {
 		l.s.Pressure.Signalled(l.runner, told.Signal, l.request.ID, l.sentAt)
@@ -81,17 +81,17 @@
 	switch {
 	case failure == nil && l.finished && l.status/100 == 2:
 		l.s.Quarantine.Completed(l.content, now)
-	case failure != nil && failure.CutOff && ctx.Err() == nil:
+	case failure != nil && failure.ConnectionLost && ctx.Err() == nil:
 		l.s.Quarantine.CutOff(quarantine.Cut{Content: l.content, Runner: l.runner.ID, At: now, Lasted: now.Sub(l.sentAt)})
 	}
 }
 
-func (l *life) send() forward.Send {
-	return forward.Send{
+func (l *life) send() forward.Attempt {
+	return forward.Attempt{
 		Instance:       l.runner.Instance,
-		Left:           l.left(),
+		Remaining:      l.left(),
 		AdapterVersion: l.key.Version,
-		Urgency:        evenUrgency,
+		Priority:       evenUrgency,
 		ResumeAfter:    l.last,
 		Caller:         l.request.Caller,
 	}
@@ -158,7 +158,7 @@
 }
 
 // pass passes an answer on.
-func (l *life) pass(answer *forward.Answer, silence *time.Timer) *forward.Failure {
+func (l *life) pass(answer *forward.Response, silence *time.Timer) *forward.Failure {
 	defer func() { _ = answer.Body.Close() }()
 	if answer.Status == http.StatusOK && isEventStream(answer.Header) {
 		return l.passEvents(answer, silence)
@@ -173,18 +173,18 @@
 
 // passWhole passes an answer on once it is whole: one that is cut short must
 // not look complete, and a repeatable request can still go elsewhere.
-func (l *life) passWhole(answer *forward.Answer) *forward.Failure {
+func (l *life) passWhole(answer *forward.Response) *forward.Failure {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerBytes))
 	if err != nil {
-		return forward.BrokenOff(answer.Told, err)
+		return forward.TruncatedResponse(answer.Metadata, err)
 	}
 	if l.started {
 		// A resumed stream got something else than events.
-		return &forward.Failure{Verdict: verdict.MayHaveRun, Reason: forward.ReasonBroken, Cause: errors.Errorf("status %d", answer.Status), Told: answer.Told}
+		return &forward.Failure{Verdict: verdict.MayHaveRun, Reason: forward.ReasonBroken, Cause: errors.Errorf("status %d", answer.Status), Metadata: answer.Metadata}
 	}
 	if answer.Status >= http.StatusInternalServerError && l.mayGoOn() {
 		l.status = answer.Status
-		return &forward.Failure{Verdict: verdict.MayHaveRun, Reason: forward.ReasonBroken, Cause: errors.Errorf("status %d", answer.Status), Told: answer.Told}
+		return &forward.Failure{Verdict: verdict.MayHaveRun, Reason: forward.ReasonBroken, Cause: errors.Errorf("status %d", answer.Status), Metadata: answer.Metadata}
 	}
 	header := l.w.Header()
 	copyHeader(header, answer.Header)
@@ -209,7 +209,7 @@
 }
 
 // passEvents passes whole events on as they come.
-func (l *life) passEvents(answer *forward.Answer, silence *time.Timer) *forward.Failure {
+func (l *life) passEvents(answer *forward.Response, silence *time.Timer) *forward.Failure {
 	flusher := http.NewResponseController(l.w)
 	var held []byte
 	chunk := make([]byte, eventBuffer)
@@ -231,7 +231,7 @@
 			if err == nil || err == io.EOF {
 				err = errors.New("the stream ended within an event")
 			}
-			return forward.BrokenOff(answer.Told, err)
+			return forward.TruncatedResponse(answer.Metadata, err)
 		}
 	}
 }
@@ -246,7 +246,7 @@
 	silence.Reset(max(leastGap, gapFactor*l.route.TargetGap))
 }
 
-func (l *life) write(answer *forward.Answer, flusher *http.ResponseController, events []byte) *forward.Failure {
+func (l *life) write(answer *forward.Response, flusher *http.ResponseController, events []byte) *forward.Failure {
 	if !l.started {
 		copyHeader(l.w.Header(), answer.Header)
 		l.start(answer.Status)
--- a/internal/serve/charge.go
+++ b/internal/serve/charge.go
@@ -56,11 +56,11 @@
 	if workspace == nil {
 		return true
 	}
-	if workspace.Quota.InTokens && l.request.Counted.Bad != nil {
-		l.plain(http.StatusBadRequest, l.request.Counted.Bad.Error())
+	if workspace.Quota.InTokens && l.request.TokenCounts.Err != nil {
+		l.plain(http.StatusBadRequest, l.request.TokenCounts.Err.Error())
 		return false
 	}
-	cost := workspace.Quota.Cost(l.request.Counted.Tokens, l.request.Counted.Told)
+	cost := workspace.Quota.Cost(l.request.TokenCounts.Tokens, l.request.TokenCounts.Present)
 	l.charge = l.s.Quotas.Charge(ctx, workspace, cost, l.route.TargetLatency)
 	switch l.charge.Outcome {
 	case ChargeRefused:
--- a/internal/serve/charge_test.go
+++ b/internal/serve/charge_test.go
@@ -29,23 +29,23 @@
 func (q *quotas) GiveBack(Charge) { q.back++ }
 
 // askAs serves a request of a workspace whose quota is in tokens.
-func (w *world) askAs(counted forward.Counted) *httptest.ResponseRecorder {
+func (w *world) askAs(counted forward.TokenCounts) *httptest.ResponseRecorder {
 	route := &site.Route{
 		Name: "live", Kind: site.Streaming, Timeout: 5 * time.Second, TargetLatency: 600 * time.Millisecond, TargetGap: 250 * time.Millisecond,
 		MaxAttempts: 2, Resumable: true, Targets: []site.Target{{Service: llm, Weight: 1}},
 	}
 	workspace := &site.Workspace{Name: "harbour", Quota: site.Quota{Rate: 100, Burst: 100, InTokens: true, PlainTokens: 200}}
 	request := &forward.Request{
-		Ask:    forward.Ask{ID: "q", Adapter: site.Adapter{Model: model, Name: "a1"}, PromptTokens: 800, OutputTokens: 100, Counted: counted},
-		Method: http.MethodPost, Host: "host", Target: "/live/x", Header: http.Header{},
-		Caller: forward.Caller{Checked: true, Workspace: workspace},
+		RequestMetadata: forward.RequestMetadata{ID: "q", Adapter: site.Adapter{Model: model, Name: "a1"}, PromptTokens: 800, OutputTokens: 100, TokenCounts: counted},
+		Method:          http.MethodPost, Host: "host", Target: "/live/x", Header: http.Header{},
+		Caller: forward.Caller{KeysEnforced: true, Workspace: workspace},
 	}
 	answer := httptest.NewRecorder()
 	w.server.Serve(w.t.Context(), answer, route, request, time.Now())
 	return answer
 }
 
-var told = forward.Counted{Tokens: 900, Told: true}
+var told = forward.TokenCounts{Tokens: 900, Present: true}
 
 // A workspace has used its quota up. Its caller is told so and when to come back, before a
 // place is asked for or anything is sent.
@@ -74,9 +74,9 @@
 // configuration's figure, and nothing goes back.
 func TestServedRequestIsChargedOnce(t *testing.T) {
 	for name, test := range map[string]struct {
-		counted forward.Counted
+		counted forward.TokenCounts
 		cost    float64
-	}{"tokens told": {told, 900}, "none told": {forward.Counted{}, 200}} {
+	}{"tokens told": {told, 900}, "none told": {forward.TokenCounts{}, 200}} {
 		t.Run(name, func(t *testing.T) {
 			inWorld(t, 1, func(w *world) {
 				q := &quotas{outcome: ChargeGranted}
@@ -151,7 +151,7 @@
 	inWorld(t, 1, func(w *world) {
 		q := &quotas{outcome: ChargeGranted}
 		w.server.Quotas = q
-		answer := w.askAs(forward.Counted{Told: true, Bad: errors.New("not a number")})
+		answer := w.askAs(forward.TokenCounts{Present: true, Err: errors.New("not a number")})
 		must.Eq(t, http.StatusBadRequest, answer.Code)
 		must.StrContains(t, answer.Body.String(), "not a number")
 		must.SliceEmpty(t, q.charged)
--- a/internal/serve/quarantine_test.go
+++ b/internal/serve/quarantine_test.go
@@ -26,8 +26,8 @@
 
 func (w *world) request() *forward.Request {
 	return &forward.Request{
-		Ask:    forward.Ask{ID: "q", Adapter: site.Adapter{Model: model, Name: "a"}, PromptTokens: 800, OutputTokens: 100},
-		Method: http.MethodPost, Host: "host", Target: "/live/x", Header: http.Header{},
+		RequestMetadata: forward.RequestMetadata{ID: "q", Adapter: site.Adapter{Model: model, Name: "a"}, PromptTokens: 800, OutputTokens: 100},
+		Method:          http.MethodPost, Host: "host", Target: "/live/x", Header: http.Header{},
 	}
 }
 
--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -116,7 +116,7 @@
 			Key:      l.key,
 			Tokens:   l.request.PromptTokens,
 			Output:   l.request.OutputTokens,
-			Likely:   l.request.LikelyTokens,
+			Likely:   l.request.ExpectedOutputTokens,
 			Patience: l.route.TargetLatency / patienceShare,
 			Target:   l.arrived.Add(l.route.TargetLatency - firstMargin).Sub(l.s.Now()),
 			Within:   within,
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -246,12 +246,12 @@
 
 func patience(route *site.Route, request *forward.Request) time.Duration {
 	switch {
-	case request.Patience == 0:
+	case request.ClientTimeout == 0:
 		return route.Timeout
 	case route.Timeout == 0:
-		return request.Patience
+		return request.ClientTimeout
 	default:
-		return min(route.Timeout, request.Patience)
+		return min(route.Timeout, request.ClientTimeout)
 	}
 }
 
@@ -420,7 +420,7 @@
 // Engines that want rest and engines that still load an adapter refuse alike. Sent to the
 // same one until its sends were spent, a request was refused while others had places.
 func (l *life) early() bool {
-	told := l.failure.Told
+	told := l.failure.Metadata
 	if told.Misdirected {
 		return true
 	}
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -62,16 +62,18 @@
 // headers is a dialect of a few headers.
 type headers struct{}
 
-func (headers) Ask(http.Header) (forward.Ask, error) { return forward.Ask{}, nil }
+func (headers) ParseRequest(http.Header) (forward.RequestMetadata, error) {
+	return forward.RequestMetadata{}, nil
+}
 
-func (headers) Set(header, _ http.Header, ask forward.Ask, send forward.Send) {
+func (headers) SetRequestHeaders(header, _ http.Header, ask forward.RequestMetadata, send forward.Attempt) {
 	header.Set("Id", ask.ID)
 	header.Set(versionHeader, fmt.Sprint(send.AdapterVersion))
 	header.Set(instanceHeader, send.Instance)
 }
 
-func (headers) Told(_ int, header http.Header) forward.Told {
-	return forward.Told{ID: header.Get("Id"), Stamped: header.Get(stampHeader) != "", NotRun: header.Get(notRunHeader) != ""}
+func (headers) ParseResponse(_ int, header http.Header) forward.ResponseMetadata {
+	return forward.ResponseMetadata{RequestID: header.Get("Id"), Stamped: header.Get(stampHeader) != "", NotRun: header.Get(notRunHeader) != ""}
 }
 
 // owners plays the owners of runners. Admissions are answered in turn; after the
@@ -198,8 +200,8 @@
 		MaxAttempts: 1, Targets: []site.Target{{Service: llm, Weight: 1}},
 	}
 	request := &forward.Request{
-		Ask:    forward.Ask{ID: "q", Adapter: site.Adapter{Model: model, Name: adapter}, PromptTokens: 800, OutputTokens: 100},
-		Method: http.MethodPost, Host: "host", Target: "/live/x", Header: http.Header{},
+		RequestMetadata: forward.RequestMetadata{ID: "q", Adapter: site.Adapter{Model: model, Name: adapter}, PromptTokens: 800, OutputTokens: 100},
+		Method:          http.MethodPost, Host: "host", Target: "/live/x", Header: http.Header{},
 	}
 	answer := httptest.NewRecorder()
 	w.server.Serve(w.t.Context(), answer, route, request, time.Now())
