--- a/cmd/cherrystaged/platform.go
+++ b/cmd/cherrystaged/platform.go
@@ -125,24 +125,24 @@
 		peerKey = defaultPeerKey
 	}
 	return entry.Config{
-		Host:        placed.Host,
-		DataCentre:  placed.DataCentre,
-		PeerAddress: placed.Peers,
-		Seeds:       placed.Seeds,
-		PeerKey:     []byte(peerKey),
-		OrderGap:    placed.Bounds.OrderLease,
-		Grace:       placed.Bounds.Grace,
-		Retries: retrybudget.Limit{
+		Host:          placed.Host,
+		DataCentre:    placed.DataCentre,
+		PeerAddress:   placed.Peers,
+		Seeds:         placed.Seeds,
+		PeerKey:       []byte(peerKey),
+		OrderGap:      placed.Bounds.OrderLease,
+		ShutdownGrace: placed.Bounds.Grace,
+		RetryLimit: retrybudget.Limit{
 			Ratio:  placed.Bounds.RetryRatio,
 			Slack:  placed.Bounds.RetrySlack,
 			Window: placed.Bounds.RetryWindow,
 		},
-		Quotas: quota.Tolerance{
+		QuotaTolerance: quota.Tolerance{
 			Window:    placed.Bounds.QuotaWindow,
 			Overshoot: placed.Bounds.QuotaOvershoot,
 			Slack:     placed.Bounds.QuotaSlack,
 		},
-		Models: adapters.LoadLimit{Window: placed.Bounds.LoadWindow, Overshoot: placed.Bounds.LoadOvershoot},
+		LoadLimit: adapters.LoadLimit{Window: placed.Bounds.LoadWindow, Overshoot: placed.Bounds.LoadOvershoot},
 	}
 }
 
@@ -251,6 +251,6 @@
 		log.Error("settings not reloaded; the ones before stay in force", "error", err.Error())
 		return
 	}
-	e.SetGrace(placed.Bounds.Grace)
+	e.SetShutdownGrace(placed.Bounds.Grace)
 	log.Info("settings reloaded", "grace_ms", placed.Bounds.Grace.Milliseconds())
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -236,7 +236,7 @@
 		}
 		state.note(failure)
 		if req.Restart != nil {
-			failure.Passed = 0
+			failure.Delivered = 0
 		}
 		if !failure.MayRetry(req.Idempotent) || attempt == maxAttempts {
 			return state.final(failureRefusal(failure))
--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -44,8 +44,8 @@
 	CodeBusy       = "busy"
 )
 
-// Refusal is an engine's JSON error.
-type Refusal struct {
+// ErrorResponse is an engine's JSON error.
+type ErrorResponse struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
@@ -60,8 +60,8 @@
 // Report is an engine's load report. It describes the engine as it was Lag
 // before the answer was sent.
 type Report struct {
-	// Boot changes with every start of the engine.
-	Boot     string          `json:"boot"`
+	// BootID changes with every start of the engine.
+	BootID   string          `json:"boot"`
 	Seq      uint64          `json:"seq"`
 	LagMS    int64           `json:"lag_ms"`
 	Slots    int             `json:"slots"`
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -190,11 +190,11 @@
 func readRefusal(resp *http.Response) *Failure {
 	defer func() { _ = resp.Body.Close() }()
 	failure := &Failure{
-		Stage:      StageRefused,
-		Status:     resp.StatusCode,
-		SaidNotRun: resp.Header.Get(HeaderNotRun) == "true",
+		Stage:        StageRefused,
+		Status:       resp.StatusCode,
+		MarkedNotRun: resp.Header.Get(HeaderNotRun) == "true",
 	}
-	var refusal Refusal
+	var refusal ErrorResponse
 	if json.NewDecoder(io.LimitReader(resp.Body, maxRefusalBytes)).Decode(&refusal) == nil {
 		failure.Code = refusal.Code
 	}
@@ -211,7 +211,7 @@
 // has, or may have, begun the request, its connection broke or went silent,
 // and the caller is still there.
 func (a *attempt) resumable(ctx context.Context, failure *Failure) bool {
-	if ctx.Err() != nil || (failure.Code != CodeCut && failure.Code != CodeSilent) {
+	if ctx.Err() != nil || (failure.Code != CodeTruncated && failure.Code != CodeSilent) {
 		return false
 	}
 	return failure.Stage == StageStream || (failure.Stage == StageSend && a.reused.Load())
@@ -227,12 +227,12 @@
 	url := "http://" + a.call.Address + "/v1/streams/" + a.call.AttemptID + "?from=" + strconv.Itoa(a.assembler.Next())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return a.streamFailure(CodeCut, err)
+		return a.streamFailure(CodeTruncated, err)
 	}
 	req.Header.Set(HeaderTrace, a.call.TraceID)
 	resp, err := a.client.fresh.Do(req)
 	if err != nil {
-		return a.streamFailure(CodeCut, err)
+		return a.streamFailure(CodeTruncated, err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
@@ -242,7 +242,7 @@
 }
 
 func (a *attempt) streamFailure(code string, cause error) *Failure {
-	return &Failure{Stage: StageStream, Code: code, Passed: a.passed, Cause: cause}
+	return &Failure{Stage: StageStream, Code: code, Delivered: a.passed, Cause: cause}
 }
 
 // cancel tells the engine to stop. It is a courtesy: nothing depends on its
--- a/internal/engine/failure.go
+++ b/internal/engine/failure.go
@@ -26,10 +26,10 @@
 	Stage  Stage
 	Status int    // HTTP status of a refusal, else 0
 	Code   string // the target's or this package's code
-	// SaidNotRun: the target marked its refusal as coming before the request was begun.
-	SaidNotRun bool
-	// Passed is the number of pieces that had been passed on.
-	Passed     int
+	// MarkedNotRun: the target marked its refusal as coming before the request was begun.
+	MarkedNotRun bool
+	// Delivered is the number of pieces that had been passed on.
+	Delivered  int
 	RetryAfter time.Duration
 	Cause      error
 }
@@ -38,7 +38,7 @@
 const (
 	CodeWrongModel  = "wrong_model"
 	CodeMalformed   = "malformed_answer"
-	CodeCut         = "answer_cut"
+	CodeTruncated   = "answer_cut"
 	CodeSilent      = "answer_silent"
 	CodeNoAnswer    = "no_answer"
 	CodeUnreachable = "target_unreachable"
@@ -68,7 +68,7 @@
 	case StageConnect:
 		return verdict.NotRun
 	case StageRefused:
-		if f.SaidNotRun || refusedBeforeRun(f.Status) {
+		if f.MarkedNotRun || refusedBeforeRun(f.Status) {
 			return verdict.NotRun
 		}
 	}
@@ -106,5 +106,5 @@
 	if f.Verdict() == verdict.NotRun {
 		return true
 	}
-	return idempotent && f.Passed == 0
+	return idempotent && f.Delivered == 0
 }
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -57,7 +57,7 @@
 	if resp.StatusCode == http.StatusOK {
 		return nil
 	}
-	var refusal Refusal
+	var refusal ErrorResponse
 	_ = json.NewDecoder(io.LimitReader(resp.Body, maxRefusalBytes)).Decode(&refusal)
 	failed := &OrderError{Order: order, Code: refusal.Code, verdict: verdict.NotRun}
 	if refusal.Code == "" {
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -44,7 +44,7 @@
 		} else if failure := a.take(Piece{Position: position, Data: []byte(event.Data)}); failure != nil {
 			return failure
 		}
-		if a.assembler.Whole() {
+		if a.assembler.Complete() {
 			patience.Reset(drainTime)
 			_, _ = io.CopyN(io.Discard, body, drainBytes)
 			return nil
@@ -72,7 +72,7 @@
 	}
 	for _, next := range ready {
 		if err := a.pass(next); err != nil {
-			return &Failure{Stage: StageCaller, Code: CodeCallerGone, Passed: a.passed, Cause: errCaller{err}}
+			return &Failure{Stage: StageCaller, Code: CodeCallerGone, Delivered: a.passed, Cause: errCaller{err}}
 		}
 		a.passed++
 	}
@@ -99,9 +99,9 @@
 	case errors.Is(context.Cause(ctx), errSilent):
 		return a.streamFailure(CodeSilent, errSilent)
 	case ctx.Err() != nil:
-		return &Failure{Stage: StageCaller, Code: CodeCallerGone, Passed: a.passed, Cause: ctx.Err()}
+		return &Failure{Stage: StageCaller, Code: CodeCallerGone, Delivered: a.passed, Cause: ctx.Err()}
 	default:
-		return a.streamFailure(CodeCut, err)
+		return a.streamFailure(CodeTruncated, err)
 	}
 }
 
@@ -121,8 +121,8 @@
 // End notes that the answer has so many pieces.
 func (a *Assembler) End(count int) { a.end = count }
 
-// Whole says whether all pieces have come.
-func (a *Assembler) Whole() bool { return a.end >= 0 && a.next >= a.end }
+// Complete says whether all pieces have come.
+func (a *Assembler) Complete() bool { return a.end >= 0 && a.next >= a.end }
 
 // Push takes a piece and gives those that are now in order. A piece that came
 // before is dropped; one that came early is held, up to a bound.
--- a/internal/engine/verdict_test.go
+++ b/internal/engine/verdict_test.go
@@ -95,7 +95,7 @@
 				must.Eq(t, row.stage, failure.Stage)
 				must.Eq(t, row.code, failure.Code)
 				must.Eq(t, row.verdict, failure.Verdict())
-				must.Eq(t, row.passed, failure.Passed)
+				must.Eq(t, row.passed, failure.Delivered)
 				must.Eq(t, row.retryIdempotent, failure.MayRetry(true))
 				must.Eq(t, row.retryOnce, failure.MayRetry(false))
 			})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -45,17 +45,17 @@
 	// PeerAddress is where peers reach this host.
 	PeerAddress string
 	// Seeds are addresses of hosts that a new process may ask first.
-	Seeds    []string
-	PeerKey  []byte
-	OrderGap time.Duration
-	Grace    time.Duration
-	Retries  retrybudget.Limit
-	Quotas   quota.Tolerance
-	Models   adapters.LoadLimit
+	Seeds          []string
+	PeerKey        []byte
+	OrderGap       time.Duration
+	ShutdownGrace  time.Duration
+	RetryLimit     retrybudget.Limit
+	QuotaTolerance quota.Tolerance
+	LoadLimit      adapters.LoadLimit
 }
 
-// Dial opens connections.
-type Dial func(ctx context.Context, network, address string) (net.Conn, error)
+// DialFunc opens connections.
+type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Entry is one entry host. It is safe for concurrent use.
 type Entry struct {
@@ -111,9 +111,9 @@
 const reconcileInterval = 100 * time.Millisecond
 
 // New puts a host together. It does nothing yet.
-func New(cfg Config, platform Platform, dial Dial, now func() time.Time, log hclog.Logger) *Entry {
+func New(cfg Config, platform Platform, dial DialFunc, now func() time.Time, log hclog.Logger) *Entry {
 	e := &Entry{cfg: cfg, log: log, now: now, started: now(), changed: make(chan struct{}, 1)}
-	e.grace.Store(int64(cfg.Grace))
+	e.grace.Store(int64(cfg.ShutdownGrace))
 	identity := peer.Identity{Host: cfg.Host, Incarnation: newIncarnation()}
 	pool := peer.NewPool(identity, cfg.PeerKey, peer.Dialer(dial), log)
 	e.directory = directory.New(platform.Decoder, now, log)
@@ -124,7 +124,7 @@
 	e.owners = newOwners(cfg.Host, e.state, pool, e.board, now, log)
 	e.pressure = newPressure(cfg.Host, e.state, pool, e.board, e.directory, now, log)
 	e.suspects = newSuspects(cfg.Host, e.state, pool, platform.Store, e.board, now, log)
-	e.quotas = newQuotas(cfg.Host, e.state, pool, e.directory, cfg.Quotas, now, log)
+	e.quotas = newQuotas(cfg.Host, e.state, pool, e.directory, cfg.QuotaTolerance, now, log)
 	told := &statuses{
 		board: e.board, directory: e.directory, now: now, log: log, peers: map[string]heard{},
 		quarantined: e.suspects.quarantine.Digest, quarantinedAt: e.suspects.heard, limitAt: e.pressure.peerLimit, leavingAt: e.pressure.peerLeaving,
@@ -132,7 +132,7 @@
 	e.owner = adapters.NewOwner(adapters.OwnerDeps{
 		Host: cfg.Host, Engines: platform.Engines, Authority: e.state,
 		Owns: e.owns, Crowd: told.crowd, Load: e.board.View, Share: told.share, Reading: told.reading,
-		Hosts: e.state.Size, Models: cfg.Models, Restarted: e.directory.Restarted, Signalled: e.pressure.engineSignalled, Now: now, Log: log,
+		Hosts: e.state.Size, Models: cfg.LoadLimit, Restarted: e.directory.Restarted, Signalled: e.pressure.engineSignalled, Now: now, Log: log,
 	})
 	e.owners.owner = e.owner
 	told.owner = e.owner
@@ -157,7 +157,7 @@
 	e.client = forward.NewClient(platform.Dialect, dial)
 	e.server = serve.New(serve.Deps{
 		DataCentre: cfg.DataCentre, Directory: e.directory, Board: e.board, Owners: e.owners, Pressure: e.pressure,
-		Client: e.client, Quarantine: e.suspects.quarantine, Limit: cfg.Retries, Quotas: e.quotas, Ages: func() (config, runners time.Duration) {
+		Client: e.client, Quarantine: e.suspects.quarantine, Limit: cfg.RetryLimit, Quotas: e.quotas, Ages: func() (config, runners time.Duration) {
 			return e.mesh.Age(platform.ConfigKind), e.mesh.Age(platform.RunnerKind)
 		}, Hosts: e.sharers, Now: now, Log: log,
 	})
@@ -376,10 +376,10 @@
 	e.log.Info("requests ended", "left", e.requests.Load(), "took_ms", e.now().Sub(begin).Milliseconds())
 }
 
-// SetGrace takes over the grace, which may change while the process runs. The
+// SetShutdownGrace takes over the grace, which may change while the process runs. The
 // gap between orders of two hosts and the part of the retry budget are agreed
 // between processes and hold for a process's life.
-func (e *Entry) SetGrace(grace time.Duration) { e.grace.Store(int64(grace)) }
+func (e *Entry) SetShutdownGrace(grace time.Duration) { e.grace.Store(int64(grace)) }
 
 // Vars gives the metrics.
 func (e *Entry) Vars() *expvar.Map {
--- a/internal/plain/plain.go
+++ b/internal/plain/plain.go
@@ -126,11 +126,11 @@
 
 func readAnswer(resp *http.Response) (Answer, *engine.Failure) {
 	if resp.Header.Get(engine.HeaderNotRun) == "true" {
-		return Answer{}, &engine.Failure{Stage: engine.StageRefused, Status: resp.StatusCode, Code: engine.CodeBusy, SaidNotRun: true}
+		return Answer{}, &engine.Failure{Stage: engine.StageRefused, Status: resp.StatusCode, Code: engine.CodeBusy, MarkedNotRun: true}
 	}
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerBytes+1))
 	if err != nil {
-		return Answer{}, &engine.Failure{Stage: engine.StageSend, Code: engine.CodeCut, Cause: err}
+		return Answer{}, &engine.Failure{Stage: engine.StageSend, Code: engine.CodeTruncated, Cause: err}
 	}
 	if len(body) > MaxAnswerBytes {
 		return Answer{}, &engine.Failure{Stage: engine.StageSend, Code: engine.CodeMalformed, Cause: errors.New("answer over the bound")}
--- a/internal/residency/machine_test.go
+++ b/internal/residency/machine_test.go
@@ -81,7 +81,7 @@
 
 func (m *machine) report() {
 	m.now = m.now.Add(10 * time.Second)
-	report := engine.Report{Boot: fmt.Sprint(m.boot), Slots: slots, MaxBatch: 4}
+	report := engine.Report{BootID: fmt.Sprint(m.boot), Slots: slots, MaxBatch: 4}
 	for _, model := range models {
 		if m.loaded[model] {
 			report.Resident = append(report.Resident, engine.ResidentModel{Model: model, Running: m.using[model]})
--- a/internal/residency/runner.go
+++ b/internal/residency/runner.go
@@ -138,10 +138,10 @@
 		return
 	}
 	r.slotCount = report.Slots
-	if r.boot != "" && r.boot != report.Boot {
+	if r.boot != "" && r.boot != report.BootID {
 		r.forgetResident()
 	}
-	r.boot = report.Boot
+	r.boot = report.BootID
 	r.report = report
 	r.described = described
 	r.reconcile()
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -437,7 +437,7 @@
 
 func (e *Engine) currentLocked() engine.Report {
 	report := engine.Report{
-		Boot:     e.cfg.ID + "-" + strconv.Itoa(e.boot),
+		BootID:   e.cfg.ID + "-" + strconv.Itoa(e.boot),
 		Seq:      e.seq,
 		Slots:    e.cfg.Slots,
 		MaxBatch: e.cfg.MaxBatch,
@@ -457,5 +457,5 @@
 	if notRun {
 		w.Header().Set(engine.HeaderNotRun, "true")
 	}
-	writeJSON(w, status, engine.Refusal{Code: code, Message: message})
+	writeJSON(w, status, engine.ErrorResponse{Code: code, Message: message})
 }
