--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,5 +1,5 @@
-// Package forward makes one attempt of a caller's request on one runner and
-// says what came of it. Whether to try again is decided elsewhere.
+// Package forward sends one attempt of a caller's request to one runner and
+// classifies the outcome. The caller of the package decides whether to retry.
 package forward
 
 import (
@@ -22,111 +22,111 @@
 	"github.com/pkg/errors"
 )
 
-// RequestMetadata is what a caller's headers say of its request.
+// RequestMetadata holds what the headers of a caller's request say.
 type RequestMetadata struct {
-	// ID names this attempt of the caller.
+	// ID is the caller's identifier of this attempt.
 	ID string
-	// Adapter names the model, and the adapter unless its name is empty. It is
-	// zero for services without models.
+	// Adapter is the requested model, and adapter unless its name is empty. It is
+	// the zero value for services without models.
 	Adapter      site.Adapter
 	PromptTokens int
 	OutputTokens int
-	// TokenCounts is what the caller's numbers of tokens come to.
+	// TokenCounts is the total that the token-count header declares.
 	TokenCounts TokenCounts
-	// KeyDigest is the digest of the caller's bearer key, HasKey whether there is one.
+	// KeyDigest is the digest of the caller's bearer key; it is valid only if HasKey is set.
 	KeyDigest credential.Digest
 	HasKey    bool
-	// ExpectedOutputTokens is the caller's estimate of the answer's length, 0 if it has none.
+	// ExpectedOutputTokens is the caller's estimate of the response length, 0 if it gives none.
 	ExpectedOutputTokens int
-	// ClientTimeout is how long the caller waits for the answer; 0 if it does not say.
+	// ClientTimeout is how long the caller waits for the response, 0 if it does not say.
 	ClientTimeout time.Duration
-	// ResumeAfter is the last event that the caller has of an earlier answer.
+	// ResumeAfter is the ID of the last event that the caller received in an earlier response.
 	ResumeAfter string
 }
 
-// TokenCounts is the number of tokens of a request, of its prompt and its answer together,
-// as its caller tells it.
+// TokenCounts is the number of tokens in prompt and response together, as the caller
+// declares it.
 type TokenCounts struct {
 	Tokens int64
-	// Present says that the caller tells numbers, Err what is wrong with them.
+	// Present reports whether the caller declares counts. Err is set if they are malformed.
 	Present bool
 	Err     error
 }
 
-// Caller is whose request it is.
+// Caller identifies the owner of a request.
 type Caller struct {
-	// KeysEnforced says that callers' keys count here: the runner gets no key, and the
-	// workspace that this host found in place of one that the caller names.
+	// KeysEnforced reports whether this deployment authenticates callers by key. If so,
+	// the key is not forwarded to the runner, and the workspace that this host looked up
+	// replaces any that the caller names.
 	KeysEnforced bool
-	// Workspace is nil on public routes and where keys do not count.
+	// Workspace is nil on public routes and where keys are not enforced.
 	Workspace *site.Workspace
 }
 
-// Attempt is what an attempt's headers tell the runner.
+// Attempt holds the values that are sent to the runner in the headers of one attempt.
 type Attempt struct {
-	// Instance is the runner that the request is meant for.
+	// Instance identifies the runner that the attempt is addressed to.
 	Instance string
-	// Remaining is the time after which the answer is of no use.
+	// Remaining is the time until the response is of no use to the caller.
 	Remaining time.Duration
-	// AdapterVersion is the version that must serve; 0 for any.
+	// AdapterVersion is the adapter version required, 0 for any.
 	AdapterVersion int64
-	// Priority is the request's place among those that wait at the runner, from
-	// 0, the first, to 9.
+	// Priority orders the requests that wait at the runner, from 0 (first) to 9.
 	Priority int
-	// ResumeAfter is the last event that the caller already has.
+	// ResumeAfter is the ID of the last event that the caller already has.
 	ResumeAfter string
-	// Caller is whose request it is.
+	// Caller is the owner of the request.
 	Caller Caller
 }
 
-// Load is what a runner says of its load in an answer.
+// Load is the load that a runner reports in a response.
 type Load struct {
 	Running, Waiting, Slots int
 }
 
-// ResponseMetadata is what an answer's headers say beside the answer itself.
+// ResponseMetadata holds what the headers of a runner's response say.
 type ResponseMetadata struct {
-	// RequestID is the request that the answer belongs to.
+	// RequestID identifies the request that the response belongs to.
 	RequestID string
-	// Stamped answers carry the runner's mark.
+	// Stamped reports whether the response carries the runner's stamp.
 	Stamped bool
-	// NotRun is the runner's word that it did not run the request.
+	// NotRun reports whether the runner states that it did not run the request.
 	NotRun bool
-	// Misdirected: another runner has the address, or the adapter or its
-	// version is not there.
+	// Misdirected reports that another runner now has the address, or that the
+	// runner lacks the adapter or its version.
 	Misdirected bool
-	// Load is nil where the runner does not tell it.
+	// Load is nil if the runner does not report it.
 	Load *Load
-	// Signal is what the runner asks of the hosts, nil where no answer came.
+	// Signal is the runner's backpressure signal, nil if no response arrived.
 	Signal *board.Signal
 }
 
-// Dialect reads and writes the platform's headers.
+// Dialect parses and sets the headers of a platform.
 type Dialect interface {
-	// ParseRequest reads a caller's headers.
+	// ParseRequest parses the headers of a caller's request.
 	ParseRequest(header http.Header) (RequestMetadata, error)
-	// SetRequestHeaders replaces the headers that belong to this layer. The header is what
-	// goes on of the caller's header, source.
-	SetRequestHeaders(header, source http.Header, ask RequestMetadata, send Attempt)
-	// ParseResponse reads an answer's headers.
+	// SetRequestHeaders replaces the headers that belong to this layer in header, which
+	// holds the end-to-end headers of the caller's headers, source.
+	SetRequestHeaders(header, source http.Header, metadata RequestMetadata, attempt Attempt)
+	// ParseResponse parses the headers of a runner's response.
 	ParseResponse(status int, header http.Header) ResponseMetadata
 }
 
-// Request is a caller's request, read whole.
+// Request is a caller's request with its complete body.
 type Request struct {
 	RequestMetadata
 	Method string
 	Host   string
-	// Target is the request's path and query as the caller sent them.
+	// Target is the path and query as the caller sent them.
 	Target string
 	Header http.Header
 	Body   []byte
-	// ClientAddr is the address that the request came from, without a port.
+	// ClientAddr is the remote address of the request, without a port.
 	ClientAddr string
 	Caller     Caller
 }
 
-// WorkspaceName gives the name of the request's workspace, empty where it has none.
+// WorkspaceName returns the name of the request's workspace, or "" if it has none.
 func (r *Request) WorkspaceName() string {
 	if r.Caller.Workspace == nil {
 		return ""
@@ -134,38 +134,38 @@
 	return r.Caller.Workspace.Name
 }
 
-// Response is a runner's answer whose headers have arrived. Its body must be
-// closed.
+// Response is a runner's response whose headers have arrived. The caller must
+// close its body.
 type Response struct {
 	Status   int
 	Header   http.Header
 	Metadata ResponseMetadata
 	Body     io.ReadCloser
-	// ContentLength is the body's length, -1 where the runner does not tell it.
+	// ContentLength is the body's length, -1 if unknown.
 	ContentLength int64
 }
 
-// Failure is an attempt that brought no answer to pass on.
+// Failure describes an attempt without a complete response to forward.
 type Failure struct {
 	Verdict verdict.Verdict
 	Reason  Reason
 	Cause   error
-	// Metadata is set where an answer came.
+	// Metadata is set if response headers arrived.
 	Metadata ResponseMetadata
-	// ConnectionLost says that the connection ended before the whole answer was there, as it does
-	// when the runner's process ends.
+	// ConnectionLost reports that the connection closed before the response was complete,
+	// as it does when the runner's process ends.
 	ConnectionLost bool
 }
 
-// TruncatedResponse gives the failure of an answer whose body ended before it was whole.
-func TruncatedResponse(told ResponseMetadata, cause error) *Failure {
-	return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Metadata: told, Cause: cause, ConnectionLost: ended(cause)}
+// TruncatedResponse returns the failure for a response whose body ended early.
+func TruncatedResponse(metadata ResponseMetadata, cause error) *Failure {
+	return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Metadata: metadata, Cause: cause, ConnectionLost: isConnectionClosed(cause)}
 }
 
-// ended says whether an error is that of a connection that the other side ended.
-func ended(err error) bool {
-	for _, end := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
-		if errors.Is(err, end) {
+// isConnectionClosed reports whether err means that the other side closed the connection.
+func isConnectionClosed(err error) bool {
+	for _, target := range []error{io.EOF, io.ErrUnexpectedEOF, syscall.ECONNRESET, syscall.EPIPE} {
+		if errors.Is(err, target) {
 			return true
 		}
 	}
@@ -177,13 +177,13 @@
 
 // Reasons of failures.
 const (
-	ReasonConnect  Reason = "connect"
-	ReasonRefused  Reason = "refused"
-	ReasonAbsent   Reason = "absent"
-	ReasonBroken   Reason = "broken"
-	ReasonForeign  Reason = "foreign"
-	ReasonTimeout  Reason = "timeout"
-	ReasonCanceled Reason = "canceled"
+	ReasonConnect  Reason = "connect"  // no connection
+	ReasonRefused  Reason = "refused"  // the runner states that it did not run the request
+	ReasonAbsent   Reason = "absent"   // the runner or the adapter is not at this address
+	ReasonBroken   Reason = "broken"   // the connection or the response is broken
+	ReasonForeign  Reason = "foreign"  // the response does not belong to the request
+	ReasonTimeout  Reason = "timeout"  // the deadline passed
+	ReasonCanceled Reason = "canceled" // the attempt was canceled
 )
 
 // Error implements error.
@@ -196,27 +196,27 @@
 }
 
 const (
-	// connectTimeout bounds the set-up of a connection. A runner is at most a
-	// few milliseconds away; one that takes longer is silent or full.
+	// connectTimeout bounds connection set-up. A runner is at most a few
+	// milliseconds away; one that takes longer is unresponsive or overloaded.
 	connectTimeout = 400 * time.Millisecond
-	// idleTimeout is how long an idle connection is kept. It is shorter than the
-	// runners', so that a request does not meet a connection that is closing.
+	// idleTimeout is shorter than the runners' own idle timeout, so that a request
+	// is not sent on a connection that the runner is closing.
 	idleTimeout = 4 * time.Second
-	// idlePerRunner keeps connections enough for the usual load of one host.
+	// idlePerRunner covers the usual load of one host.
 	idlePerRunner = 32
-	// bufferBytes is small: an event is some hundred bytes, and each open stream
-	// holds its buffers.
+	// bufferBytes is small because an event has a few hundred bytes and each open
+	// stream holds its buffers.
 	bufferBytes = 2 << 10
 )
 
-// Client makes attempts. It is safe for concurrent use.
+// Client sends attempts to runners. It is safe for concurrent use.
 type Client struct {
 	dialect   Dialect
 	transport *http.Transport
 	dialed    atomic.Int64
 }
 
-// NewClient makes a client.
+// NewClient returns a client that opens connections with dial.
 func NewClient(dialect Dialect, dial func(ctx context.Context, network, address string) (net.Conn, error)) *Client {
 	c := &Client{dialect: dialect}
 	c.transport = &http.Transport{
@@ -235,40 +235,40 @@
 	return c
 }
 
-// Dialed gives the number of connections that were opened.
+// Dialed returns the number of connections that the client tried to open.
 func (c *Client) Dialed() int64 { return c.dialed.Load() }
 
-// Do makes one attempt. It returns when the answer's headers are there.
-func (c *Client) Do(ctx context.Context, address string, request *Request, send Attempt) (*Response, *Failure) {
+// Do makes one attempt. It returns once the response headers have arrived.
+func (c *Client) Do(ctx context.Context, address string, request *Request, attempt Attempt) (*Response, *Failure) {
 	var connected atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { connected.Store(true) },
 	})
-	out := c.outgoing(address, request, send).WithContext(ctx)
-	response, err := c.transport.RoundTrip(out)
+	outgoing := c.runnerRequest(address, request, attempt).WithContext(ctx)
+	response, err := c.transport.RoundTrip(outgoing)
 	if err != nil {
-		return nil, failure(ctx, err, connected.Load())
+		return nil, roundTripFailure(ctx, err, connected.Load())
 	}
-	told := c.dialect.ParseResponse(response.StatusCode, response.Header)
-	if refusal := judge(request, response, told); refusal != nil {
+	metadata := c.dialect.ParseResponse(response.StatusCode, response.Header)
+	if failure := checkResponse(request, response, metadata); failure != nil {
 		_ = response.Body.Close()
-		return nil, refusal
+		return nil, failure
 	}
 	return &Response{
 		Status:        response.StatusCode,
 		Header:        endToEnd(response.Header),
-		Metadata:      told,
+		Metadata:      metadata,
 		Body:          response.Body,
 		ContentLength: response.ContentLength,
 	}, nil
 }
 
-// outgoing builds the request that the runner gets. Its body is never
-// replayable for net/http, which otherwise sends a GET a second time by itself
-// when a kept connection breaks: a second run that nobody counted.
-func (c *Client) outgoing(address string, request *Request, send Attempt) *http.Request {
+// runnerRequest builds the request to the runner. Its body is never replayable,
+// not even an empty one: net/http would silently resend a GET when a kept-alive
+// connection breaks, and the request would run twice.
+func (c *Client) runnerRequest(address string, request *Request, attempt Attempt) *http.Request {
 	header := endToEnd(request.Header)
-	c.dialect.SetRequestHeaders(header, request.Header, request.RequestMetadata, send)
+	c.dialect.SetRequestHeaders(header, request.Header, request.RequestMetadata, attempt)
 	if _, ok := header["User-Agent"]; !ok {
 		header["User-Agent"] = nil
 	}
@@ -285,74 +285,73 @@
 	}
 }
 
-func failure(ctx context.Context, err error, connected bool) *Failure {
-	result := &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Cause: err, ConnectionLost: connected && ended(err)}
+func roundTripFailure(ctx context.Context, err error, connected bool) *Failure {
+	failure := &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Cause: err, ConnectionLost: connected && isConnectionClosed(err)}
 	if !connected {
-		result.Verdict = verdict.NotRun
-		result.Reason = ReasonConnect
+		failure.Verdict = verdict.NotRun
+		failure.Reason = ReasonConnect
 	}
 	switch {
 	case errors.Is(ctx.Err(), context.DeadlineExceeded):
-		result.Reason = ReasonTimeout
+		failure.Reason = ReasonTimeout
 	case ctx.Err() != nil:
-		result.Reason = ReasonCanceled
+		failure.Reason = ReasonCanceled
 	}
-	return result
+	return failure
 }
 
-// judge says whether an answer is one to pass on.
-func judge(request *Request, response *http.Response, told ResponseMetadata) *Failure {
-	if told.RequestID != "" && told.RequestID != request.ID {
-		// A late second answer to an earlier request arrives where this one's is
-		// due. Passed on, a caller would get somebody else's answer.
-		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonForeign, Metadata: told, Cause: errors.Errorf("answer to request %q", told.RequestID)}
+// checkResponse returns a failure if the response must not be forwarded.
+func checkResponse(request *Request, response *http.Response, metadata ResponseMetadata) *Failure {
+	if metadata.RequestID != "" && metadata.RequestID != request.ID {
+		// A late second response to an earlier request arrived in place of this one's.
+		// Forwarding it would give the caller somebody else's response.
+		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonForeign, Metadata: metadata, Cause: errors.Errorf("response belongs to request %q", metadata.RequestID)}
 	}
-	if told.NotRun || told.Misdirected {
+	if metadata.NotRun || metadata.Misdirected {
 		reason := ReasonRefused
-		if told.Misdirected {
+		if metadata.Misdirected {
 			reason = ReasonAbsent
 		}
-		return &Failure{Verdict: verdict.NotRun, Reason: reason, Metadata: told, Cause: errors.Errorf("status %d", response.StatusCode)}
+		return &Failure{Verdict: verdict.NotRun, Reason: reason, Metadata: metadata, Cause: errors.Errorf("status %d", response.StatusCode)}
 	}
-	if promises[response.StatusCode] {
-		// To a caller these statuses say that the request has not run. Only the
-		// runner's explicit word says so.
-		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Metadata: told, Cause: errors.Errorf("status %d without the word that the request has not run", response.StatusCode)}
+	if statusImpliesNotRun[response.StatusCode] {
+		// These statuses tell a caller that its request did not run, but only the
+		// runner's not-run header proves it.
+		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonBroken, Metadata: metadata, Cause: errors.Errorf("status %d without a not-run header", response.StatusCode)}
 	}
 	success := response.StatusCode/100 == 2
-	if success && (!told.Stamped || told.RequestID == "" || response.Header.Get("Content-Encoding") != "") {
-		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonForeign, Metadata: told, Cause: errors.New("a success without the runner's marks")}
+	if success && (!metadata.Stamped || metadata.RequestID == "" || response.Header.Get("Content-Encoding") != "") {
+		return &Failure{Verdict: verdict.MayHaveRun, Reason: ReasonForeign, Metadata: metadata, Cause: errors.New("success status without the runner's stamp or request ID, or with a content encoding")}
 	}
 	return nil
 }
 
-// promises are the statuses by which a caller knows that its request has not
-// run.
-var promises = map[int]bool{
+// statusImpliesNotRun holds the statuses that tell a caller that its request did not run.
+var statusImpliesNotRun = map[int]bool{
 	http.StatusRequestTimeout:     true,
 	http.StatusMisdirectedRequest: true,
 	http.StatusTooManyRequests:    true,
 	http.StatusServiceUnavailable: true,
 }
 
-// hopByHop are headers that concern one connection only.
+// hopByHop holds the headers that apply to a single connection.
 var hopByHop = map[string]bool{
 	"Connection": true, "Keep-Alive": true, "Proxy-Connection": true, "Te": true,
 	"Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
 	"Proxy-Authenticate": true, "Proxy-Authorization": true, "Content-Length": true,
 }
 
-// endToEnd copies the headers that go on to the next hop.
+// endToEnd returns a copy of header without hop-by-hop headers.
 func endToEnd(header http.Header) http.Header {
-	named := map[string]bool{}
+	connectionSpecific := map[string]bool{}
 	for _, line := range header["Connection"] {
-		for _, name := range strings.Split(line, ",") {
-			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+		for _, token := range strings.Split(line, ",") {
+			connectionSpecific[http.CanonicalHeaderKey(strings.TrimSpace(token))] = true
 		}
 	}
 	kept := make(http.Header, len(header))
 	for name, values := range header {
-		if !hopByHop[name] && !named[name] {
+		if !hopByHop[name] && !connectionSpecific[name] {
 			kept[name] = values
 		}
 	}
