--- a/internal/timing/timing.go
+++ b/internal/timing/timing.go
@@ -1,4 +1,4 @@
-// Package timing holds waits that end with their context.
+// Package timing provides waits that a context can cancel.
 package timing
 
 import (
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Sleep waits for a time, or until the context ends. It makes no timer where there is
-// nothing to wait for: under the race detector Go 1.26 crashes in a test's bubble where many
-// goroutines select timers that have expired already.
+// Sleep waits for the given duration or until ctx is done. It returns at once, without a
+// timer, if wait is not positive: under the race detector, Go 1.26 crashes in a synctest
+// bubble when many goroutines select on timers that have already expired.
 func Sleep(ctx context.Context, wait time.Duration) {
 	if wait <= 0 {
 		return
@@ -21,8 +21,7 @@
 	}
 }
 
-// Every does something again and again, with an interval between, until the
-// context ends.
+// Every calls do at every interval until ctx is done.
 func Every(ctx context.Context, interval time.Duration, do func()) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
--- a/internal/timing/timing_test.go
+++ b/internal/timing/timing_test.go
@@ -10,33 +10,33 @@
 	"github.com/shoenig/test/must"
 )
 
-// Many goroutines of a test in virtual time wait for nothing. Under the race detector each
-// timer that had expired already was a chance for the runtime to crash.
-func TestWaitsForNothingInVirtualTime(t *testing.T) {
+// Many goroutines in a synctest bubble sleep for a non-positive duration. Under the race
+// detector the runtime could crash on each timer that had already expired.
+func TestSleepOfNonPositiveDuration(t *testing.T) {
 	for range 20 {
 		synctest.Test(t, func(t *testing.T) {
-			var group sync.WaitGroup
+			var wg sync.WaitGroup
 			for i := range 50 {
-				group.Go(func() {
+				wg.Go(func() {
 					for j := range 200 {
 						Sleep(t.Context(), -time.Duration(i*j)*time.Millisecond)
 						Sleep(t.Context(), time.Millisecond)
 					}
 				})
 			}
-			begun := time.Now()
-			group.Wait()
-			must.Eq(t, 200*time.Millisecond, time.Since(begun))
+			start := time.Now()
+			wg.Wait()
+			must.Eq(t, 200*time.Millisecond, time.Since(start))
 		})
 	}
 }
 
-func TestSleepEndsWithItsContext(t *testing.T) {
+func TestSleepStopsWhenContextIsDone(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		begun := time.Now()
+		start := time.Now()
 		Sleep(ctx, time.Minute)
-		must.Eq(t, time.Second, time.Since(begun))
+		must.Eq(t, time.Second, time.Since(start))
 	})
 }
