--- a/internal/engine/api.go
+++ b/internal/engine/api.go
@@ -1,22 +1,24 @@
-// Package engine is the adapter to model engines: completions as server-sent
-// events, orders to load and evict, load reports, cancel and resume.
+// Package engine is the HTTP client for model engines: it streams completions as
+// server-sent events, resumes and cancels them, orders adapters to be loaded and
+// evicted, and fetches load reports.
 package engine
 
 import "time"
 
 // Headers that an entry host sets on a request to an engine.
 const (
-	// HeaderRequestID names the attempt; cancel and resume refer to it.
+	// HeaderRequestID identifies the attempt for cancel and resume.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderTrace carries the caller's request identifier into the engine's log.
+	// HeaderTrace carries the caller's request ID into the engine's log.
 	HeaderTrace = "X-Cherrystage-Request"
-	// HeaderPriority is the caller's priority; a larger number goes first.
+	// HeaderPriority is the caller's priority; larger values are served first.
 	HeaderPriority = "X-Priority"
-	// HeaderNotRun marks a refusal that came before the request was begun.
+	// HeaderNotRun is a response header that marks a refusal issued before the
+	// engine began the request.
 	HeaderNotRun = "X-Not-Run"
 )
 
-// OrderKind names what an order asks of an engine.
+// OrderKind is the operation that an order requests.
 type OrderKind string
 
 // Kinds of orders.
@@ -26,8 +28,8 @@
 )
 
 // Order asks an engine to load or evict an adapter. Model is the adapter's
-// versioned name. An engine that checks fencing refuses a Fence lower than
-// the highest it has seen.
+// versioned name. Fence is a fencing token: an engine that checks it refuses
+// tokens lower than the highest it has seen.
 type Order struct {
 	ID    string    `json:"id"`
 	Kind  OrderKind `json:"kind"`
@@ -44,21 +46,21 @@
 	CodeBusy       = "busy"
 )
 
-// ErrorResponse is an engine's JSON error.
+// ErrorResponse is the JSON body of an engine's error response.
 type ErrorResponse struct {
 	Code    string `json:"code"`
 	Message string `json:"message"`
 }
 
-// ResidentModel is one adapter version in a slot.
+// ResidentModel is an adapter version that occupies a slot.
 type ResidentModel struct {
 	Model   string `json:"model"`
 	Running int    `json:"running"`
 	Queued  int    `json:"queued"`
 }
 
-// Report is an engine's load report. It describes the engine as it was Lag
-// before the answer was sent.
+// Report is an engine's load report. It describes the state of the engine Lag
+// before the report was sent.
 type Report struct {
 	// BootID changes with every start of the engine.
 	BootID   string          `json:"boot"`
@@ -69,17 +71,17 @@
 	Resident []ResidentModel `json:"resident"`
 	Running  int             `json:"running"`
 	Queued   int             `json:"queued"`
-	// Fill is the mean share of the batch that was used since the last report, 0 to 1.
+	// Fill is the mean batch utilization since the last report, from 0 to 1.
 	Fill float64 `json:"fill"`
 }
 
-// Lag gives the age of the report's content when it was sent.
+// Lag returns the age that the report's content had when it was sent.
 func (r Report) Lag() time.Duration { return time.Duration(r.LagMS) * time.Millisecond }
 
-// Piece is one server-sent event of an answer.
+// Piece is one server-sent event of a streamed response.
 type Piece struct {
-	// Position counts the pieces of one answer from zero.
+	// Position is the index of the piece in its response, from zero.
 	Position int
-	// Data is the event's JSON, as the engine wrote it.
+	// Data is the event's JSON as the engine sent it.
 	Data []byte
 }
--- a/internal/engine/client.go
+++ b/internal/engine/client.go
@@ -15,23 +15,24 @@
 	"github.com/pkg/errors"
 )
 
-// Config sets the client's patience. All durations must be above zero.
+// Config configures a client. All durations must be positive.
 type Config struct {
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// ConnectTimeout bounds the set-up of a connection.
+	// ConnectTimeout bounds connection set-up.
 	ConnectTimeout time.Duration
-	// FirstPieceTimeout bounds the time from sending to the first piece.
+	// FirstPieceTimeout bounds the time from sending the request to the first piece.
 	FirstPieceTimeout time.Duration
-	// SilenceTimeout is the longest gap between two pieces; it must be longer
-	// than the engine's slowest step. After it the stream is resumed elsewhere.
+	// SilenceTimeout is the longest allowed gap between two pieces. It must exceed
+	// the engine's slowest step. When it expires, the stream is resumed on a new
+	// connection.
 	SilenceTimeout time.Duration
 	// OrderTimeout bounds an order to load or evict.
 	OrderTimeout time.Duration
-	// MaxResumes bounds how often one answer is resumed.
+	// MaxResumes bounds the number of resumes of one response.
 	MaxResumes int
 }
 
-// Limits of what is read from an engine.
+// Limits on responses from engines and on connections to them.
 const (
 	maxRefusalBytes = 4 << 10
 	maxReportBytes  = 4 << 20
@@ -39,26 +40,26 @@
 	cancelTimeout   = 2 * time.Second
 	idlePerHost     = 64
 	idleTimeout     = 20 * time.Second
-	// connBuffer is small: a piece is a few hundred bytes, and every open stream
-	// holds its buffers.
+	// connBuffer is small because a piece has a few hundred bytes and every open
+	// stream holds its buffers.
 	connBuffer = 1 << 10
 )
 
-// Client speaks to engines. It is safe for concurrent use.
+// Client sends requests and orders to engines. It is safe for concurrent use.
 type Client struct {
-	cfg    Config
-	pooled *http.Client
-	fresh  *http.Client
+	cfg      Config
+	pooled   *http.Client
+	unpooled *http.Client
 }
 
-// NewClient makes a client.
+// NewClient returns a client with the given configuration.
 func NewClient(cfg Config) *Client {
-	return &Client{cfg: cfg, pooled: newHTTP(cfg, true), fresh: newHTTP(cfg, false)}
+	return &Client{cfg: cfg, pooled: newHTTPClient(cfg, true), unpooled: newHTTPClient(cfg, false)}
 }
 
-func newHTTP(cfg Config, keepAlive bool) *http.Client {
+func newHTTPClient(cfg Config, keepAlive bool) *http.Client {
 	return &http.Client{Transport: &http.Transport{
-		DialContext:         boundDial(cfg.Dial, cfg.ConnectTimeout),
+		DialContext:         dialWithTimeout(cfg.Dial, cfg.ConnectTimeout),
 		MaxIdleConnsPerHost: idlePerHost,
 		IdleConnTimeout:     idleTimeout,
 		DisableKeepAlives:   !keepAlive,
@@ -68,7 +69,7 @@
 	}}
 }
 
-func boundDial(dial func(context.Context, string, string) (net.Conn, error), timeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
+func dialWithTimeout(dial func(context.Context, string, string) (net.Conn, error), timeout time.Duration) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		ctx, cancel := context.WithTimeout(ctx, timeout)
 		defer cancel()
@@ -76,7 +77,7 @@
 	}
 }
 
-// Call is one attempt of a completion on one runner.
+// Call describes one attempt of a completion on one runner.
 type Call struct {
 	Address    string
 	Path       string
@@ -88,13 +89,13 @@
 	Idempotent bool
 }
 
-// Complete makes one attempt and passes the answer's pieces on in order, each
-// once. It returns nil after a whole answer and a *Failure otherwise.
-func (c *Client) Complete(ctx context.Context, call Call, pass func(Piece) error) *Failure {
-	run := &attempt{client: c, call: call, pass: pass, assembler: NewAssembler()}
-	failure := run.first(ctx)
-	for resumes := 0; failure != nil && run.resumable(ctx, failure) && resumes < c.cfg.MaxResumes; resumes++ {
-		failure = run.resume(ctx)
+// Complete makes one attempt and calls deliver for each piece of the response, in
+// order and exactly once. It returns nil after a complete response.
+func (c *Client) Complete(ctx context.Context, call Call, deliver func(Piece) error) *Failure {
+	a := &attempt{client: c, call: call, deliver: deliver, assembler: NewAssembler()}
+	failure := a.start(ctx)
+	for resumes := 0; failure != nil && a.resumable(ctx, failure) && resumes < c.cfg.MaxResumes; resumes++ {
+		failure = a.resume(ctx)
 	}
 	if failure != nil && failure.Stage != StageConnect && failure.Stage != StageRefused {
 		c.cancel(ctx, call)
@@ -106,38 +107,38 @@
 type attempt struct {
 	client    *Client
 	call      Call
-	pass      func(Piece) error
+	deliver   func(Piece) error
 	assembler *Assembler
-	passed    int
-	// reused says that the first try went out on a pooled connection.
+	delivered int
+	// reused reports whether the request was sent on a pooled connection.
 	reused atomic.Bool
 }
 
-func (a *attempt) first(ctx context.Context) *Failure {
+func (a *attempt) start(ctx context.Context) *Failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := time.AfterFunc(a.client.cfg.FirstPieceTimeout, func() { cancel(errSilent) })
-	defer patience.Stop()
-	resp, failure := a.send(ctx, patience)
+	timer := time.AfterFunc(a.client.cfg.FirstPieceTimeout, func() { cancel(errSilenceTimeout) })
+	defer timer.Stop()
+	resp, failure := a.send(ctx, timer)
 	if failure != nil {
 		return failure
 	}
 	defer func() { _ = resp.Body.Close() }()
-	return a.read(ctx, resp.Body, patience)
+	return a.read(ctx, resp.Body, timer)
 }
 
-// send posts the request and gives the response once its header has come.
-func (a *attempt) send(ctx context.Context, patience *time.Timer) (*http.Response, *Failure) {
+// send posts the request and returns the response once its headers have arrived.
+func (a *attempt) send(ctx context.Context, timer *time.Timer) (*http.Response, *Failure) {
 	var connected atomic.Bool
 	traced := httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(info httptrace.GotConnInfo) {
 			connected.Store(true)
 			if info.Reused {
-				// A pooled connection may have gone silent while it was idle:
-				// then nothing would come for as long as the first piece may
-				// take. After a shorter wait the answer is asked for on a new one.
+				// A pooled connection may have died while it was idle. Rather than
+				// wait for FirstPieceTimeout, wait for SilenceTimeout if that is
+				// shorter, and then resume on a new connection.
 				a.reused.Store(true)
-				patience.Reset(min(a.client.cfg.SilenceTimeout, a.client.cfg.FirstPieceTimeout))
+				timer.Reset(min(a.client.cfg.SilenceTimeout, a.client.cfg.FirstPieceTimeout))
 			}
 		},
 	})
@@ -145,40 +146,40 @@
 	if err != nil {
 		return nil, &Failure{Stage: StageConnect, Code: CodeUnreachable, Cause: err}
 	}
-	// Without GetBody the transport cannot send the body a second time by itself.
+	// Without GetBody the transport cannot resend the body on its own.
 	req.GetBody = nil
 	req.Header.Set("Content-Type", "application/json")
 	req.Header.Set("Accept", "text/event-stream")
 	req.Header.Set(HeaderRequestID, a.call.AttemptID)
 	req.Header.Set(HeaderTrace, a.call.TraceID)
 	req.Header.Set(HeaderPriority, strconv.Itoa(a.call.Priority))
-	resp, err := a.client.httpFor(a.call.Idempotent).Do(req)
+	resp, err := a.client.httpClient(a.call.Idempotent).Do(req)
 	if err != nil {
 		return nil, a.sendFailure(ctx, connected.Load(), err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, readRefusal(resp)
+		return nil, refusalFailure(resp)
 	}
 	return resp, nil
 }
 
-// httpFor gives the connections for a request. One that may run only once
-// takes a connection of its own: on a pooled one that the target is just
-// closing, it would be unknown whether the target had read the request.
-func (c *Client) httpFor(idempotent bool) *http.Client {
+// httpClient returns the HTTP client for a request. A non-idempotent request gets a
+// new connection: if the target closed a pooled one meanwhile, it would be unknown
+// whether it had read the request.
+func (c *Client) httpClient(idempotent bool) *http.Client {
 	if idempotent {
 		return c.pooled
 	}
-	return c.fresh
+	return c.unpooled
 }
 
 func (a *attempt) sendFailure(ctx context.Context, connected bool, err error) *Failure {
 	switch {
-	case !connected && ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilent):
+	case !connected && ctx.Err() != nil && !errors.Is(context.Cause(ctx), errSilenceTimeout):
 		return &Failure{Stage: StageConnect, Code: CodeCallerGone, Cause: err}
 	case !connected:
 		return &Failure{Stage: StageConnect, Code: CodeUnreachable, Cause: err}
-	case errors.Is(context.Cause(ctx), errSilent):
+	case errors.Is(context.Cause(ctx), errSilenceTimeout):
 		return &Failure{Stage: StageSend, Code: CodeSilent, Cause: err}
 	case ctx.Err() != nil:
 		return &Failure{Stage: StageCaller, Code: CodeCallerGone, Cause: err}
@@ -187,7 +188,7 @@
 	}
 }
 
-func readRefusal(resp *http.Response) *Failure {
+func refusalFailure(resp *http.Response) *Failure {
 	defer func() { _ = resp.Body.Close() }()
 	failure := &Failure{
 		Stage:        StageRefused,
@@ -207,9 +208,9 @@
 	return failure
 }
 
-// resumable says whether the rest of the answer can be asked for: the engine
-// has, or may have, begun the request, its connection broke or went silent,
-// and the caller is still there.
+// resumable reports whether the rest of the response can be requested: the engine
+// has or may have begun the request, the connection broke or timed out, and the
+// caller still waits.
 func (a *attempt) resumable(ctx context.Context, failure *Failure) bool {
 	if ctx.Err() != nil || (failure.Code != CodeTruncated && failure.Code != CodeSilent) {
 		return false
@@ -217,20 +218,20 @@
 	return failure.Stage == StageStream || (failure.Stage == StageSend && a.reused.Load())
 }
 
-// resume takes the answer up again from the first piece that is missing, on a
-// connection of its own, since the old one may be silent while new ones work.
+// resume requests the response from the first missing piece on. It uses a new
+// connection, which may work although the old one is dead.
 func (a *attempt) resume(ctx context.Context) *Failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	patience := time.AfterFunc(a.client.cfg.SilenceTimeout, func() { cancel(errSilent) })
-	defer patience.Stop()
+	timer := time.AfterFunc(a.client.cfg.SilenceTimeout, func() { cancel(errSilenceTimeout) })
+	defer timer.Stop()
 	url := "http://" + a.call.Address + "/v1/streams/" + a.call.AttemptID + "?from=" + strconv.Itoa(a.assembler.Next())
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return a.streamFailure(CodeTruncated, err)
 	}
 	req.Header.Set(HeaderTrace, a.call.TraceID)
-	resp, err := a.client.fresh.Do(req)
+	resp, err := a.client.unpooled.Do(req)
 	if err != nil {
 		return a.streamFailure(CodeTruncated, err)
 	}
@@ -238,15 +239,15 @@
 	if resp.StatusCode != http.StatusOK {
 		return a.streamFailure(CodeNoAnswer, errors.Errorf("resume refused with status %d", resp.StatusCode))
 	}
-	return a.read(ctx, resp.Body, patience)
+	return a.read(ctx, resp.Body, timer)
 }
 
 func (a *attempt) streamFailure(code string, cause error) *Failure {
-	return &Failure{Stage: StageStream, Code: code, Delivered: a.passed, Cause: cause}
+	return &Failure{Stage: StageStream, Code: code, Delivered: a.delivered, Cause: cause}
 }
 
-// cancel tells the engine to stop. It is a courtesy: nothing depends on its
-// success, so it does not hold the caller's answer back.
+// cancel asks the engine to stop, in the background and best-effort: nothing
+// depends on its success, so the caller's response is not delayed.
 func (c *Client) cancel(ctx context.Context, call Call) {
 	ctx, stop := context.WithTimeout(context.WithoutCancel(ctx), cancelTimeout)
 	go func() {
@@ -255,13 +256,13 @@
 		if err != nil {
 			return
 		}
-		if resp, err := c.fresh.Do(req); err == nil {
+		if resp, err := c.unpooled.Do(req); err == nil {
 			_ = resp.Body.Close()
 		}
 	}()
 }
 
-// Dial gives the function that opens connections to targets, bounded in time.
+// Dial returns a dial function that is bounded by ConnectTimeout.
 func (c *Client) Dial() func(ctx context.Context, network, address string) (net.Conn, error) {
-	return boundDial(c.cfg.Dial, c.cfg.ConnectTimeout)
+	return dialWithTimeout(c.cfg.Dial, c.cfg.ConnectTimeout)
 }
--- a/internal/engine/failure.go
+++ b/internal/engine/failure.go
@@ -9,32 +9,33 @@
 	"github.com/cherrystage/cherrystage/internal/verdict"
 )
 
-// Stage is how far an attempt had come when it ended.
+// Stage is the stage that an attempt had reached when it ended.
 type Stage string
 
 // Stages of an attempt, in their order.
 const (
 	StageConnect Stage = "connect" // no connection to the target
-	StageSend    Stage = "send"    // on a connection, no answer yet
-	StageRefused Stage = "refused" // the target answered with an error status
-	StageStream  Stage = "stream"  // the answer has begun
-	StageCaller  Stage = "caller"  // the caller went away
+	StageSend    Stage = "send"    // connected, no response yet
+	StageRefused Stage = "refused" // the target returned an error status
+	StageStream  Stage = "stream"  // the response has begun
+	StageCaller  Stage = "caller"  // the caller disconnected
 )
 
-// Failure is an attempt that did not end with a whole answer.
+// Failure describes an attempt that ended without a complete response.
 type Failure struct {
 	Stage  Stage
 	Status int    // HTTP status of a refusal, else 0
-	Code   string // the target's or this package's code
-	// MarkedNotRun: the target marked its refusal as coming before the request was begun.
+	Code   string // code from the target or from this package
+	// MarkedNotRun reports whether the target marked its refusal as issued before it
+	// began the request.
 	MarkedNotRun bool
-	// Delivered is the number of pieces that had been passed on.
+	// Delivered is the number of pieces delivered to the caller.
 	Delivered  int
 	RetryAfter time.Duration
 	Cause      error
 }
 
-// Codes of failures found on this side.
+// Codes of failures that this package detects.
 const (
 	CodeWrongModel  = "wrong_model"
 	CodeMalformed   = "malformed_answer"
@@ -57,12 +58,12 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (f *Failure) Unwrap() error { return f.Cause }
 
-// Verdict says whether the request may have run. Without a connection nothing
-// was sent; a refusal that the target marks, or one of the statuses by which
-// servers refuse before they begin, did not run; all else may have run.
+// Verdict reports whether the request may have run. It did not run if no
+// connection was made, if the target marked its refusal, or if the status is one
+// that servers return before they begin. Otherwise it may have run.
 func (f *Failure) Verdict() verdict.Verdict {
 	switch f.Stage {
 	case StageConnect:
@@ -75,9 +76,9 @@
 	return verdict.MayHaveRun
 }
 
-// refusedBeforeRun lists the statuses that by their definition come before any
-// work. 503 and 429 are not among them: servers send them in mid-work too, so
-// there the target has to mark its refusal.
+// refusedBeforeRun reports whether a status by definition precedes any work. 503
+// and 429 do not qualify: servers also send them in mid-work, so the target has
+// to mark such a refusal.
 func refusedBeforeRun(status int) bool {
 	switch status {
 	case http.StatusBadRequest, http.StatusUnauthorized, http.StatusForbidden, http.StatusNotFound,
@@ -89,18 +90,17 @@
 	}
 }
 
-// callerFault says whether trying elsewhere cannot help, since the request
-// itself was refused.
-func callerFault(status int) bool {
+// isRequestError reports whether the request itself was rejected, so that a retry
+// elsewhere cannot help.
+func isRequestError(status int) bool {
 	return status == http.StatusBadRequest || status == http.StatusRequestEntityTooLarge ||
 		status == http.StatusUnprocessableEntity || status == http.StatusUnsupportedMediaType
 }
 
-// MayRetry says whether another attempt is safe and can help: after NotRun for
-// any request, after MayHaveRun only for an idempotent one of which the caller
-// has seen nothing yet.
+// MayRetry reports whether another attempt is safe and can help: after NotRun for
+// any request, after MayHaveRun only for an idempotent one with no piece delivered.
 func (f *Failure) MayRetry(idempotent bool) bool {
-	if f.Stage == StageCaller || callerFault(f.Status) {
+	if f.Stage == StageCaller || isRequestError(f.Status) {
 		return false
 	}
 	if f.Verdict() == verdict.NotRun {
--- a/internal/engine/orders.go
+++ b/internal/engine/orders.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// OrderError is an order that was not confirmed.
+// OrderError reports an order that the engine did not confirm.
 type OrderError struct {
 	Order   Order
 	Code    string
@@ -29,27 +29,27 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *OrderError) Unwrap() error { return e.cause }
 
-// Verdict says whether the engine may yet carry the order out.
+// Verdict reports whether the engine may have executed the order or may still do so.
 func (e *OrderError) Verdict() verdict.Verdict { return e.verdict }
 
-// Order sends an order and waits until the engine confirms it. Orders take a
-// connection of their own, so that none is sent twice by the transport.
+// Order sends an order and waits until the engine confirms it. Each order uses a
+// new connection, so that the transport never sends it twice.
 func (c *Client) Order(ctx context.Context, address string, order Order) error {
 	ctx, cancel := context.WithTimeout(ctx, c.cfg.OrderTimeout)
 	defer cancel()
-	text, err := json.Marshal(order)
+	body, err := json.Marshal(order)
 	if err != nil {
 		return &OrderError{Order: order, Code: "encode", verdict: verdict.NotRun, cause: err}
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/orders", bytes.NewReader(text))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+"/v1/orders", bytes.NewReader(body))
 	if err != nil {
 		return &OrderError{Order: order, Code: "encode", verdict: verdict.NotRun, cause: err}
 	}
 	req.GetBody = nil
-	resp, err := c.fresh.Do(req)
+	resp, err := c.unpooled.Do(req)
 	if err != nil {
 		return &OrderError{Order: order, Code: CodeNoAnswer, verdict: sendVerdict(err), cause: err}
 	}
@@ -59,15 +59,16 @@
 	}
 	var refusal ErrorResponse
 	_ = json.NewDecoder(io.LimitReader(resp.Body, maxRefusalBytes)).Decode(&refusal)
-	failed := &OrderError{Order: order, Code: refusal.Code, verdict: verdict.NotRun}
+	orderErr := &OrderError{Order: order, Code: refusal.Code, verdict: verdict.NotRun}
 	if refusal.Code == "" {
-		failed.Code = resp.Status
-		failed.verdict = verdict.MayHaveRun
+		orderErr.Code = resp.Status
+		orderErr.verdict = verdict.MayHaveRun
 	}
-	return failed
+	return orderErr
 }
 
-// sendVerdict: an order that found no connection was not sent.
+// sendVerdict returns the verdict for an order without a response. One whose dial
+// failed was not sent.
 func sendVerdict(err error) verdict.Verdict {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
@@ -76,7 +77,7 @@
 	return verdict.MayHaveRun
 }
 
-// Report asks for an engine's load report.
+// Report fetches an engine's load report.
 func (c *Client) Report(ctx context.Context, address string) (Report, error) {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -12,40 +12,40 @@
 )
 
 const (
-	doneMark      = "[DONE]"
-	maxPieceBytes = 1 << 20
-	maxHeldPieces = 256
+	doneMarker        = "[DONE]"
+	maxPieceBytes     = 1 << 20
+	maxBufferedPieces = 256
 )
 
-// After the closing mark the rest of the body is read, so that the connection
-// can be used again; an engine that does not end it is not waited for.
+// After the final event the rest of the body is drained so that the connection can
+// be reused. These bounds apply to an engine that does not end the body.
 const (
-	drainTime  = 50 * time.Millisecond
-	drainBytes = 512
+	drainTimeout = 50 * time.Millisecond
+	drainBytes   = 512
 )
 
-var errSilent = errors.New("no piece within the time allowed")
+var errSilenceTimeout = errors.New("timed out waiting for the next piece")
 
-// errCaller wraps the failure to pass a piece on.
-type errCaller struct{ error }
+// callerError wraps an error from delivering a piece to the caller.
+type callerError struct{ error }
 
-// read passes pieces on until the answer is whole.
-func (a *attempt) read(ctx context.Context, body io.Reader, patience *time.Timer) *Failure {
+// read delivers pieces until the response is complete.
+func (a *attempt) read(ctx context.Context, body io.Reader, timer *time.Timer) *Failure {
 	sequential := a.assembler.Next()
 	for event, err := range sse.Read(body, &sse.ReadConfig{MaxEventSize: maxPieceBytes}) {
 		if err != nil {
 			return a.readFailure(ctx, err)
 		}
-		patience.Reset(a.client.cfg.SilenceTimeout)
+		timer.Reset(a.client.cfg.SilenceTimeout)
 		position := positionOf(event, sequential)
 		sequential++
-		if event.Data == doneMark {
+		if event.Data == doneMarker {
 			a.assembler.End(position)
-		} else if failure := a.take(Piece{Position: position, Data: []byte(event.Data)}); failure != nil {
+		} else if failure := a.accept(Piece{Position: position, Data: []byte(event.Data)}); failure != nil {
 			return failure
 		}
 		if a.assembler.Complete() {
-			patience.Reset(drainTime)
+			timer.Reset(drainTimeout)
 			_, _ = io.CopyN(io.Discard, body, drainBytes)
 			return nil
 		}
@@ -53,8 +53,7 @@
 	return a.readFailure(ctx, io.ErrUnexpectedEOF)
 }
 
-// positionOf gives a piece's position: its event identifier where the engine
-// sends one, else its place in the stream.
+// positionOf returns an event's ID if it is a number, else its index in the stream.
 func positionOf(event sse.Event, sequential int) int {
 	if position, err := strconv.Atoi(event.LastEventID); err == nil {
 		return position
@@ -62,7 +61,7 @@
 	return sequential
 }
 
-func (a *attempt) take(piece Piece) *Failure {
+func (a *attempt) accept(piece Piece) *Failure {
 	if failure := a.checkModel(piece); failure != nil {
 		return failure
 	}
@@ -71,16 +70,16 @@
 		return a.streamFailure(CodeMalformed, err)
 	}
 	for _, next := range ready {
-		if err := a.pass(next); err != nil {
-			return &Failure{Stage: StageCaller, Code: CodeCallerGone, Delivered: a.passed, Cause: errCaller{err}}
+		if err := a.deliver(next); err != nil {
+			return &Failure{Stage: StageCaller, Code: CodeCallerGone, Delivered: a.delivered, Cause: callerError{err}}
 		}
-		a.passed++
+		a.delivered++
 	}
 	return nil
 }
 
-// checkModel refuses a piece under another name than the one asked for: it
-// is another adapter's answer, or another version's.
+// checkModel rejects a piece that names another model than the requested one: it
+// comes from another adapter or another version.
 func (a *attempt) checkModel(piece Piece) *Failure {
 	var named struct {
 		Model string `json:"model"`
@@ -89,65 +88,65 @@
 		return a.streamFailure(CodeMalformed, err)
 	}
 	if named.Model != a.call.Model {
-		return a.streamFailure(CodeWrongModel, errors.Errorf("asked for %s, answered as %q", a.call.Model, named.Model))
+		return a.streamFailure(CodeWrongModel, errors.Errorf("requested model %s, response names %q", a.call.Model, named.Model))
 	}
 	return nil
 }
 
 func (a *attempt) readFailure(ctx context.Context, err error) *Failure {
 	switch {
-	case errors.Is(context.Cause(ctx), errSilent):
-		return a.streamFailure(CodeSilent, errSilent)
+	case errors.Is(context.Cause(ctx), errSilenceTimeout):
+		return a.streamFailure(CodeSilent, errSilenceTimeout)
 	case ctx.Err() != nil:
-		return &Failure{Stage: StageCaller, Code: CodeCallerGone, Delivered: a.passed, Cause: ctx.Err()}
+		return &Failure{Stage: StageCaller, Code: CodeCallerGone, Delivered: a.delivered, Cause: ctx.Err()}
 	default:
 		return a.streamFailure(CodeTruncated, err)
 	}
 }
 
-// Assembler puts the pieces of one answer in order, each once.
+// Assembler orders the pieces of one response and drops duplicates.
 type Assembler struct {
-	next int
-	end  int
-	held map[int]Piece
+	next     int
+	end      int
+	buffered map[int]Piece
 }
 
-// NewAssembler makes an assembler that waits for the first piece.
+// NewAssembler returns an assembler that expects the first piece.
 func NewAssembler() *Assembler { return &Assembler{end: -1} }
 
-// Next gives the position of the first piece that is missing.
+// Next returns the position of the first missing piece.
 func (a *Assembler) Next() int { return a.next }
 
-// End notes that the answer has so many pieces.
+// End records the total number of pieces.
 func (a *Assembler) End(count int) { a.end = count }
 
-// Complete says whether all pieces have come.
+// Complete reports whether all pieces have arrived.
 func (a *Assembler) Complete() bool { return a.end >= 0 && a.next >= a.end }
 
-// Push takes a piece and gives those that are now in order. A piece that came
-// before is dropped; one that came early is held, up to a bound.
+// Push adds a piece and returns the pieces that are now in order. Duplicates are
+// dropped. Early pieces are buffered; it fails if there are more than maxBufferedPieces.
 func (a *Assembler) Push(piece Piece) ([]Piece, error) {
 	if piece.Position < a.next {
 		return nil, nil
 	}
-	if piece.Position == a.next && len(a.held) == 0 {
+	if piece.Position == a.next && len(a.buffered) == 0 {
 		a.next++
 		return []Piece{piece}, nil
 	}
-	if a.held == nil {
-		a.held = map[int]Piece{}
+	if a.buffered == nil {
+		a.buffered = map[int]Piece{}
 	}
-	a.held[piece.Position] = piece
-	if len(a.held) > maxHeldPieces {
-		return nil, errors.Errorf("piece %d is missing and %d came after it", a.next, len(a.held))
+	a.buffered[piece.Position] = piece
+	if len(a.buffered) > maxBufferedPieces {
+		return nil, errors.Errorf("piece %d is missing and %d later ones are buffered", a.next, len(a.buffered))
 	}
 	var ready []Piece
 	for {
-		next, ok := a.held[a.next]
+		next, ok := a.buffered[a.next]
 		if !ok {
 			return ready, nil
 		}
-		delete(a.held, a.next)
+		delete(a.buffered, a.next)
 		a.next++
 		ready = append(ready, next)
 	}
--- a/internal/engine/verdict_test.go
+++ b/internal/engine/verdict_test.go
@@ -16,14 +16,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// piece is one event of an answer of the model m@1.
+// piece returns one event of a response of the model m@1.
 func piece(position int) string {
 	return fmt.Sprintf("id: %d\ndata: {\"model\":\"m@1\",\"choices\":[{\"index\":0,\"text\":\"t\"}]}\n\n", position)
 }
 
 const done = "id: 2\ndata: [DONE]\n\n"
 
-func events(w http.ResponseWriter, texts ...string) {
+func writeEvents(w http.ResponseWriter, texts ...string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for _, text := range texts {
 		_, _ = io.WriteString(w, text)
@@ -31,23 +31,23 @@
 	}
 }
 
-func abort() { panic(http.ErrAbortHandler) }
+func resetConnection() { panic(http.ErrAbortHandler) }
 
-// ending is one way in which an attempt ends, and what follows from it.
-type ending struct {
+// outcome is one way in which an attempt can end, and the expected classification.
+type outcome struct {
 	name    string
 	serve   func(w http.ResponseWriter, r *http.Request)
-	refused bool // nobody listens
+	refused bool // the listener is closed
 	stage   engine.Stage
 	code    string
 	verdict verdict.Verdict
-	// retryIdempotent and retryOnce: whether a request that may run many
-	// times, or only once, is tried again.
+	// retryIdempotent and retryOnce report whether an idempotent and a
+	// non-idempotent request may be retried.
 	retryIdempotent, retryOnce bool
-	passed                     int
+	delivered                  int
 }
 
-func status(code int, header ...string) func(http.ResponseWriter, *http.Request) {
+func respondWith(code int, header ...string) func(http.ResponseWriter, *http.Request) {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for i := 0; i+1 < len(header); i += 2 {
 			w.Header().Set(header[i], header[i+1])
@@ -56,54 +56,53 @@
 	}
 }
 
-func endings() []ending {
+func outcomes() []outcome {
 	wait := func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() }
-	return []ending{
+	return []outcome{
 		{name: "connection refused", refused: true, stage: engine.StageConnect, code: engine.CodeUnreachable, verdict: verdict.NotRun, retryIdempotent: true, retryOnce: true},
-		{name: "reset before the first byte", serve: func(http.ResponseWriter, *http.Request) { abort() }, stage: engine.StageSend, code: engine.CodeNoAnswer, retryIdempotent: true},
+		{name: "reset before the first byte", serve: func(http.ResponseWriter, *http.Request) { resetConnection() }, stage: engine.StageSend, code: engine.CodeNoAnswer, retryIdempotent: true},
 		{name: "no answer in time", serve: wait, stage: engine.StageSend, code: engine.CodeSilent, retryIdempotent: true},
-		{name: "reset after the header", serve: func(w http.ResponseWriter, _ *http.Request) { events(w, ": begun\n\n"); abort() }, stage: engine.StageStream, code: engine.CodeNoAnswer, retryIdempotent: true},
-		{name: "reset after a piece", serve: func(w http.ResponseWriter, _ *http.Request) { events(w, piece(0)); abort() }, stage: engine.StageStream, code: engine.CodeNoAnswer, passed: 1},
-		{name: "silence after a piece", serve: func(w http.ResponseWriter, r *http.Request) { events(w, piece(0)); <-r.Context().Done() }, stage: engine.StageStream, code: engine.CodeNoAnswer, passed: 1},
-		{name: "early close", serve: func(w http.ResponseWriter, _ *http.Request) { events(w, piece(0)) }, stage: engine.StageStream, code: engine.CodeNoAnswer, passed: 1},
-		{name: "piece missing at the end", serve: func(w http.ResponseWriter, _ *http.Request) { events(w, piece(0), done) }, stage: engine.StageStream, code: engine.CodeNoAnswer, passed: 1},
-		{name: "malformed piece", serve: func(w http.ResponseWriter, _ *http.Request) { events(w, "data: {\n\n") }, stage: engine.StageStream, code: engine.CodeMalformed, retryIdempotent: true},
-		{name: "another model's answer", serve: func(w http.ResponseWriter, _ *http.Request) { events(w, "data: {\"model\":\"m@2\"}\n\n") }, stage: engine.StageStream, code: engine.CodeWrongModel, retryIdempotent: true},
-		{name: "400", serve: status(400), stage: engine.StageRefused, code: "status_400", verdict: verdict.NotRun},
-		{name: "404, not loaded", serve: status(404), stage: engine.StageRefused, code: "status_404", verdict: verdict.NotRun, retryIdempotent: true, retryOnce: true},
-		{name: "409", serve: status(409), stage: engine.StageRefused, code: "status_409", retryIdempotent: true},
-		{name: "429 without a mark", serve: status(429, "Retry-After", "3"), stage: engine.StageRefused, code: "status_429", retryIdempotent: true},
-		{name: "429 marked not run", serve: status(429, engine.HeaderNotRun, "true"), stage: engine.StageRefused, code: "status_429", verdict: verdict.NotRun, retryIdempotent: true, retryOnce: true},
-		{name: "500", serve: status(500), stage: engine.StageRefused, code: "status_500", retryIdempotent: true},
-		{name: "502", serve: status(502), stage: engine.StageRefused, code: "status_502", retryIdempotent: true},
-		{name: "503 without a mark", serve: status(503), stage: engine.StageRefused, code: "status_503", retryIdempotent: true},
-		{name: "503 marked not run", serve: status(503, engine.HeaderNotRun, "true"), stage: engine.StageRefused, code: "status_503", verdict: verdict.NotRun, retryIdempotent: true, retryOnce: true},
-		{name: "302", serve: status(302), stage: engine.StageRefused, code: "status_302", retryIdempotent: true},
+		{name: "reset after the headers", serve: func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, ": begun\n\n"); resetConnection() }, stage: engine.StageStream, code: engine.CodeNoAnswer, retryIdempotent: true},
+		{name: "reset after a piece", serve: func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, piece(0)); resetConnection() }, stage: engine.StageStream, code: engine.CodeNoAnswer, delivered: 1},
+		{name: "timeout after a piece", serve: func(w http.ResponseWriter, r *http.Request) { writeEvents(w, piece(0)); <-r.Context().Done() }, stage: engine.StageStream, code: engine.CodeNoAnswer, delivered: 1},
+		{name: "early close", serve: func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, piece(0)) }, stage: engine.StageStream, code: engine.CodeNoAnswer, delivered: 1},
+		{name: "piece missing at the end", serve: func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, piece(0), done) }, stage: engine.StageStream, code: engine.CodeNoAnswer, delivered: 1},
+		{name: "malformed piece", serve: func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, "data: {\n\n") }, stage: engine.StageStream, code: engine.CodeMalformed, retryIdempotent: true},
+		{name: "response of another model", serve: func(w http.ResponseWriter, _ *http.Request) { writeEvents(w, "data: {\"model\":\"m@2\"}\n\n") }, stage: engine.StageStream, code: engine.CodeWrongModel, retryIdempotent: true},
+		{name: "400", serve: respondWith(400), stage: engine.StageRefused, code: "status_400", verdict: verdict.NotRun},
+		{name: "404, not loaded", serve: respondWith(404), stage: engine.StageRefused, code: "status_404", verdict: verdict.NotRun, retryIdempotent: true, retryOnce: true},
+		{name: "409", serve: respondWith(409), stage: engine.StageRefused, code: "status_409", retryIdempotent: true},
+		{name: "429 without a mark", serve: respondWith(429, "Retry-After", "3"), stage: engine.StageRefused, code: "status_429", retryIdempotent: true},
+		{name: "429 marked not run", serve: respondWith(429, engine.HeaderNotRun, "true"), stage: engine.StageRefused, code: "status_429", verdict: verdict.NotRun, retryIdempotent: true, retryOnce: true},
+		{name: "500", serve: respondWith(500), stage: engine.StageRefused, code: "status_500", retryIdempotent: true},
+		{name: "502", serve: respondWith(502), stage: engine.StageRefused, code: "status_502", retryIdempotent: true},
+		{name: "503 without a mark", serve: respondWith(503), stage: engine.StageRefused, code: "status_503", retryIdempotent: true},
+		{name: "503 marked not run", serve: respondWith(503, engine.HeaderNotRun, "true"), stage: engine.StageRefused, code: "status_503", verdict: verdict.NotRun, retryIdempotent: true, retryOnce: true},
+		{name: "302", serve: respondWith(302), stage: engine.StageRefused, code: "status_302", retryIdempotent: true},
 	}
 }
 
-func TestEveryEndingHasItsVerdict(t *testing.T) {
-	// An attempt ends in each way that a connection, a server or a network can
-	// end it. The verdict says whether it may have run; a once-only request is
-	// tried again only after not-run, an idempotent one also while its caller
-	// has seen nothing.
-	for _, row := range endings() {
-		t.Run(row.name, func(t *testing.T) {
+func TestVerdictOfEveryOutcome(t *testing.T) {
+	// The verdict must be MayHaveRun unless the request certainly did not run. A
+	// non-idempotent request is retried only after NotRun, an idempotent one also
+	// while nothing was delivered to its caller.
+	for _, test := range outcomes() {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				failure := attempt(t, row)
+				failure := runAttempt(t, test)
 				must.NotNil(t, failure)
-				must.Eq(t, row.stage, failure.Stage)
-				must.Eq(t, row.code, failure.Code)
-				must.Eq(t, row.verdict, failure.Verdict())
-				must.Eq(t, row.passed, failure.Delivered)
-				must.Eq(t, row.retryIdempotent, failure.MayRetry(true))
-				must.Eq(t, row.retryOnce, failure.MayRetry(false))
+				must.Eq(t, test.stage, failure.Stage)
+				must.Eq(t, test.code, failure.Code)
+				must.Eq(t, test.verdict, failure.Verdict())
+				must.Eq(t, test.delivered, failure.Delivered)
+				must.Eq(t, test.retryIdempotent, failure.MayRetry(true))
+				must.Eq(t, test.retryOnce, failure.MayRetry(false))
 			})
 		})
 	}
 }
 
-func attempt(t *testing.T, row ending) *engine.Failure {
+func runAttempt(t *testing.T, test outcome) *engine.Failure {
 	t.Helper()
 	network := standin.NewNetwork()
 	listener, err := network.Host("engine").Listen("80")
@@ -114,9 +113,9 @@
 			return
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
-		row.serve(w, r)
+		test.serve(w, r)
 	})}
-	if row.refused {
+	if test.refused {
 		must.NoError(t, listener.Close())
 	} else {
 		go func() { _ = server.Serve(listener) }()
@@ -143,8 +142,8 @@
 	f.Add([]byte{3, 2, 1, 0, 0, 1})
 	f.Add([]byte{0, 0, 0, 200, 1})
 	f.Fuzz(func(t *testing.T, positions []byte) {
-		// Whatever order pieces come in, and however often, those given out
-		// are 0, 1, 2 and so on, each once.
+		// Pieces arrive in any order and any number of times; they are returned
+		// as 0, 1, 2 and so on, each exactly once.
 		assembler := engine.NewAssembler()
 		next := 0
 		for _, position := range positions {
