--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -116,7 +116,7 @@
 			Key:                  l.key,
 			PromptTokens:         l.request.PromptTokens,
 			MaxOutputTokens:      l.request.OutputTokens,
-			ExpectedOutputTokens: l.request.LikelyTokens,
+			ExpectedOutputTokens: l.request.ExpectedOutputTokens,
 			PromptWait:           l.route.TargetLatency / patienceShare,
 			LatencyBudget:        l.arrived.Add(l.route.TargetLatency - firstMargin).Sub(l.s.Now()),
 			MaxWait:              within,
