--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -156,10 +156,10 @@
 	e.peers = peer.NewServer(identity, cfg.PeerKey, mux, log)
 	e.client = forward.NewClient(platform.Dialect, dial)
 	e.server = serve.New(serve.Deps{
-		DataCentre: cfg.DataCentre, Directory: e.directory, Board: e.board, Owners: e.owners, Pressure: e.pressure,
-		Client: e.client, Quarantine: e.suspects.quarantine, Limit: cfg.Retries, Quotas: e.quotas, Ages: func() (config, runners time.Duration) {
+		DataCentre: cfg.DataCentre, Directory: e.directory, Board: e.board, Owners: e.owners, Backpressure: e.pressure,
+		Client: e.client, Quarantine: e.suspects.quarantine, RetryLimit: cfg.Retries, Quotas: e.quotas, Ages: func() (config, runners time.Duration) {
 			return e.mesh.Age(platform.ConfigKind), e.mesh.Age(platform.RunnerKind)
-		}, Hosts: e.sharers, Now: now, Log: log,
+		}, HostCount: e.sharers, Now: now, Log: log,
 	})
 	e.callers = (&ingress.Ingress{
 		Dialect: platform.Dialect, Directory: e.directory, Serve: e.serve, Now: now, Log: log, Closing: e.stopping.Load, Refusing: e.refusing.Load,
@@ -271,7 +271,7 @@
 		if !snapshot.IsEngine(service) || !e.holdsAny(runners, version.Adapter) {
 			continue
 		}
-		if order := serve.Ranked(key.PlacementKey(), serve.WithModel(runners, key.Model)); len(order) > 0 {
+		if order := serve.RankRunners(key.PlacementKey(), serve.WithModel(runners, key.Model)); len(order) > 0 {
 			e.log.Info("new version loaded ahead", "adapter", key.String(), "version", key.Version, "runner", order[0].ID)
 			e.owners.prefetch(context.Background(), order[0], key)
 		}
@@ -390,7 +390,7 @@
 		"requests_served":    counters.Served.Load,
 		"requests_refused":   counters.Refused.Load,
 		"requests_failed":    counters.Failed.Load,
-		"requests_left":      counters.Left.Load,
+		"requests_left":      counters.Canceled.Load,
 		"retries_denied":     counters.RetriesDenied.Load,
 		"quarantine_refused": counters.Quarantined.Load,
 		"quota_refused":      counters.OverQuota.Load,
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -117,8 +117,8 @@
 	return host, address, nil
 }
 
-// Host implements serve.Owners.
-func (o *owners) Host(runner *site.Runner) string {
+// OwnerOf implements serve.Owners.
+func (o *owners) OwnerOf(runner *site.Runner) string {
 	host, _ := o.mesh.OwnerOf(runner.Address)
 	return host
 }
@@ -163,8 +163,8 @@
 	return ok && k.version >= key.Version && o.now().Sub(k.at) < knownLife
 }
 
-// Missing implements serve.Owners.
-func (o *owners) Missing(runner *site.Runner, key adapters.Key) {
+// ReportMissing implements serve.Owners.
+func (o *owners) ReportMissing(runner *site.Runner, key adapters.Key) {
 	o.mu.Lock()
 	delete(o.known[runner.ID], key.Adapter)
 	o.mu.Unlock()
@@ -192,8 +192,8 @@
 	}
 }
 
-// Placed implements serve.Owners.
-func (o *owners) Placed(home *site.Runner, key adapters.Key, runner *site.Runner) {
+// ReportPlaced implements serve.Owners.
+func (o *owners) ReportPlaced(home *site.Runner, key adapters.Key, runner *site.Runner) {
 	go func() { _ = o.tellHome(context.Background(), home, key, runner) }()
 }
 
@@ -226,8 +226,8 @@
 	return nil
 }
 
-// Ended implements serve.Owners.
-func (o *owners) Ended(runner *site.Runner, adapter site.Adapter) {
+// Release implements serve.Owners.
+func (o *owners) Release(runner *site.Runner, adapter site.Adapter) {
 	if keeper, ok := o.owner.Keeper(runner.ID); ok {
 		keeper.Ended(map[site.Adapter]int{adapter: 1})
 		return
--- a/internal/entry/owners_test.go
+++ b/internal/entry/owners_test.go
@@ -141,11 +141,11 @@
 		runners := map[string]*site.Runner{far.ID: far}
 		adapter := site.Adapter{Model: "m", Name: "a"}
 		owner.with(func() { owner.silent = true })
-		o.Ended(far, adapter)
-		o.Outcome(far.ID, true, false)
+		o.Release(far, adapter)
+		o.ReportOutcome(far.ID, true, false)
 		o.tell(context.Background(), runners)
 		time.Sleep(ownerTimeout + time.Millisecond)
-		o.Ended(far, adapter)
+		o.Release(far, adapter)
 		must.SliceEmpty(t, owner.all())
 
 		owner.with(func() { owner.silent = false })
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -88,8 +88,8 @@
 // run follows the hosts that join and leave until the context ends.
 func (p *pressure) run(ctx context.Context) { timing.Every(ctx, keepInterval, p.counting.keep) }
 
-// Signalled implements serve.Pressure.
-func (p *pressure) Signalled(runner *site.Runner, signal *board.Signal, id string, sent time.Time) {
+// HandleSignal implements serve.Backpressure.
+func (p *pressure) HandleSignal(runner *site.Runner, signal *board.Signal, id string, sent time.Time) {
 	p.signalled(runner.ID, signal, sent, "request "+id)
 }
 
@@ -137,8 +137,8 @@
 	}
 }
 
-// Take implements serve.Pressure.
-func (p *pressure) Take(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
+// Acquire implements serve.Backpressure.
+func (p *pressure) Acquire(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
 	view := p.board.View(runner.ID, p.now())
 	if view.Barred > 0 {
 		return view.Barred, false
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -124,7 +124,7 @@
 // Charge implements serve.Quotas.
 func (q *quotas) Charge(ctx context.Context, workspace *site.Workspace, cost float64, target time.Duration) serve.Charge {
 	if !workspace.Quota.Bounded() {
-		return serve.Charge{Outcome: serve.ChargeFree, Workspace: workspace.Name}
+		return serve.Charge{Outcome: serve.ChargeUnmetered, Workspace: workspace.Name}
 	}
 	charge := q.charge(ctx, workspace, cost, target)
 	switch charge.Outcome {
@@ -134,7 +134,7 @@
 		q.usages.Note(workspace.Name, quota.Usage{Refused: 1})
 	case serve.ChargeUnknown:
 		q.usages.Note(workspace.Name, quota.Usage{Unknown: 1})
-	case serve.ChargeFree:
+	case serve.ChargeUnmetered:
 	}
 	return charge
 }
@@ -270,8 +270,8 @@
 	}
 }
 
-// GiveBack implements serve.Quotas.
-func (q *quotas) GiveBack(charge serve.Charge) {
+// Refund implements serve.Quotas.
+func (q *quotas) Refund(charge serve.Charge) {
 	if charge.Outcome == serve.ChargeGranted {
 		q.allowances.Granted(charge.Workspace, charge.Part, charge.Cost, q.now())
 		q.usages.Note(charge.Workspace, quota.Usage{Returned: charge.Cost})
--- a/internal/entry/telling.go
+++ b/internal/entry/telling.go
@@ -38,8 +38,8 @@
 	at      time.Time
 }
 
-// Outcome implements serve.Owners.
-func (o *owners) Outcome(runner string, good, hard bool) {
+// ReportOutcome implements serve.Owners.
+func (o *owners) ReportOutcome(runner string, good, hard bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	told := o.outcomes[runner]
@@ -54,8 +54,8 @@
 	o.outcomes[runner] = told
 }
 
-// Refused implements serve.Owners.
-func (o *owners) Refused(runner string) {
+// ReportRefused implements serve.Owners.
+func (o *owners) ReportRefused(runner string) {
 	o.board.Refused(runner, o.now())
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -147,8 +147,8 @@
 	return told, true
 }
 
-// Began implements serve.Owners. It is told along with what comes of the request.
-func (o *owners) Began(runner *site.Runner, tokens int, first time.Duration) {
+// ReportFirstEvent implements serve.Owners. It is told along with what comes of the request.
+func (o *owners) ReportFirstEvent(runner *site.Runner, tokens int, first time.Duration) {
 	perToken := adapters.ReadingOf(tokens, first)
 	if perToken <= 0 {
 		return
--- a/internal/serve/answer.go
+++ b/internal/serve/answer.go
@@ -14,8 +14,8 @@
 
 // Counters count what became of requests.
 type Counters struct {
-	Served, Refused, Failed, Left, RetriesDenied, Quarantined, OverQuota atomic.Int64
-	FirstByte                                                            Histogram
+	Served, Refused, Failed, Canceled, RetriesDenied, Quarantined, OverQuota atomic.Int64
+	FirstByte                                                                Histogram
 }
 
 // refuseOrFail ends a request that goes to no further runner: refused if none
@@ -59,7 +59,7 @@
 // giveUp ends a request whose time is over or whose caller has left.
 func (l *life) giveUp(ctx context.Context) {
 	if l.callerGone || errors.Is(ctx.Err(), context.Canceled) {
-		l.s.Counters.Left.Add(1)
+		l.s.Counters.Canceled.Add(1)
 		l.status = statusLeft
 		return
 	}
@@ -107,7 +107,7 @@
 	fields = append(fields, l.chargeFields()...)
 	if l.runner != nil {
 		view := l.s.Board.View(l.runner.ID, now)
-		fields = append(fields, "runner", l.runner.ID, "runner_load", view.Load, "runner_suspect", view.Suspect, "runner_limited", view.Limited, "runner_limit_per_s", view.Rate, "owner", l.s.Owners.Host(l.runner))
+		fields = append(fields, "runner", l.runner.ID, "runner_load", view.Load, "runner_suspect", view.Suspect, "runner_limited", view.Limited, "runner_limit_per_s", view.Rate, "owner", l.s.Owners.OwnerOf(l.runner))
 	}
 	if l.key.Name != "" {
 		fields = append(fields, "adapter", l.key.String(), "prompt_tokens", l.request.PromptTokens, "version", l.key.Version, "rank", l.rank, "near", l.near, "load_ordered", l.loaded, "load_wait_ms", l.waited.Milliseconds())
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -43,7 +43,7 @@
 	l.s.Board.Begin(runner.ID, l.sentAt)
 	defer l.s.Board.End(runner.ID)
 	if l.key.Name != "" {
-		defer l.s.Owners.Ended(runner, l.key.Adapter)
+		defer l.s.Owners.Release(runner, l.key.Adapter)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -70,7 +70,7 @@
 		told = failure.Told
 	}
 	if told.Signal != nil {
-		l.s.Pressure.Signalled(l.runner, told.Signal, l.request.ID, l.sentAt)
+		l.s.Backpressure.HandleSignal(l.runner, told.Signal, l.request.ID, l.sentAt)
 	}
 }
 
@@ -134,7 +134,7 @@
 			if l.s.Board.Good(l.runner.ID, now) {
 				l.s.Log.Info("runner trusted again", "runner", l.runner.ID, "id", l.request.ID)
 			}
-			l.s.Owners.Outcome(l.runner.ID, true, false)
+			l.s.Owners.ReportOutcome(l.runner.ID, true, false)
 		} else {
 			l.bad(false)
 		}
@@ -142,7 +142,7 @@
 		l.bad(false)
 	case failure.Reason == forward.ReasonRefused && (!l.loaded || l.earlyAt[l.runner.ID] > 0):
 		// One that had to wait for its adapter may have come before it, but not again.
-		l.s.Owners.Refused(l.runner.ID)
+		l.s.Owners.ReportRefused(l.runner.ID)
 	case failure.Reason == forward.ReasonConnect:
 		l.bad(true)
 	case failure.Reason == forward.ReasonBroken, failure.Reason == forward.ReasonForeign, failure.Reason == forward.ReasonTimeout:
@@ -151,7 +151,7 @@
 }
 
 func (l *life) bad(hard bool) {
-	l.s.Owners.Outcome(l.runner.ID, false, hard)
+	l.s.Owners.ReportOutcome(l.runner.ID, false, hard)
 	if l.s.Board.Bad(l.runner.ID, hard, l.s.Now()) {
 		l.s.Log.Warn("runner suspect", "runner", l.runner.ID, "hard", hard, "id", l.request.ID)
 	}
@@ -250,7 +250,7 @@
 	if !l.started {
 		copyHeader(l.w.Header(), answer.Header)
 		l.start(answer.Status)
-		l.s.Owners.Began(l.runner, l.request.PromptTokens, l.firstAt.Sub(l.sentAt))
+		l.s.Owners.ReportFirstEvent(l.runner, l.request.PromptTokens, l.firstAt.Sub(l.sentAt))
 	}
 	l.noteGap()
 	if l.route.Resumable {
--- a/internal/serve/charge.go
+++ b/internal/serve/charge.go
@@ -14,8 +14,8 @@
 	// Charge charges a request to its workspace. Target is the request's target latency,
 	// of which the answer takes a part at most.
 	Charge(ctx context.Context, workspace *site.Workspace, cost float64, target time.Duration) Charge
-	// GiveBack takes a charge back whose request has not run.
-	GiveBack(charge Charge)
+	// Refund takes a charge back whose request has not run.
+	Refund(charge Charge)
 }
 
 // ChargeOutcome is what came of a charge.
@@ -23,7 +23,7 @@
 
 // Outcomes of a charge. The zero value is that of a request that counts for nobody.
 const (
-	ChargeFree ChargeOutcome = iota
+	ChargeUnmetered ChargeOutcome = iota
 	ChargeGranted
 	// ChargeRefused: the workspace has used its quota up.
 	ChargeRefused
@@ -78,7 +78,7 @@
 // giveChargeBack takes the charge back of a request that has not run.
 func (l *life) giveChargeBack() {
 	if l.charge.Outcome == ChargeGranted && !l.ran() {
-		l.s.Quotas.GiveBack(l.charge)
+		l.s.Quotas.Refund(l.charge)
 	}
 }
 
@@ -97,7 +97,7 @@
 		return nil
 	}
 	fields := []any{"workspace", workspace.Name, "priority", workspace.RankOf(l.route)}
-	if l.charge.Outcome == ChargeFree {
+	if l.charge.Outcome == ChargeUnmetered {
 		return fields
 	}
 	return append(fields, "cost", l.charge.Cost, "quota_rate", workspace.Quota.Rate, "quota_burst", workspace.Quota.Burst, "in_tokens", workspace.Quota.InTokens, "quota_window_ms", l.charge.Window.Milliseconds(),
--- a/internal/serve/charge_test.go
+++ b/internal/serve/charge_test.go
@@ -26,7 +26,7 @@
 	return Charge{Outcome: q.outcome, Workspace: workspace.Name, Cost: cost, Wait: 1250 * time.Millisecond}
 }
 
-func (q *quotas) GiveBack(Charge) { q.back++ }
+func (q *quotas) Refund(Charge) { q.back++ }
 
 // askAs serves a request of a workspace whose quota is in tokens.
 func (w *world) askAs(counted forward.Counted) *httptest.ResponseRecorder {
--- a/internal/serve/choose.go
+++ b/internal/serve/choose.go
@@ -20,7 +20,7 @@
 	}
 	l.key = adapters.Key{Adapter: l.request.Adapter, Version: snapshot.Versions[l.request.Adapter]}
 	l.keyAt = l.s.Now()
-	return l.placeOnEngine(ctx, Ranked(l.placementKey(), WithModel(runners, l.key.Model)))
+	return l.placeOnEngine(ctx, RankRunners(l.placementKey(), WithModel(runners, l.key.Model)))
 }
 
 // reasonBarred is what callers are told where all runners ask for fewer requests.
@@ -98,8 +98,8 @@
 	return l.key.PlacementKey()
 }
 
-// Ranked gives runners in the order for a key, the same on every host.
-func Ranked(key string, runners []*site.Runner) []*site.Runner {
+// RankRunners gives runners in the order for a key, the same on every host.
+func RankRunners(key string, runners []*site.Runner) []*site.Runner {
 	byAddress := make(map[string]*site.Runner, len(runners))
 	addresses := make([]string, 0, len(runners))
 	for _, runner := range runners {
--- a/internal/serve/quarantine_test.go
+++ b/internal/serve/quarantine_test.go
@@ -75,7 +75,7 @@
 func TestPlaceIsGivenBackWithoutABudget(t *testing.T) {
 	inWorld(t, 2, func(w *world) {
 		w.answer = breakOff
-		w.server.Limit = retrybudget.Limit{Window: 10 * time.Second}
+		w.server.RetryLimit = retrybudget.Limit{Window: 10 * time.Second}
 		must.Eq(t, http.StatusBadGateway, w.askRepeatable().Code)
 		must.Len(t, 1, w.sent)
 		must.Len(t, 2, w.owners.asked)
--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -134,7 +134,7 @@
 		if err != nil {
 			l.s.Log.Debug("not admitted", "id", l.request.ID, "runner", l.runner.ID, "adapter", l.key.String(), "last", last, "error", err.Error())
 			l.refusals = append(l.refusals, err.Error())
-			l.asked = append(l.asked, l.runner.ID+"@"+l.s.Owners.Host(l.runner))
+			l.asked = append(l.asked, l.runner.ID+"@"+l.s.Owners.OwnerOf(l.runner))
 			return err
 		}
 		pause := admitted.At.Sub(l.s.Now())
@@ -144,7 +144,7 @@
 		}
 		if !waited && !step.Home && l.key.Name != "" {
 			// Requests that come while the adapter is loaded go there too.
-			l.s.Owners.Placed(home, l.key, l.runner)
+			l.s.Owners.ReportPlaced(home, l.key, l.runner)
 		}
 		l.loaded = l.loaded || admitted.Again
 		if err := l.pause(ctx, pause); err != nil {
@@ -232,6 +232,6 @@
 // unused gives a place back that the request was admitted to.
 func (l *life) unused(admitted adapters.Admitted) {
 	if !admitted.Again {
-		l.s.Owners.Ended(l.runner, l.key.Adapter)
+		l.s.Owners.Release(l.runner, l.key.Adapter)
 	}
 }
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -29,52 +29,52 @@
 	// Admit asks the runner's owner when a request may be sent: once its adapter
 	// is there and the prompts before it are read.
 	Admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error)
-	// Placed tells an adapter's home that it was placed on another runner.
-	Placed(home *site.Runner, key adapters.Key, runner *site.Runner)
-	// Ended notes that a request that was admitted for an adapter has ended.
-	Ended(runner *site.Runner, adapter site.Adapter)
-	// Began notes how long after a request was sent its runner showed the first event.
-	Began(runner *site.Runner, tokens int, first time.Duration)
-	// Missing notes that a runner lacks an adapter that was thought there.
-	Missing(runner *site.Runner, key adapters.Key)
-	// Host names the host that gives a runner its orders, empty where there is none.
-	Host(runner *site.Runner) string
-	// Outcome notes what became of a request; hard failures are those to
+	// ReportPlaced tells an adapter's home that it was placed on another runner.
+	ReportPlaced(home *site.Runner, key adapters.Key, runner *site.Runner)
+	// Release notes that a request that was admitted for an adapter has ended.
+	Release(runner *site.Runner, adapter site.Adapter)
+	// ReportFirstEvent notes how long after a request was sent its runner showed the first event.
+	ReportFirstEvent(runner *site.Runner, tokens int, first time.Duration)
+	// ReportMissing notes that a runner lacks an adapter that was thought there.
+	ReportMissing(runner *site.Runner, key adapters.Key)
+	// OwnerOf names the host that gives a runner its orders, empty where there is none.
+	OwnerOf(runner *site.Runner) string
+	// ReportOutcome notes what became of a request; hard failures are those to
 	// connect at all.
-	Outcome(runner string, good, hard bool)
-	// Refused notes that a runner turned a request away that it could have run.
-	Refused(runner string)
+	ReportOutcome(runner string, good, hard bool)
+	// ReportRefused notes that a runner turned a request away that it could have run.
+	ReportRefused(runner string)
 }
 
-// Pressure is what runners ask of the hosts in their answers.
-type Pressure interface {
-	// Signalled notes what an answer to a request that was sent at a time says.
-	Signalled(runner *site.Runner, signal *board.Signal, id string, sent time.Time)
-	// Take takes one request of what a runner takes from this host and from all hosts
+// Backpressure is what runners ask of the hosts in their answers.
+type Backpressure interface {
+	// HandleSignal notes what an answer to a request that was sent at a time says.
+	HandleSignal(runner *site.Runner, signal *board.Signal, id string, sent time.Time)
+	// Acquire takes one request of what a runner takes from this host and from all hosts
 	// together, or says when to try again. A request that waited for its place may find a
 	// runner that has asked for rest since.
-	Take(ctx context.Context, runner *site.Runner) (wait time.Duration, ok bool)
+	Acquire(ctx context.Context, runner *site.Runner) (wait time.Duration, ok bool)
 }
 
 // Deps are what a server works with.
 type Deps struct {
-	DataCentre string
-	Directory  *directory.Directory
-	Board      *board.Board
-	Owners     Owners
-	Pressure   Pressure
-	Client     *forward.Client
+	DataCentre   string
+	Directory    *directory.Directory
+	Board        *board.Board
+	Owners       Owners
+	Backpressure Backpressure
+	Client       *forward.Client
 	// Quarantine keeps requests that end runners away from them.
 	Quarantine *quarantine.Quarantine
-	Limit      retrybudget.Limit
+	RetryLimit retrybudget.Limit
 	Quotas     Quotas
 	// Ages gives how old the configuration and the list of runners may be.
 	Ages func() (config, runners time.Duration)
-	// Hosts gives the number of hosts that share the retry budget, 0 while it is not
+	// HostCount gives the number of hosts that share the retry budget, 0 while it is not
 	// known.
-	Hosts func() int
-	Now   func() time.Time
-	Log   hclog.Logger
+	HostCount func() int
+	Now       func() time.Time
+	Log       hclog.Logger
 }
 
 // Server serves requests. It is safe for concurrent use.
@@ -104,7 +104,7 @@
 	defer s.mu.Unlock()
 	b := s.budgets[service]
 	if b == nil {
-		b = retrybudget.New(s.Limit, s.started)
+		b = retrybudget.New(s.RetryLimit, s.started)
 		s.budgets[service] = b
 	}
 	return b
@@ -223,7 +223,7 @@
 		return
 	}
 	l.budget = s.budget(name)
-	l.budget.Request(s.Now(), s.Hosts())
+	l.budget.Request(s.Now(), s.HostCount())
 	ctx, cancel := context.WithDeadline(ctx, time.Now().Add(l.deadline.Sub(s.Now())))
 	defer cancel()
 	if l.chargeWorkspace(ctx) {
@@ -276,7 +276,7 @@
 			l.giveBack()
 			continue
 		}
-		if l.sends > 0 && !l.budget.Take(l.s.Now(), l.s.Hosts()) {
+		if l.sends > 0 && !l.budget.Take(l.s.Now(), l.s.HostCount()) {
 			l.giveBack()
 			l.s.Counters.RetriesDenied.Add(1)
 			l.fail("the retry budget is spent")
@@ -320,7 +320,7 @@
 		l.taken = ""
 		return true
 	}
-	wait, ok := l.s.Pressure.Take(ctx, l.runner)
+	wait, ok := l.s.Backpressure.Acquire(ctx, l.runner)
 	if !ok {
 		l.tried[l.runner.ID] = true
 		l.passOver(l.runner.ID, wait)
@@ -355,7 +355,7 @@
 // and other adapters are refused for it.
 func (l *life) giveBack() {
 	if l.key.Name != "" {
-		l.s.Owners.Ended(l.runner, l.key.Adapter)
+		l.s.Owners.Release(l.runner, l.key.Adapter)
 	}
 }
 
@@ -402,7 +402,7 @@
 		return true
 	}
 	l.earlyAt[l.runner.ID]++
-	l.s.Owners.Missing(l.runner, l.key)
+	l.s.Owners.ReportMissing(l.runner, l.key)
 	timing.Sleep(ctx, earlyPause)
 	return true
 }
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -96,7 +96,7 @@
 	return answer(runner, ask)
 }
 
-func (o *owners) Ended(*site.Runner, site.Adapter) {
+func (o *owners) Release(*site.Runner, site.Adapter) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.ended++
@@ -105,19 +105,19 @@
 // pressure takes what runners say, and holds nothing back but from the runners that rest.
 type pressure struct{ rests map[string]time.Duration }
 
-func (*pressure) Signalled(*site.Runner, *board.Signal, string, time.Time) {}
+func (*pressure) HandleSignal(*site.Runner, *board.Signal, string, time.Time) {}
 
-func (p *pressure) Take(_ context.Context, runner *site.Runner) (time.Duration, bool) {
+func (p *pressure) Acquire(_ context.Context, runner *site.Runner) (time.Duration, bool) {
 	wait, rests := p.rests[runner.ID]
 	return wait, !rests
 }
 
-func (*owners) Placed(*site.Runner, adapters.Key, *site.Runner) {}
-func (*owners) Began(*site.Runner, int, time.Duration)          {}
-func (*owners) Host(*site.Runner) string                        { return "" }
-func (*owners) Missing(*site.Runner, adapters.Key)              {}
-func (*owners) Outcome(string, bool, bool)                      {}
-func (*owners) Refused(string)                                  {}
+func (*owners) ReportPlaced(*site.Runner, adapters.Key, *site.Runner) {}
+func (*owners) ReportFirstEvent(*site.Runner, int, time.Duration)     {}
+func (*owners) OwnerOf(*site.Runner) string                           { return "" }
+func (*owners) ReportMissing(*site.Runner, adapters.Key)              {}
+func (*owners) ReportOutcome(string, bool, bool)                      {}
+func (*owners) ReportRefused(string)                                  {}
 
 // world is a server of one host before runners in memory, in virtual time.
 type world struct {
@@ -155,11 +155,11 @@
 			defer func() { _ = server.Close() }()
 		}
 		w.server = New(Deps{
-			Directory: w.directory, Board: board.New(), Owners: w.owners, Pressure: w.pressure, Quarantine: quarantine.New(),
-			Client: forward.NewClient(headers{}, net.Host("host").Dial),
-			Limit:  retrybudget.Limit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
-			Ages:   func() (config, runners time.Duration) { return 0, 0 },
-			Hosts:  func() int { return 1 }, Now: time.Now, Log: hclog.NewNullLogger(),
+			Directory: w.directory, Board: board.New(), Owners: w.owners, Backpressure: w.pressure, Quarantine: quarantine.New(),
+			Client:     forward.NewClient(headers{}, net.Host("host").Dial),
+			RetryLimit: retrybudget.Limit{Ratio: 0.2, Slack: 50, Window: 10 * time.Second},
+			Ages:       func() (config, runners time.Duration) { return 0, 0 },
+			HostCount:  func() int { return 1 }, Now: time.Now, Log: hclog.NewNullLogger(),
 		})
 		run(w)
 	})
