--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -126,7 +126,7 @@
 	})
 	peer.Handle(mux, methodPlaced, func(_ context.Context, _ peer.Identity, p PlacedParams) (struct{}, error) {
 		if err := o.placedHere(p); err != nil {
-			return struct{}{}, peer.Refuse(err)
+			return struct{}{}, peer.NewRefusal(err)
 		}
 		return struct{}{}, nil
 	})
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -340,7 +340,7 @@
 
 // ServeCallers serves callers until the server is closed.
 func (e *Entry) ServeCallers(listener net.Listener) error {
-	return e.callers.Serve(ingress.Listener(listener))
+	return e.callers.Serve(ingress.WrapListener(listener))
 }
 
 // ServePeers serves the other hosts until the listener closes.
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -79,7 +79,7 @@
 		p.peerLimit(params.Limit, from.Host)
 		result, err := p.count(params)
 		if err != nil {
-			return LimitResult{}, peer.Refuse(err)
+			return LimitResult{}, peer.NewRefusal(err)
 		}
 		return result, nil
 	})
@@ -188,7 +188,7 @@
 }
 
 func (p *pressure) notCounted(runner *site.Runner, host string, err error) {
-	if !peer.Refused(err) && host != p.counting.host {
+	if !peer.IsRefusal(err) && host != p.counting.host {
 		p.resting.rest(host, p.now().Add(ownerRest))
 	}
 	p.log.Info("runner's limit not counted", "runner", runner.ID, "counting_host", host, "passed_over_ms", limitRest.Milliseconds(), "error", err.Error())
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -88,7 +88,7 @@
 	peer.Handle(mux, methodQuota, func(_ context.Context, _ peer.Identity, p QuotaParams) (QuotaResult, error) {
 		answer, err := q.count(quota.Ask{Key: p.Workspace, Part: p.Part, Cost: p.Cost, Ahead: p.Ahead, Back: p.Back})
 		if err != nil {
-			return QuotaResult{}, peer.Refuse(err)
+			return QuotaResult{}, peer.NewRefusal(err)
 		}
 		return QuotaResult{Granted: answer.Granted, WaitMS: answer.Wait.Milliseconds(), Level: answer.Level}, nil
 	})
@@ -256,7 +256,7 @@
 // noteCall leaves a host that cannot be reached alone for a time. One that answers that
 // it does not count the part is asked again, since it soon may.
 func (q *quotas) noteCall(host string, err error) {
-	if err == nil || peer.Refused(err) {
+	if err == nil || peer.IsRefusal(err) {
 		return
 	}
 	q.resting.rest(host, q.now().Add(quotaRest))
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -114,7 +114,7 @@
 		}).Server()
 		listener, err := e.net.Host("entry").Listen("80")
 		must.NoError(t, err)
-		go func() { _ = server.Serve(Listener(listener)) }()
+		go func() { _ = server.Serve(WrapListener(listener)) }()
 		defer func() { _ = server.Close() }()
 		run(e)
 	})
--- a/internal/ingress/recorder.go
+++ b/internal/ingress/recorder.go
@@ -70,8 +70,8 @@
 	return framingOne
 }
 
-// Listener wraps a listener so that its connections record.
-func Listener(inner net.Listener) net.Listener { return recording{inner} }
+// WrapListener wraps a listener so that its connections record.
+func WrapListener(inner net.Listener) net.Listener { return recording{inner} }
 
 type recording struct{ net.Listener }
 
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -183,7 +183,7 @@
 func (s *Service) fetch(_ context.Context, _ peer.Identity, params FetchParams) (FetchResult, error) {
 	replica := s.Kinds[params.Kind]
 	if replica == nil {
-		return FetchResult{}, peer.Refuse(errors.Errorf("no records of kind %q are kept", params.Kind))
+		return FetchResult{}, peer.NewRefusal(errors.Errorf("no records of kind %q are kept", params.Kind))
 	}
 	var snapshot registry.Snapshot
 	if params.Since == 0 {
@@ -197,7 +197,7 @@
 	}
 	parcel, err := s.parcels.announce(params.Kind, snapshot.Records, params.Begun)
 	if err != nil {
-		return FetchResult{}, peer.Refuse(err)
+		return FetchResult{}, peer.NewRefusal(err)
 	}
 	snapshot.Records = nil
 	return FetchResult{Snapshot: snapshot, Parcel: parcel}, nil
@@ -206,7 +206,7 @@
 func (s *Service) piece(_ context.Context, _ peer.Identity, params PieceParams) (PieceResult, error) {
 	data, ok := s.parcels.piece(params)
 	if !ok {
-		return PieceResult{}, peer.Refuse(errors.New("no such piece is kept"))
+		return PieceResult{}, peer.NewRefusal(errors.New("no such piece is kept"))
 	}
 	return PieceResult{Data: data}, nil
 }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -111,13 +111,13 @@
 	}
 }
 
-// Refuse makes an error that tells the caller that nothing was done.
-func Refuse(err error) error {
+// NewRefusal makes an error that tells the caller that nothing was done.
+func NewRefusal(err error) error {
 	return &jsonrpc2.Error{Code: CodeRefused, Message: err.Error()}
 }
 
-// Refused says whether an error is a peer's word that nothing was done.
-func Refused(err error) bool {
+// IsRefusal says whether an error is a peer's word that nothing was done.
+func IsRefusal(err error) bool {
 	var rpc *jsonrpc2.Error
 	return errors.As(err, &rpc) && rpc.Code == CodeRefused
 }
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -29,7 +29,7 @@
 		return from.Host + ": " + p.Text, nil
 	})
 	Handle(mux, "refuse", func(context.Context, Identity, echoParams) (string, error) {
-		return "", Refuse(errors.New("not now"))
+		return "", NewRefusal(errors.New("not now"))
 	})
 	return mux
 }
@@ -67,10 +67,10 @@
 		must.NoError(t, err)
 		must.Eq(t, "a: hello", got)
 		_, err = call(pool, "refuse", echoParams{}, time.Second)
-		must.True(t, Refused(err))
+		must.True(t, IsRefusal(err))
 		_, err = call(pool, "nothing", echoParams{}, time.Second)
 		must.Error(t, err)
-		must.False(t, Refused(err))
+		must.False(t, IsRefusal(err))
 	})
 }
 
