--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -88,7 +88,7 @@
 	peer.Handle(mux, methodQuota, func(_ context.Context, _ peer.Identity, p QuotaParams) (QuotaResult, error) {
 		answer, err := q.count(quota.GrantRequest{Key: p.Workspace, Part: p.Part, Cost: p.Cost, Prefetch: p.Ahead, Returned: p.Back})
 		if err != nil {
-			return QuotaResult{}, peer.Refuse(err)
+			return QuotaResult{}, peer.NewRefusal(err)
 		}
 		return QuotaResult{Granted: answer.Granted, WaitMS: answer.RetryAfter.Milliseconds(), Level: answer.Level}, nil
 	})
@@ -124,7 +124,7 @@
 // Charge implements serve.Quotas.
 func (q *quotas) Charge(ctx context.Context, workspace *site.Workspace, cost float64, target time.Duration) serve.Charge {
 	if !workspace.Quota.Bounded() {
-		return serve.Charge{Outcome: serve.ChargeFree, Workspace: workspace.Name}
+		return serve.Charge{Outcome: serve.ChargeUnmetered, Workspace: workspace.Name}
 	}
 	charge := q.charge(ctx, workspace, cost, target)
 	switch charge.Outcome {
@@ -134,7 +134,7 @@
 		q.usages.Add(workspace.Name, quota.Usage{Refused: 1})
 	case serve.ChargeUnknown:
 		q.usages.Add(workspace.Name, quota.Usage{Unknown: 1})
-	case serve.ChargeFree:
+	case serve.ChargeUnmetered:
 	}
 	return charge
 }
@@ -256,7 +256,7 @@
 // noteCall leaves a host that cannot be reached alone for a time. One that answers that
 // it does not count the part is asked again, since it soon may.
 func (q *quotas) noteCall(host string, err error) {
-	if err == nil || peer.Refused(err) {
+	if err == nil || peer.IsRefusal(err) {
 		return
 	}
 	q.resting.rest(host, q.now().Add(quotaRest))
@@ -270,8 +270,8 @@
 	}
 }
 
-// GiveBack implements serve.Quotas.
-func (q *quotas) GiveBack(charge serve.Charge) {
+// Refund implements serve.Quotas.
+func (q *quotas) Refund(charge serve.Charge) {
 	if charge.Outcome == serve.ChargeGranted {
 		q.allowances.AddGrant(charge.Workspace, charge.Part, charge.Cost, q.now())
 		q.usages.Add(charge.Workspace, quota.Usage{Returned: charge.Cost})
