--- a/internal/fleet/fleet.go
+++ b/internal/fleet/fleet.go
@@ -1,8 +1,8 @@
-// Package fleet holds what a node knows of the hosts: entry hosts (its peers),
-// model runners and plain services, live or leaving.
+// Package fleet holds what a node knows of the hosts: entry hosts (its peers), model
+// runners and plain services, live or leaving.
 //
-// Its rules: a target seen leaving gets nothing new; a host list that is
-// silent, stale or suddenly empty is no proof that anything changed.
+// A target that is leaving gets no new work. A host list that is missing, stale or
+// suddenly empty is not taken as evidence that anything changed.
 package fleet
 
 import (
@@ -10,7 +10,7 @@
 	"sync"
 )
 
-// Role tells what a host does.
+// Role is the function of a host.
 type Role string
 
 // Roles of hosts.
@@ -20,7 +20,7 @@
 	RoleService Role = "service"
 )
 
-// State of a host on the platform's list.
+// State is the state of a host on the platform's list.
 type State string
 
 // States of hosts.
@@ -29,63 +29,63 @@
 	StateLeaving State = "leaving"
 )
 
-// Host is one line of the host list.
+// Host is one entry of the host list.
 type Host struct {
 	ID         string `json:"id"`
 	Role       Role   `json:"role"`
 	State      State  `json:"state"`
 	DataCentre string `json:"data_centre"`
 	Region     string `json:"region,omitempty"`
-	// Address is host:port, for callers' requests or, on an entry host, for peers.
+	// Address is host:port. It takes callers' requests, or on an entry host, calls by
+	// peers.
 	Address string `json:"address"`
 	// Service names the plain service that a service host belongs to.
 	Service string `json:"service,omitempty"`
 	// Base names the base model that a runner serves.
 	Base string `json:"base,omitempty"`
-	// ChecksFence says that the runner refuses an order with an old fencing number.
+	// ChecksFence is set if the runner rejects orders with an old fencing token.
 	ChecksFence bool `json:"checks_fence,omitempty"`
 }
 
-// List is the platform's answer. Version grows with each change of the list.
+// List is the platform's host list. Version increases with each change.
 type List struct {
 	Version uint64 `json:"version"`
 	Hosts   []Host `json:"hosts"`
 }
 
-// Table is the last host list that was taken over. It is safe for concurrent use.
+// Table holds the last accepted host list. It is safe for concurrent use.
 type Table struct {
-	mu      sync.RWMutex
-	version uint64
-	hosts   map[string]Host
-	gone    map[string]bool
-	stale   int
+	mu         sync.RWMutex
+	version    uint64
+	hosts      map[string]Host
+	removed    map[string]bool
+	staleLists int
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{hosts: map[string]Host{}, gone: map[string]bool{}}
+	return &Table{hosts: map[string]Host{}, removed: map[string]bool{}}
 }
 
-// Update takes a list over and reports whether it did. A list with an older
-// version is an answer that was overtaken. An empty list, once hosts are
-// known, is a platform that lost its memory: to believe it would turn every
-// target away at once, and to keep the old one costs at most a refused
-// connection.
+// Update accepts a list unless it is stale, and reports whether it did. A list with
+// an older version was overtaken by a newer one. An empty list, once hosts are known,
+// means that the platform lost its state: accepting it would stop traffic to every
+// target at once, while keeping the old list costs at most a refused connection.
 func (t *Table) Update(list List) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if list.Version < t.version || (len(list.Hosts) == 0 && len(t.hosts) > 0) {
-		t.stale++
+		t.staleLists++
 		return false
 	}
 	next := make(map[string]Host, len(list.Hosts))
 	for _, host := range list.Hosts {
 		next[host.ID] = host
-		delete(t.gone, host.ID)
+		delete(t.removed, host.ID)
 	}
 	for id := range t.hosts {
 		if _, ok := next[id]; !ok {
-			t.gone[id] = true
+			t.removed[id] = true
 		}
 	}
 	t.hosts = next
@@ -93,7 +93,7 @@
 	return true
 }
 
-// Host gives one host by its identifier.
+// Host returns a host by its identifier.
 func (t *Table) Host(id string) (Host, bool) {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -101,22 +101,22 @@
 	return host, ok
 }
 
-// Removed says that the platform once listed the host and no longer does. A host
-// never seen is not gone: the list may lag behind its start.
+// Removed reports whether the platform once listed the host and no longer does. It is
+// false for a host never listed, since the list may lag behind the host's start.
 func (t *Table) Removed(id string) bool {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.gone[id]
+	return t.removed[id]
 }
 
-// StaleLists gives the number of lists that were not believed.
+// StaleLists returns the number of rejected lists.
 func (t *Table) StaleLists() int {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
-	return t.stale
+	return t.staleLists
 }
 
-// ByRole gives the hosts of one role, sorted by identifier, leaving ones included.
+// ByRole returns the hosts of a role sorted by identifier, leaving ones included.
 func (t *Table) ByRole(role Role) []Host {
 	t.mu.RLock()
 	defer t.mu.RUnlock()
@@ -130,7 +130,7 @@
 	return found
 }
 
-// MayReceive says whether a host may get new work.
+// MayReceive reports whether a host is listed and may get new work.
 func (t *Table) MayReceive(id string) bool {
 	host, ok := t.Host(id)
 	return ok && host.State == StateLive
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestTableBelievesNoStaleList(t *testing.T) {
+func TestTableRejectsStaleLists(t *testing.T) {
 	table := NewTable()
 	must.True(t, table.Update(List{Version: 2, Hosts: []Host{{ID: "a", State: StateLive}, {ID: "b", State: StateLive}}}))
 	must.False(t, table.Update(List{Version: 1, Hosts: []Host{{ID: "a", State: StateLeaving}}}))
@@ -22,7 +22,7 @@
 	must.Eq(t, 2, table.StaleLists())
 }
 
-func TestRendezvousMovesOnlyWhatItMust(t *testing.T) {
+func TestRendezvousMovesOnlyKeysOfARemovedMember(t *testing.T) {
 	members := []string{"a", "b", "c", "d"}
 	moved := 0
 	for i := range 1000 {
@@ -39,9 +39,9 @@
 }
 
 func TestNeighboursOfALargeFleet(t *testing.T) {
-	// 460 hosts in 25 data centres of 7 regions: a host talks to its own data
-	// centre, to two hosts of each other one in its region, and to one of each
-	// other region.
+	// 460 hosts in 25 data centres of 7 regions: a host exchanges heartbeats with its
+	// own data centre, with two hosts of each other data centre in its region, and
+	// with one host of each other region.
 	var hosts []Host
 	for i := range 460 {
 		hosts = append(hosts, Host{ID: fmt.Sprintf("e%03d", i), DataCentre: fmt.Sprint("dc", i%25), Region: fmt.Sprint("region", i%25%7)})
@@ -61,7 +61,7 @@
 	must.Len(t, 7, Neighbours(hosts[0], hosts[:8]))
 }
 
-func TestCandidates(t *testing.T) {
+func TestMemberCandidates(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := NewMembers(2 * time.Second)
 	m.Observe(Member{Host: "a", Ready: true, DataCentre: "x"}, now)
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -6,51 +6,52 @@
 	"time"
 )
 
-// Member is an entry host as its own process describes it.
+// Member is the state of an entry host as announced by its own process.
 type Member struct {
 	Host        string `json:"host"`
 	Incarnation string `json:"incarnation"`
 	Address     string `json:"address"`
 	DataCentre  string `json:"data_centre"`
 	Region      string `json:"region,omitempty"`
-	// Leaving: the process hands its work over and takes none.
+	// Leaving is set while the process hands over its work and takes no more.
 	Leaving bool `json:"leaving,omitempty"`
-	// Ready: the process has an inventory and may own runners.
+	// Ready is set once the process has an inventory and may own runners.
 	Ready    bool   `json:"ready,omitempty"`
 	Revision uint64 `json:"revision"`
-	// WaitingLoads is the number of loads that callers wait for on its runners.
+	// WaitingLoads is the number of loads on its runners that callers wait for.
 	WaitingLoads int `json:"wanted,omitempty"`
-	// LoadWaitMS is the time, in milliseconds, until a load asked of this
-	// member now would be done; of use from the member that orders loads.
+	// LoadWaitMS is how long a load requested from this member now would take until
+	// it is done, in milliseconds. Only that of the member that orders the loads is
+	// used.
 	LoadWaitMS int64 `json:"load_wait_ms,omitempty"`
 }
 
-// Members is what a node has heard from its peers. It is safe for concurrent use.
+// Members holds the last announcement of each peer. It is safe for concurrent use.
 type Members struct {
-	silence time.Duration
+	timeout time.Duration
 
-	mu    sync.RWMutex
-	heard map[string]heardMember
+	mu      sync.RWMutex
+	members map[string]memberState
 }
 
-type heardMember struct {
+type memberState struct {
 	Member
-	at time.Time
+	heardAt time.Time
 }
 
-// NewMembers makes an empty table; a member that was silent for longer than
-// silence counts as suspect.
-func NewMembers(silence time.Duration) *Members {
-	return &Members{silence: silence, heard: map[string]heardMember{}}
+// NewMembers returns an empty table. Members not heard from for longer than the
+// timeout do not count as alive.
+func NewMembers(timeout time.Duration) *Members {
+	return &Members{timeout: timeout, members: map[string]memberState{}}
 }
 
-// Observe notes a message of a member and reports whether a new process speaks
-// for the host.
+// Observe records an announcement and reports whether it comes from a process that is
+// new for its host.
 func (m *Members) Observe(member Member, now time.Time) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	old, known := m.heard[member.Host]
-	m.heard[member.Host] = heardMember{Member: member, at: now}
+	old, known := m.members[member.Host]
+	m.members[member.Host] = memberState{Member: member, heardAt: now}
 	return !known || old.Incarnation != member.Incarnation
 }
 
@@ -58,46 +59,46 @@
 func (m *Members) Remove(host string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.heard, host)
+	delete(m.members, host)
 }
 
-// Get gives what a member last told.
+// Get returns the last announcement of a member.
 func (m *Members) Get(host string) (Member, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	heard, ok := m.heard[host]
+	heard, ok := m.members[host]
 	return heard.Member, ok
 }
 
-// Alive says whether a member was heard of late.
+// Alive reports whether a member was heard from within the timeout.
 func (m *Members) Alive(host string, now time.Time) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	heard, ok := m.heard[host]
-	return ok && now.Sub(heard.at) <= m.silence
+	heard, ok := m.members[host]
+	return ok && now.Sub(heard.heardAt) <= m.timeout
 }
 
-// All gives every member heard of, sorted by host.
+// All returns all members sorted by host.
 func (m *Members) All() []Member {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	all := make([]Member, 0, len(m.heard))
-	for _, heard := range m.heard {
+	all := make([]Member, 0, len(m.members))
+	for _, heard := range m.members {
 		all = append(all, heard.Member)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Host < all[j].Host })
 	return all
 }
 
-// Candidates gives the members that may own a runner or hold a role now:
-// speaking, ready and not leaving. With a data centre given, its members go
-// before all others: talk is local.
+// Candidates returns the members that may own a runner or hold a role now: alive,
+// ready and not leaving. If the data centre has such members, only those are
+// returned, which keeps traffic local.
 func (m *Members) Candidates(dataCentre string, now time.Time) []string {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	var local, all []string
-	for host, heard := range m.heard {
-		if heard.Leaving || !heard.Ready || now.Sub(heard.at) > m.silence {
+	for host, heard := range m.members {
+		if heard.Leaving || !heard.Ready || now.Sub(heard.heardAt) > m.timeout {
 			continue
 		}
 		all = append(all, host)
@@ -112,27 +113,29 @@
 	return all
 }
 
-// Limits of a node's neighbourhood.
+// Limits on the peers of a node.
 const (
-	// fullMesh is the number of entry hosts up to which each talks to all.
-	fullMesh = 16
-	// relaysPerDataCentre and relaysPerRegion bound talk beyond the data centre.
+	// maxFullMesh is the number of entry hosts up to which each exchanges heartbeats
+	// with all others.
+	maxFullMesh = 16
+	// relaysPerDataCentre and relaysPerRegion are the numbers of peers in each other
+	// data centre of the region and in each other region.
 	relaysPerDataCentre = 2
 	relaysPerRegion     = 1
 )
 
-// Neighbours gives the entry hosts that a node exchanges heartbeats with: all
-// of a small fleet; of a large one its own data centre, two hosts of each
-// other data centre of the region, and one of each other region. The choice
-// is by rendezvous hashing, so it moves little as hosts come and go.
+// Neighbours returns the entry hosts that a node exchanges heartbeats with. In a
+// small fleet that is all of them; in a large one it is the node's data centre, two
+// hosts of each other data centre of the region and one of each other region. They
+// are chosen by rendezvous hashing, so few change as hosts come and go.
 func Neighbours(self Host, entries []Host) []Host {
-	if len(entries) <= fullMesh {
-		return without(entries, self.ID)
+	if len(entries) <= maxFullMesh {
+		return withoutHost(entries, self.ID)
 	}
 	groups := map[string][]string{}
 	byID := make(map[string]Host, len(entries))
 	var chosen []Host
-	for _, host := range without(entries, self.ID) {
+	for _, host := range withoutHost(entries, self.ID) {
 		byID[host.ID] = host
 		switch {
 		case host.DataCentre == self.DataCentre:
@@ -157,7 +160,7 @@
 	return chosen
 }
 
-func without(hosts []Host, id string) []Host {
+func withoutHost(hosts []Host, id string) []Host {
 	var others []Host
 	for _, host := range hosts {
 		if host.ID != id {
--- a/internal/fleet/rendezvous.go
+++ b/internal/fleet/rendezvous.go
@@ -6,9 +6,9 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Rank orders members by rendezvous hashing for a key, the first choice
-// first. Every node ranks alike, and a member that goes moves only the keys
-// it was first for.
+// Rank orders members by rendezvous hashing for a key, the first choice first. All
+// nodes compute the same order, and removing a member moves only the keys for which
+// it came first.
 func Rank(key string, members []string) []string {
 	ranked := append([]string(nil), members...)
 	weights := make(map[string]uint64, len(members))
@@ -24,7 +24,7 @@
 	return ranked
 }
 
-// First gives the first choice among members for a key, or "" without members.
+// First returns the first choice among members for a key, or "" if there are none.
 func First(key string, members []string) string {
 	best := ""
 	var bestWeight uint64
