--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -1,8 +1,9 @@
-// Package demand estimates, in bounded memory, how often each model is asked
-// for, and what will be asked for next.
+// Package demand estimates in bounded memory how often each model is requested and
+// which models will be requested next.
 //
-// Estimates are hints: they decide what is loaded and evicted, never whether
-// a request may run. They decay, so a shift of popularity shows in seconds.
+// The estimates are hints. They decide which models are loaded and evicted, never
+// whether a request may run. They decay, so that a shift of popularity shows within
+// seconds.
 package demand
 
 import (
@@ -15,20 +16,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Decay times of the two rates that are kept of each model.
+// Decay times of the two request rates that are kept for each model.
 const (
 	fastDecay = 20 * time.Second
 	slowDecay = 10 * time.Minute
 )
 
 const (
-	shardCount   = 16
-	hoursPerDay  = 24
-	habitGain    = 64
-	habitMax     = 255
-	habitLikely  = 96
-	risingFactor = 2
-	risingLeast  = 0.1
+	shardCount      = 16
+	hoursPerDay     = 24
+	hourScoreGain   = 64
+	hourScoreMax    = 255
+	hourScoreLikely = 96
+	risingFactor    = 2
+	risingMinRate   = 0.1
 )
 
 // Count is a number of requests for a model.
@@ -37,8 +38,8 @@
 	N     float64 `json:"n"`
 }
 
-// Estimator holds the estimates. It is safe for concurrent use; its models
-// are divided into shards with a lock each.
+// Estimator holds the estimates. It is safe for concurrent use; the models are
+// divided into shards with a lock each.
 type Estimator struct {
 	perShard int
 	shards   [shardCount]shard
@@ -49,17 +50,18 @@
 	models map[string]*estimate
 }
 
-// estimate is what is known of one model. fast and slow are decayed counts;
-// habit holds for each hour of the day how regularly the model was used in it.
+// estimate is the state of one model. fast and slow are decayed request counts;
+// hourScores tells for each hour of the day (UTC) how regularly the model was used in
+// it.
 type estimate struct {
 	fast, slow float64
-	at         time.Time
-	habit      [hoursPerDay]uint8
-	habitDay   int
-	habitHour  int
+	updatedAt  time.Time
+	hourScores [hoursPerDay]uint8
+	lastDay    int
+	lastHour   int
 }
 
-// NewEstimator makes an estimator for up to so many models.
+// NewEstimator returns an estimator for up to limit models.
 func NewEstimator(limit int) *Estimator {
 	e := &Estimator{perShard: max(1, limit/shardCount)}
 	for i := range e.shards {
@@ -80,39 +82,39 @@
 	est := s.models[model]
 	if est == nil {
 		if len(s.models) >= e.perShard {
-			s.dropLeast(now)
+			s.evictLowest(now)
 		}
-		est = &estimate{at: now, habitHour: -1}
+		est = &estimate{updatedAt: now, lastHour: -1}
 		s.models[model] = est
 	}
 	est.decay(now)
 	est.fast += n
 	est.slow += n
-	est.learnHour(now)
+	est.updateHourScore(now)
 }
 
 func (est *estimate) decay(now time.Time) {
-	elapsed := now.Sub(est.at)
+	elapsed := now.Sub(est.updatedAt)
 	if elapsed <= 0 {
 		return
 	}
 	est.fast *= math.Exp(-elapsed.Seconds() / fastDecay.Seconds())
 	est.slow *= math.Exp(-elapsed.Seconds() / slowDecay.Seconds())
-	est.at = now
+	est.updatedAt = now
 }
 
-// learnHour strengthens the habit of this hour once a day.
-func (est *estimate) learnHour(now time.Time) {
+// updateHourScore raises the score of the current hour, at most once a day.
+func (est *estimate) updateHourScore(now time.Time) {
 	day, hour := now.UTC().YearDay(), now.UTC().Hour()
-	if est.habitDay == day && est.habitHour == hour {
+	if est.lastDay == day && est.lastHour == hour {
 		return
 	}
-	est.habitDay, est.habitHour = day, hour
-	est.habit[hour] = uint8(min(habitMax, int(est.habit[hour])*3/4+habitGain))
+	est.lastDay, est.lastHour = day, hour
+	est.hourScores[hour] = uint8(min(hourScoreMax, int(est.hourScores[hour])*3/4+hourScoreGain))
 }
 
-// dropLeast makes room by dropping the model with the least demand.
-func (s *shard) dropLeast(now time.Time) {
+// evictLowest makes room by dropping the model with the lowest rate.
+func (s *shard) evictLowest(now time.Time) {
 	least, found := "", math.Inf(1)
 	for model, est := range s.models {
 		if value := est.perSecond(now); value < found {
@@ -122,21 +124,21 @@
 	delete(s.models, least)
 }
 
-// perSecond gives the likely requests a second: the larger of the two rates,
-// so that a burst counts at once and a steady trickle is not forgotten.
+// perSecond estimates the requests per second. It returns the larger of the two
+// rates, so that a burst counts at once and steady low traffic is not forgotten.
 func (est *estimate) perSecond(now time.Time) float64 {
 	fast, slow := est.rates(now)
 	return max(fast, slow)
 }
 
 func (est *estimate) rates(now time.Time) (fast, slow float64) {
-	elapsed := max(0, now.Sub(est.at).Seconds())
+	elapsed := max(0, now.Sub(est.updatedAt).Seconds())
 	fast = est.fast * math.Exp(-elapsed/fastDecay.Seconds()) / fastDecay.Seconds()
 	slow = est.slow * math.Exp(-elapsed/slowDecay.Seconds()) / slowDecay.Seconds()
 	return fast, slow
 }
 
-// PerSecond gives the likely requests a second for a model.
+// PerSecond estimates the requests per second for a model.
 func (e *Estimator) PerSecond(model string, now time.Time) float64 {
 	s := e.shard(model)
 	s.mu.Lock()
@@ -147,38 +149,39 @@
 	return 0
 }
 
-// Forecast is a model that will likely be asked for.
+// Forecast is a model that is likely to be requested, with its estimated rate.
 type Forecast struct {
 	Model     string  `json:"model"`
 	PerSecond float64 `json:"per_second"`
 }
 
-// Rising gives the models whose rate grows, the fastest first.
+// Rising returns the models whose rate is growing, highest rate first.
 func (e *Estimator) Rising(now time.Time, limit int) []Forecast {
-	return e.choose(now, limit, func(est *estimate) bool {
+	return e.top(now, limit, func(est *estimate) bool {
 		fast, slow := est.rates(now)
-		return fast >= risingLeast && fast > risingFactor*slow
+		return fast >= risingMinRate && fast > risingFactor*slow
 	})
 }
 
-// Hottest gives the models with the highest rates, for refilling a runner.
+// Hottest returns the models with the highest rates, for refilling a runner.
 func (e *Estimator) Hottest(now time.Time, limit int) []Forecast {
-	return e.choose(now, limit, func(*estimate) bool { return true })
+	return e.top(now, limit, func(*estimate) bool { return true })
 }
 
-// UsualAtHour gives the models that are regularly used in the hour of a time.
-func (e *Estimator) UsualAtHour(at time.Time, limit int) []Forecast {
-	hour := at.UTC().Hour()
-	return e.choose(at, limit, func(est *estimate) bool { return est.habit[hour] >= habitLikely })
+// UsualAtHour returns the models that are regularly used in the hour of the given
+// time.
+func (e *Estimator) UsualAtHour(when time.Time, limit int) []Forecast {
+	hour := when.UTC().Hour()
+	return e.top(when, limit, func(est *estimate) bool { return est.hourScores[hour] >= hourScoreLikely })
 }
 
-func (e *Estimator) choose(now time.Time, limit int, wanted func(*estimate) bool) []Forecast {
+func (e *Estimator) top(now time.Time, limit int, include func(*estimate) bool) []Forecast {
 	var chosen []Forecast
 	for i := range e.shards {
 		s := &e.shards[i]
 		s.mu.Lock()
 		for model, est := range s.models {
-			if wanted(est) {
+			if include(est) {
 				chosen = append(chosen, Forecast{Model: model, PerSecond: est.perSecond(now)})
 			}
 		}
@@ -190,7 +193,7 @@
 	return chosen[:min(limit, len(chosen))]
 }
 
-// Len gives the number of models with an estimate.
+// Len returns the number of models with an estimate.
 func (e *Estimator) Len() int {
 	count := 0
 	for i := range e.shards {
@@ -201,7 +204,7 @@
 	return count
 }
 
-// SavedEstimate is one model's estimate as it is handed on or stored.
+// SavedEstimate is the estimate of one model as it is stored or sent to another host.
 type SavedEstimate struct {
 	Model      string  `json:"m"`
 	Fast       float64 `json:"f"`
@@ -209,7 +212,7 @@
 	HourScores []byte  `json:"h,omitempty"`
 }
 
-// Save gives the estimates with the highest rates as of a time.
+// Save returns up to limit estimates, those with the highest slow rates first.
 func (e *Estimator) Save(now time.Time, limit int) []SavedEstimate {
 	var saved []SavedEstimate
 	for i := range e.shards {
@@ -217,7 +220,7 @@
 		s.mu.Lock()
 		for model, est := range s.models {
 			est.decay(now)
-			saved = append(saved, SavedEstimate{Model: model, Fast: est.fast, Slow: est.slow, HourScores: slices.Clone(est.habit[:])})
+			saved = append(saved, SavedEstimate{Model: model, Fast: est.fast, Slow: est.slow, HourScores: slices.Clone(est.hourScores[:])})
 		}
 		s.mu.Unlock()
 	}
@@ -227,14 +230,14 @@
 	return saved[:min(limit, len(saved))]
 }
 
-// Restore takes saved estimates over where they say more than what is known.
+// Restore merges saved estimates: of each value the larger one is kept.
 func (e *Estimator) Restore(saved []SavedEstimate, now time.Time) {
 	for _, item := range saved {
 		s := e.shard(item.Model)
 		s.mu.Lock()
 		est := s.models[item.Model]
 		if est == nil && len(s.models) < e.perShard {
-			est = &estimate{at: now, habitHour: -1}
+			est = &estimate{updatedAt: now, lastHour: -1}
 			s.models[item.Model] = est
 		}
 		if est != nil {
@@ -242,7 +245,7 @@
 			est.fast = max(est.fast, item.Fast)
 			est.slow = max(est.slow, item.Slow)
 			for hour := range min(len(item.HourScores), hoursPerDay) {
-				est.habit[hour] = max(est.habit[hour], item.HourScores[hour])
+				est.hourScores[hour] = max(est.hourScores[hour], item.HourScores[hour])
 			}
 		}
 		s.mu.Unlock()
