--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -7,28 +7,28 @@
 	"github.com/cherrystage/cherrystage/internal/residency"
 )
 
-// Weights balance short stalls against full batches.
+// Weights set the trade-off between short stalls and full batches.
 type Weights struct {
-	// Pack: among runners that can take a request at once, the fuller goes
-	// first, so that engines fill their steps; otherwise the emptier does.
+	// Pack prefers the fuller of the runners that can take a request at once, so that
+	// engines run full batches. Without it the emptier runner is preferred.
 	Pack bool
-	// ReplicaWait is the least expected wait for a busy copy at which another
-	// copy is loaded.
+	// ReplicaWait is the minimum expected wait for a busy replica at which another
+	// replica is loaded.
 	ReplicaWait time.Duration
-	// BatchDepth is how many times its batch a runner is filled before its
-	// requests count as waiting.
+	// BatchDepth is the multiple of its batch size up to which a runner is filled
+	// before requests count as waiting.
 	BatchDepth float64
 }
 
 // Presets for the two deployments.
 var (
-	// PresetStalls weighs short stalls more (Kushiro).
+	// PresetStalls favours short stalls (Kushiro).
 	PresetStalls = Weights{ReplicaWait: 500 * time.Millisecond, BatchDepth: 1}
-	// PresetBatches weighs full batches more (Caroni).
+	// PresetBatches favours full batches (Caroni).
 	PresetBatches = Weights{Pack: true, ReplicaWait: 3 * time.Second, BatchDepth: 1}
 )
 
-// PresetNamed gives the preset that a setting names.
+// PresetNamed returns the preset named in a setting, PresetStalls for other names.
 func PresetNamed(name string) Weights {
 	if name == "batches" {
 		return PresetBatches
@@ -39,39 +39,40 @@
 // Action is what to do with a request.
 type Action string
 
-// Actions.
+// Actions of a decision.
 const (
-	// ActionSend: the model is resident.
+	// ActionSend sends the request to a runner on which the model is resident.
 	ActionSend Action = "send"
-	// ActionJoin: the model is being loaded there; wait for it.
+	// ActionJoin waits on a runner for a load that is already under way.
 	ActionJoin Action = "join"
-	// ActionLoad: have it loaded there and wait.
+	// ActionLoad has the model loaded on a runner and waits for it.
 	ActionLoad Action = "load"
-	// ActionNone: no runner can serve the model.
+	// ActionNone means that no runner can serve the model now.
 	ActionNone Action = "none"
 )
 
-// Decision says where a request goes, and why.
+// Decision is where a request goes, and why.
 type Decision struct {
 	Action Action
 	Runner Runner
-	// Wait is the expected wait before the request is in a batch.
+	// Wait is the expected time until the request is in a batch.
 	Wait time.Duration
-	// NeedsReplica: the best copy is so busy that another is worth a load.
+	// NeedsReplica is set if even the best replica is so busy that another is worth
+	// a load.
 	NeedsReplica bool
 	Reason       string
 }
 
-// Times are the measured times that expected waits are made from.
+// Times are the measured times from which waits are estimated.
 type Times struct {
-	// Service is the mean time that a request holds a place in a batch.
+	// Service is the mean time that a request occupies a position in a batch.
 	Service time.Duration
-	// Load is the expected time until a load asked for now is done.
+	// Load is the expected time until a load requested now is done.
 	Load time.Duration
 }
 
-// Choose picks among the runners on which the model has a slot. avoid names
-// runners that this request, or the breaker, stays away from.
+// Choose picks one of the runners on which the model has a slot. avoid reports the
+// runners that must not be used, because of this request or the circuit breaker.
 func Choose(located []Located, weights Weights, times Times, avoid func(id string) bool) Decision {
 	var best, joining *Located
 	var bestWait time.Duration
@@ -102,8 +103,8 @@
 	return Decision{Action: ActionNone, Reason: "not resident"}
 }
 
-// better orders resident runners: the shorter wait first; among equal waits
-// the fuller when packing, else the emptier.
+// better reports whether resident runner a is preferred to b: the shorter wait first,
+// then the fuller runner when packing or else the emptier one.
 func better(a Runner, aWait time.Duration, b Runner, bWait time.Duration, weights Weights) bool {
 	if aWait != bWait {
 		return aWait < bWait
@@ -114,7 +115,7 @@
 	return a.ID < b.ID
 }
 
-// QueueWait estimates how long a request waits for a place in a runner's batch.
+// QueueWait estimates how long a request waits for a position in a runner's batch.
 func QueueWait(r Runner, weights Weights, times Times) time.Duration {
 	places := int(float64(r.MaxBatch) * weights.BatchDepth)
 	if r.MaxBatch == 0 || r.Occupancy < places {
@@ -124,9 +125,9 @@
 	return times.Service * time.Duration(ahead) / time.Duration(r.MaxBatch)
 }
 
-// Place picks a runner to load a model on: one with a free slot and few loads
-// under way, then the less busy one. Ties fall by rendezvous hashing, so that
-// hosts that decide at the same time for one model pick the same runner.
+// Place picks a runner to load a model on: one with a free slot and few loads under
+// way, then the least busy one. Ties are broken by rendezvous hashing, so that hosts
+// that decide at the same time for one model pick the same runner.
 func Place(model string, runners []Runner, weights Weights, times Times, avoid func(id string) bool) (Runner, bool) {
 	var ids []string
 	best := map[string]Runner{}
@@ -135,7 +136,7 @@
 		if !r.Live || !r.Known || r.Owner == "" || r.Slots == 0 || avoid(r.ID) {
 			continue
 		}
-		score := scoreOf(r, weights, times)
+		score := scoreRunner(r, weights, times)
 		if len(ids) > 0 && bestScore.less(score) {
 			continue
 		}
@@ -150,53 +151,53 @@
 	return best[chosen], chosen != ""
 }
 
-// placeScore orders runners for a load; smaller is better. Its steps are
-// coarse, so that hosts with slightly different views agree.
+// placeScore ranks runners for a load; smaller is better. Its values are coarse, so
+// that hosts with slightly different views agree.
 type placeScore struct {
-	full    int // 0 with a free slot, 1 where one can be made, else 2
-	loading int
-	wait    int // steps of queue wait
-	busy    int // steps of occupancy
+	slotCost  int // 0: a slot is free, 1: one can be freed by an eviction, 2: neither
+	loading   int
+	wait      int // queue wait in units of waitBucket
+	occupancy int // occupancy in fractions of a batch, by occupancyBuckets
 }
 
 const (
-	waitStep  = 500 * time.Millisecond
-	busySteps = 8
+	waitBucket       = 500 * time.Millisecond
+	occupancyBuckets = 8
 )
 
-func scoreOf(r Runner, weights Weights, times Times) placeScore {
-	score := placeScore{loading: r.Loading, wait: int(QueueWait(r, weights, times) / waitStep)}
+func scoreRunner(r Runner, weights Weights, times Times) placeScore {
+	score := placeScore{loading: r.Loading, wait: int(QueueWait(r, weights, times) / waitBucket)}
 	switch {
 	case r.Free > 0:
 	case r.Evictable > 0:
-		score.full = 1
+		score.slotCost = 1
 	default:
-		// Nothing can make room there now, for instance since a host that may
-		// hold pins is not heard: any other runner serves the caller sooner.
-		score.full = 2
+		// No slot can be freed there now, for instance because a host that may hold
+		// pins is not heard from. Any other runner serves the caller sooner.
+		score.slotCost = 2
 	}
 	if r.MaxBatch > 0 {
-		score.busy = r.Occupancy * busySteps / r.MaxBatch
+		score.occupancy = r.Occupancy * occupancyBuckets / r.MaxBatch
 	}
 	if weights.Pack && score.wait == 0 {
-		// A runner at work already fills its steps better than an idle one.
-		score.busy = busySteps - score.busy
+		// A runner that is busy already fills its batches better than an idle one.
+		score.occupancy = occupancyBuckets - score.occupancy
 	}
 	return score
 }
 
 func (a placeScore) less(b placeScore) bool {
-	if (a.full == 2) != (b.full == 2) {
-		return a.full < b.full
+	if (a.slotCost == 2) != (b.slotCost == 2) {
+		return a.slotCost < b.slotCost
 	}
 	if a.wait != b.wait {
 		return a.wait < b.wait
 	}
-	if a.full != b.full {
-		return a.full < b.full
+	if a.slotCost != b.slotCost {
+		return a.slotCost < b.slotCost
 	}
 	if a.loading != b.loading {
 		return a.loading < b.loading
 	}
-	return a.busy < b.busy
+	return a.occupancy < b.occupancy
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -11,13 +11,13 @@
 	"github.com/shoenig/test/must"
 )
 
-func nobody(string) bool { return false }
+func avoidNone(string) bool { return false }
 
 func located(id string, state residency.SlotState, occupancy int) Located {
 	return Located{State: state, Runner: Runner{ID: id, Live: true, Known: true, Owner: "o", Slots: 4, MaxBatch: 8, Occupancy: occupancy}}
 }
 
-var usual = Times{Service: 4 * time.Second, Load: time.Second}
+var testTimes = Times{Service: 4 * time.Second, Load: time.Second}
 
 func TestChoose(t *testing.T) {
 	leaving := located("r1", residency.SlotResident, 0)
@@ -42,7 +42,7 @@
 		{"evicting does not count", []Located{located("r1", residency.SlotEvicting, 0)}, PresetStalls, ActionNone, "", false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			got := Choose(row.located, row.weights, usual, nobody)
+			got := Choose(row.located, row.weights, testTimes, avoidNone)
 			must.Eq(t, row.action, got.Action)
 			must.Eq(t, row.runner, got.Runner.ID)
 			must.Eq(t, row.spread, got.NeedsReplica)
@@ -73,17 +73,17 @@
 		{"busy", []Runner{blocked, busy}},
 		{"blocked", []Runner{blocked}},
 	} {
-		got, ok := Place("a@1", row.runners, PresetStalls, usual, nobody)
+		got, ok := Place("a@1", row.runners, PresetStalls, testTimes, avoidNone)
 		must.True(t, ok)
 		must.Eq(t, row.want, got.ID)
 	}
-	_, ok := Place("a@1", []Runner{free}, PresetStalls, usual, func(string) bool { return true })
+	_, ok := Place("a@1", []Runner{free}, PresetStalls, testTimes, func(string) bool { return true })
 	must.False(t, ok)
 }
 
-func TestEarlierOwnersWordIsLeftAside(t *testing.T) {
-	// An owner that was paused tells its runner's state after its successor
-	// has. Routing goes on by the successor's word.
+func TestReportOfEarlierOwnerIsIgnored(t *testing.T) {
+	// An owner that was paused reports its runner's state after its successor has.
+	// Routing keeps to the successor's report.
 	table := NewTable()
 	table.SetHosts([]fleet.Host{{ID: "r", Role: fleet.RoleRunner, State: fleet.StateLive}})
 	must.True(t, table.Update(residency.View{Runner: "r", Owner: "new", Fence: 2, Models: []residency.SlotView{{Model: "a@1", State: residency.SlotResident}}}))
@@ -93,7 +93,8 @@
 	must.SliceEmpty(t, table.RunnersWith("a@1"))
 }
 
-// bigTable has so many runners of 16 slots; model i is resident on runner i/16.
+// bigTable returns a table of runners with 16 slots each; model i is resident on
+// runner i/16.
 func bigTable(runners int) *Table {
 	table := NewTable()
 	var hosts []fleet.Host
@@ -121,14 +122,14 @@
 			table := bigTable(runners)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				Choose(table.RunnersWith("adapter-000017@1"), PresetStalls, usual, nobody)
+				Choose(table.RunnersWith("adapter-000017@1"), PresetStalls, testTimes, avoidNone)
 			}
 		})
 		b.Run(fmt.Sprintf("cold/%d-runners", runners), func(b *testing.B) {
 			table := bigTable(runners)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				Place("adapter-139999@1", table.All("base"), PresetStalls, usual, nobody)
+				Place("adapter-139999@1", table.All("base"), PresetStalls, testTimes, avoidNone)
 			}
 		})
 	}
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -1,5 +1,5 @@
-// Package routing decides where a request goes: to a runner that has its
-// model, or to one that is to load it.
+// Package routing decides where a request goes: to a runner on which its model is
+// resident, or to one that is to load it.
 package routing
 
 import (
@@ -14,8 +14,8 @@
 
 const tableShards = 32
 
-// Table is what a host knows of all runners, as their owners tell it. It is
-// safe for concurrent use; runners and models are in shards with a lock each.
+// Table holds what a host knows of all runners from their owners' reports. It is safe
+// for concurrent use; runners and models are in shards with a lock each.
 type Table struct {
 	runners [tableShards]runnerShard
 	models  [tableShards]modelShard
@@ -31,18 +31,18 @@
 	runners map[string][]string
 }
 
-// runnerInfo is one runner. inFlight counts this host's own requests there, and
-// told how many there were when the owner last told: what came or went since is
-// not in the owner's word.
+// runnerInfo is the state of one runner. inFlight counts this host's own requests on
+// it; inFlightAtReport is that count at the time of the owner's last report, which
+// does not include later changes.
 type runnerInfo struct {
-	host     fleet.Host
-	view     residency.View
-	known    bool
-	inFlight atomic.Int64
-	told     atomic.Int64
+	host             fleet.Host
+	view             residency.View
+	known            bool
+	inFlight         atomic.Int64
+	inFlightAtReport atomic.Int64
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	t := &Table{}
 	for i := range tableShards {
@@ -54,7 +54,7 @@
 
 func shardIndex(name string) uint64 { return xxhash.Sum64String(name) % tableShards }
 
-// SetHosts takes the host list's runners over; those no longer listed are dropped.
+// SetHosts replaces the list of runners; those no longer listed are dropped.
 func (t *Table) SetHosts(hosts []fleet.Host) {
 	listed := map[string]bool{}
 	for _, host := range hosts {
@@ -84,12 +84,12 @@
 	}
 	s.mu.Unlock()
 	for _, view := range dropped {
-		t.index(view, residency.View{Runner: view.Runner})
+		t.updateIndex(view, residency.View{Runner: view.Runner})
 	}
 }
 
-// Update takes an owner's word over and reports whether it did. A word under
-// a lower fencing number is an earlier owner's, who may have been paused.
+// Update accepts an owner's report and reports whether it did. A report with a lower
+// fencing token comes from an earlier owner, which may have been paused.
 func (t *Table) Update(view residency.View) bool {
 	s := &t.runners[shardIndex(view.Runner)]
 	s.mu.Lock()
@@ -101,14 +101,14 @@
 	old := info.view
 	info.view = view
 	info.known = true
-	info.told.Store(info.inFlight.Load())
+	info.inFlightAtReport.Store(info.inFlight.Load())
 	s.mu.Unlock()
-	t.index(old, view)
+	t.updateIndex(old, view)
 	return true
 }
 
-// index keeps the list of runners of each model.
-func (t *Table) index(old, current residency.View) {
+// updateIndex updates the lists of runners by model.
+func (t *Table) updateIndex(old, current residency.View) {
 	keep := make(map[string]bool, len(current.Models)+len(current.Wanted))
 	for _, model := range modelsOf(current) {
 		keep[model] = true
@@ -121,7 +121,7 @@
 	}
 }
 
-// modelsOf gives the models that have a slot on a runner or are to get one.
+// modelsOf returns the models that have a slot on a runner or are to get one.
 func modelsOf(view residency.View) []string {
 	models := slices.Clone(view.Wanted)
 	for _, slot := range view.Models {
@@ -134,7 +134,8 @@
 	s := &t.models[shardIndex(model)]
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// The list is replaced, not changed: readers hold it without the lock.
+	// The list is replaced instead of changed because readers use it without the
+	// lock.
 	if list := s.runners[model]; !slices.Contains(list, runner) {
 		s.runners[model] = append(slices.Clone(list), runner)
 	}
@@ -152,10 +153,10 @@
 	s.runners[model] = list
 }
 
-// Started counts a request sent to a runner; Finished takes it back.
+// Started counts a request sent to a runner.
 func (t *Table) Started(runner string) { t.count(runner, 1) }
 
-// Finished counts a request that has ended.
+// Finished takes back the count of a request that has ended.
 func (t *Table) Finished(runner string) { t.count(runner, -1) }
 
 func (t *Table) count(runner string, n int64) {
@@ -167,7 +168,7 @@
 	}
 }
 
-// Runner is one runner as a decision sees it.
+// Runner is the state of a runner as a decision uses it.
 type Runner struct {
 	ID      string
 	Address string
@@ -179,16 +180,16 @@
 	Slots   int
 	Free    int
 	Loading int
-	// Evictable is the number of models that could make room.
+	// Evictable is the number of models that can be evicted.
 	Evictable int
 	MaxBatch  int
-	// Occupancy is the number of requests on the runner, by the owner's last
-	// word and this host's own count since.
+	// Occupancy is the number of requests on the runner: those of the owner's last
+	// report, corrected by this host's own count since then.
 	Occupancy   int
 	OwnRequests int
 }
 
-func (info *runnerInfo) decisionView() Runner {
+func (info *runnerInfo) snapshot() Runner {
 	view := &info.view
 	loading := len(view.Wanted)
 	for _, slot := range view.Models {
@@ -197,7 +198,7 @@
 		}
 	}
 	own := int(info.inFlight.Load())
-	occupancy := max(view.Running+view.Queued+own-int(info.told.Load()), own)
+	occupancy := max(view.Running+view.Queued+own-int(info.inFlightAtReport.Load()), own)
 	return Runner{
 		ID: info.host.ID, Address: info.host.Address, Owner: view.Owner, Base: info.host.Base,
 		Live: info.host.State == fleet.StateLive, Known: info.known, Fence: view.Fence,
@@ -206,7 +207,7 @@
 	}
 }
 
-// Get gives one runner.
+// Get returns one runner.
 func (t *Table) Get(id string) (Runner, bool) {
 	s := &t.runners[shardIndex(id)]
 	s.mu.RLock()
@@ -215,10 +216,11 @@
 	if info == nil {
 		return Runner{}, false
 	}
-	return info.decisionView(), true
+	return info.snapshot(), true
 }
 
-// RunnersWith gives the runners on which a model has a slot, with the slot's state.
+// RunnersWith returns the runners on which a model has a slot or is to get one, with
+// the slot's state.
 func (t *Table) RunnersWith(model string) []Located {
 	s := &t.models[shardIndex(model)]
 	s.mu.RLock()
@@ -249,17 +251,17 @@
 	}
 	for _, slot := range info.view.Models {
 		if slot.Model == model {
-			return Located{Runner: info.decisionView(), State: slot.State}, true
+			return Located{Runner: info.snapshot(), State: slot.State}, true
 		}
 	}
 	if slices.Contains(info.view.Wanted, model) {
-		return Located{Runner: info.decisionView(), State: residency.SlotWanted}, true
+		return Located{Runner: info.snapshot(), State: residency.SlotWanted}, true
 	}
 	return Located{}, false
 }
 
-// All gives the runners of a base model, sorted by identifier; of every base
-// model where base is empty.
+// All returns the runners of a base model sorted by identifier, or those of all base
+// models if base is empty.
 func (t *Table) All(base string) []Runner {
 	var all []Runner
 	for i := range t.runners {
@@ -267,7 +269,7 @@
 		s.mu.RLock()
 		for _, info := range s.runners {
 			if base == "" || info.host.Base == base {
-				all = append(all, info.decisionView())
+				all = append(all, info.snapshot())
 			}
 		}
 		s.mu.RUnlock()
@@ -281,7 +283,7 @@
 	return all
 }
 
-// Views gives the owners' last words, sorted by runner.
+// Views returns the owners' last reports sorted by runner.
 func (t *Table) Views() []residency.View {
 	var views []residency.View
 	for i := range t.runners {
