--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -7,21 +7,21 @@
 )
 
 const (
-	// aheadTime is for how long ahead a host asks for units, by what it used lately.
-	aheadTime = 250 * time.Millisecond
-	// useMemory is over how long that use is averaged.
-	useMemory = time.Second
-	// idleLife is how long granted units may lie unused before they are given back. What
-	// lies longer counts for a window in which it may not be spent.
-	idleLife = 500 * time.Millisecond
-	// refusedLife is how long a refusal by all parts stands for further requests: beside
-	// a workspace that sends many times its quota the counting hosts would be asked for
-	// each of them.
-	refusedLife = 100 * time.Millisecond
+	// prefetchPeriod is how much of the recent usage a host requests in advance.
+	prefetchPeriod = 250 * time.Millisecond
+	// usageDecay is the time constant of the moving average of the usage.
+	usageDecay = time.Second
+	// maxIdle is how long granted units may stay unused before they are returned. Units that are
+	// kept longer would be spent in a later window than the one they were granted in.
+	maxIdle = 500 * time.Millisecond
+	// maxLocalRefusal is how long a refusal by all parts is applied to further requests without
+	// asking: the counting hosts would otherwise be asked for every request of a workspace that
+	// sends many times its quota.
+	maxLocalRefusal = 100 * time.Millisecond
 )
 
-// Allowances are the units that a host was granted and has not spent, by workspace. It
-// is safe for concurrent use.
+// Allowances holds the units that a host was granted and has not spent, by workspace. It is safe
+// for concurrent use.
 type Allowances struct {
 	shards [shardCount]allowanceShard
 }
@@ -31,22 +31,22 @@
 	workspaces map[string]*allowance
 }
 
-// allowance is one workspace's.
+// allowance is the balance of one workspace.
 type allowance struct {
-	// left are the units of each part, changed at touched.
-	left    [Parts]float64
-	touched time.Time
-	// use is what was spent lately, older amounts fading out, as of usedAt.
-	use    float64
-	usedAt time.Time
-	// Until refusedUntil requests are refused without asking; what they are told is
-	// counted from backAt and drawn out by rate, in units a second.
+	// balance holds the unspent units of each part, last changed at updatedAt.
+	balance   [Parts]float64
+	updatedAt time.Time
+	// usage is the exponentially decaying sum of the units spent, as of usageAt.
+	usage   float64
+	usageAt time.Time
+	// Until refusedUntil, requests are refused locally. Their retry times start at retryAt and
+	// are spaced by rate, in units per second.
 	refusedUntil time.Time
-	backAt       time.Time
+	retryAt      time.Time
 	rate         float64
 }
 
-// NewAllowances makes allowances of nothing.
+// NewAllowances returns empty allowances.
 func NewAllowances() *Allowances {
 	a := &Allowances{}
 	for i := range a.shards {
@@ -55,7 +55,7 @@
 	return a
 }
 
-func (a *Allowances) with(workspace string, do func(one *allowance)) {
+func (a *Allowances) withWorkspace(workspace string, update func(one *allowance)) {
 	shard := &a.shards[shardOf(workspace)]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
@@ -64,115 +64,116 @@
 		one = &allowance{}
 		shard.workspaces[workspace] = one
 	}
-	do(one)
+	update(one)
 }
 
-// Spend spends the units of a request, if one part's are enough, and gives the part.
+// Spend deducts the cost of a request from a part that has enough units, and returns the part.
 func (a *Allowances) Spend(workspace string, cost float64, now time.Time) (part int, ok bool) {
-	a.with(workspace, func(one *allowance) { part, ok = one.spend(cost, now) })
+	a.withWorkspace(workspace, func(one *allowance) { part, ok = one.spend(cost, now) })
 	return part, ok
 }
 
 func (a *allowance) spend(cost float64, now time.Time) (int, bool) {
-	for part, left := range a.left {
-		if left >= cost {
-			a.left[part] -= cost
-			a.used(cost, now)
+	for part, balance := range a.balance {
+		if balance >= cost {
+			a.balance[part] -= cost
+			a.addUsage(cost, now)
 			return part, true
 		}
 	}
 	return 0, false
 }
 
-func (a *allowance) used(cost float64, now time.Time) {
-	a.touched = now
-	a.use = a.recentUse(now) + cost
-	a.usedAt = now
+func (a *allowance) addUsage(cost float64, now time.Time) {
+	a.updatedAt = now
+	a.usage = a.recentUsage(now) + cost
+	a.usageAt = now
 }
 
-func (a *allowance) recentUse(now time.Time) float64 {
-	if a.usedAt.IsZero() {
+func (a *allowance) recentUsage(now time.Time) float64 {
+	if a.usageAt.IsZero() {
 		return 0
 	}
-	return a.use * math.Exp(-float64(max(0, now.Sub(a.usedAt)))/float64(useMemory))
+	return a.usage * math.Exp(-float64(max(0, now.Sub(a.usageAt)))/float64(usageDecay))
 }
 
-// Refused says whether a request is refused without asking, and when to come back.
+// Refused reports whether a request is refused locally, and after which time to retry.
 func (a *Allowances) Refused(workspace string, cost float64, now time.Time) (wait time.Duration, refused bool) {
-	a.with(workspace, func(one *allowance) {
+	a.withWorkspace(workspace, func(one *allowance) {
 		if refused = now.Before(one.refusedUntil); refused {
-			wait = one.putOff(cost, now)
+			wait = one.nextRetry(cost, now)
 		}
 	})
 	return wait, refused
 }
 
-// putOff gives when one more refused request may come back, after those before it.
-func (a *allowance) putOff(cost float64, now time.Time) time.Duration {
+// nextRetry returns when the next refused request should be retried, after those refused before
+// it.
+func (a *allowance) nextRetry(cost float64, now time.Time) time.Duration {
 	if a.rate > 0 {
-		a.backAt = a.backAt.Add(time.Duration(cost / a.rate * float64(time.Second)))
+		a.retryAt = a.retryAt.Add(time.Duration(cost / a.rate * float64(time.Second)))
 	}
-	return min(max(leastWait, a.backAt.Sub(now)), longestWait)
+	return min(max(minRetryAfter, a.retryAt.Sub(now)), maxRetryAfter)
 }
 
-// RefuseUntil notes that all parts refused a request that may come back after a time.
-// Rate is the workspace's, in units a second.
+// RefuseUntil records that all parts refused a request that may be retried after wait. Rate is
+// that of the workspace's quota, in units per second.
 func (a *Allowances) RefuseUntil(workspace string, wait time.Duration, rate float64, now time.Time) {
-	a.with(workspace, func(one *allowance) {
-		one.refusedUntil = now.Add(min(wait, refusedLife))
-		one.backAt = now.Add(wait)
+	a.withWorkspace(workspace, func(one *allowance) {
+		one.refusedUntil = now.Add(min(wait, maxLocalRefusal))
+		one.retryAt = now.Add(wait)
 		one.rate = rate
 	})
 }
 
-// PrefetchUnits gives the units to ask for beyond those of the request at hand.
-func (a *Allowances) PrefetchUnits(workspace string, now time.Time) (ahead float64) {
-	a.with(workspace, func(one *allowance) {
-		ahead = math.Floor(one.recentUse(now) * float64(aheadTime) / float64(useMemory))
+// PrefetchUnits returns the units to request in addition to the cost of the current request.
+func (a *Allowances) PrefetchUnits(workspace string, now time.Time) (units float64) {
+	a.withWorkspace(workspace, func(one *allowance) {
+		units = math.Floor(one.recentUsage(now) * float64(prefetchPeriod) / float64(usageDecay))
 	})
-	return ahead
+	return units
 }
 
-// AddGrant adds units of a part.
+// AddGrant adds granted units of a part.
 func (a *Allowances) AddGrant(workspace string, part int, units float64, now time.Time) {
-	a.with(workspace, func(one *allowance) {
-		one.left[part] += units
-		one.touched = now
+	a.withWorkspace(workspace, func(one *allowance) {
+		one.balance[part] += units
+		one.updatedAt = now
 	})
 }
 
-// RecordUse notes units that were granted for a request that was waiting for them.
+// RecordUse counts units that were granted for a waiting request and spent at once.
 func (a *Allowances) RecordUse(workspace string, cost float64, now time.Time) {
-	a.with(workspace, func(one *allowance) { one.used(cost, now) })
+	a.withWorkspace(workspace, func(one *allowance) { one.addUsage(cost, now) })
 }
 
-// TakeIdle takes out the units that have lain unused, to be given back, and forgets
-// workspaces of which nothing is left.
+// TakeIdle removes the units that have been idle for maxIdle and returns the requests that give
+// them back. It also drops workspaces that are no longer in use.
 func (a *Allowances) TakeIdle(now time.Time) []GrantRequest {
-	var back []GrantRequest
+	var returns []GrantRequest
 	for i := range a.shards {
-		back = append(back, a.shards[i].unspent(now)...)
+		returns = append(returns, a.shards[i].takeIdle(now)...)
 	}
-	return back
+	return returns
 }
 
-func (s *allowanceShard) unspent(now time.Time) []GrantRequest {
+func (s *allowanceShard) takeIdle(now time.Time) []GrantRequest {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var back []GrantRequest
+	var returns []GrantRequest
 	for name, one := range s.workspaces {
-		if now.Sub(one.touched) < idleLife {
+		if now.Sub(one.updatedAt) < maxIdle {
 			continue
 		}
-		for part, left := range one.left {
-			if left > 0 {
-				back = append(back, GrantRequest{Key: name, Part: part, Returned: left})
+		for part, balance := range one.balance {
+			if balance > 0 {
+				returns = append(returns, GrantRequest{Key: name, Part: part, Returned: balance})
 			}
 		}
-		one.left = [Parts]float64{}
-		if now.After(one.refusedUntil) && now.Sub(one.usedAt) > 10*useMemory {
+		one.balance = [Parts]float64{}
+		if now.After(one.refusedUntil) && now.Sub(one.usageAt) > 10*usageDecay {
 			delete(s.workspaces, name)
 		}
 	}
-	return back
+	return returns
 }
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -6,63 +6,66 @@
 )
 
 const (
-	// aheadShare of what a part holds beyond its half is granted ahead to one host at
-	// most: near its limit a part is left to the requests that are there.
-	aheadShare = 0.125
-	// leastWait keeps refused callers from coming back at once, longestWait from never.
-	leastWait   = 50 * time.Millisecond
-	longestWait = 10 * time.Second
+	// maxPrefetchShare is the share of the units above half of the burst that one request may
+	// prefetch: close to the limit, a part serves only current requests.
+	maxPrefetchShare = 0.125
+	// minRetryAfter keeps refused callers from retrying immediately, maxRetryAfter from waiting
+	// indefinitely.
+	minRetryAfter = 50 * time.Millisecond
+	maxRetryAfter = 10 * time.Second
 )
 
-// bucket is one part's token bucket.
+// bucket is the token bucket of one part.
 type bucket struct {
 	level float64
-	// promised are units that refused callers were told to come back for.
-	promised float64
-	at       time.Time
+	// reserved is the cost of the refused requests that were told when to retry.
+	reserved   float64
+	refilledAt time.Time
 }
 
-// newBucket makes the bucket of a part that nobody else grants anything of from a moment
-// on, which may be ahead. One that began full would have a fleet that starts anew spend the
-// burst twice; one that filled before the moment would do so beside the host before it.
-func newBucket(since time.Time) *bucket { return &bucket{at: since} }
+// newBucket returns the bucket of a part that no other host grants units of after since, which
+// may be in the future. The bucket starts empty and fills from since on: a full one would grant
+// the burst a second time after a restart of the fleet, and one that fills earlier would grant
+// units that the previous owner grants too.
+func newBucket(since time.Time) *bucket { return &bucket{refilledAt: since} }
 
-// refill adds what the time since the last call brought.
+// refill adds the units accrued since the last call.
 func (b *bucket) refill(limit Limit, now time.Time) {
-	if passed := now.Sub(b.at); passed > 0 {
-		brought := limit.Rate * passed.Seconds()
-		b.level += brought
-		b.promised = max(0, b.promised-brought)
-		b.at = now
+	if elapsed := now.Sub(b.refilledAt); elapsed > 0 {
+		added := limit.Rate * elapsed.Seconds()
+		b.level += added
+		b.reserved = max(0, b.reserved-added)
+		b.refilledAt = now
 	}
 }
 
-// take answers an ask. A request that costs more than the bucket can hold is granted once
-// it is full; what it takes beyond that is paid back by those after it.
-func (b *bucket) take(ask GrantRequest, limit Limit, now time.Time) GrantResponse {
+// take handles a grant request. A request that costs more than the burst is granted once the
+// bucket is full, and leaves it negative: later requests wait until the debt is refilled.
+func (b *bucket) take(request GrantRequest, limit Limit, now time.Time) GrantResponse {
 	b.refill(limit, now)
-	// What a bucket held under a limit that was lowered since is not granted any more.
-	b.level = min(limit.Burst, b.level+ask.Returned)
-	if ask.Cost == 0 {
+	// Units above the burst are discarded, also when the limit was lowered since.
+	b.level = min(limit.Burst, b.level+request.Returned)
+	if request.Cost == 0 {
 		return GrantResponse{Level: b.level}
 	}
-	if needed := min(ask.Cost, limit.Burst); b.level < needed {
-		return GrantResponse{RetryAfter: b.wait(needed, limit), Level: b.level}
+	if needed := min(request.Cost, limit.Burst); b.level < needed {
+		return GrantResponse{RetryAfter: b.retryAfter(needed, limit), Level: b.level}
 	}
-	b.level -= ask.Cost
-	ahead := math.Floor(min(ask.Prefetch, max(0, b.level-limit.Burst/2)*aheadShare))
-	b.level -= ahead
-	return GrantResponse{Granted: ask.Cost + ahead, Level: b.level}
+	b.level -= request.Cost
+	prefetched := math.Floor(min(request.Prefetch, max(0, b.level-limit.Burst/2)*maxPrefetchShare))
+	b.level -= prefetched
+	return GrantResponse{Granted: request.Cost + prefetched, Level: b.level}
 }
 
-// wait gives when a refused request may be granted: after those that were told before it.
-// Told the same time, all would come back together and most be refused again.
-func (b *bucket) wait(needed float64, limit Limit) time.Duration {
-	missing := needed - b.level + b.promised
-	b.promised += needed
+// retryAfter returns when a refused request should be retried, and reserves its cost. Retry
+// times are spaced by the reserved units: callers with the same time would all return at once
+// and most would be refused again.
+func (b *bucket) retryAfter(needed float64, limit Limit) time.Duration {
+	missing := needed - b.level + b.reserved
+	b.reserved += needed
 	if limit.Rate <= 0 {
-		return longestWait
+		return maxRetryAfter
 	}
-	seconds := min(missing/limit.Rate, longestWait.Seconds())
-	return max(leastWait, time.Duration(seconds*float64(time.Second)))
+	seconds := min(missing/limit.Rate, maxRetryAfter.Seconds())
+	return max(minRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -7,25 +7,25 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// shardCount divides what is counted over locks.
+// shardCount is the number of independently locked shards.
 const shardCount = 16
 
-// Ownership is a host's right to count a part: since when at least nobody else has granted
-// anything of it, and the epoch of the host's lease that it rests on.
+// Ownership is a host's exclusive right to grant units of a part: the time since which no other
+// host has granted any, and the epoch of the host lease that it is based on.
 type Ownership struct {
 	Since time.Time
 	Epoch int64
 }
 
-// Counter is what one host counts for the fleet. Whether it has the right to is decided
-// by its caller. It is safe for concurrent use.
+// Counter holds the token buckets of the parts that this host counts for all hosts. The caller
+// decides whether the host owns a part. It is safe for concurrent use.
 type Counter struct {
 	shards [shardCount]counterShard
 }
 
 type counterShard struct {
 	mu    sync.Mutex
-	parts map[partID]*counted
+	parts map[partID]*countedPart
 }
 
 type partID struct {
@@ -33,58 +33,58 @@
 	part int
 }
 
-// counted is a part that this host counts, and the epoch in which it began to.
-type counted struct {
+// countedPart is a bucket and the lease epoch in which it was created.
+type countedPart struct {
 	*bucket
 	epoch int64
 }
 
-// NewCounter makes a counter that has counted nothing.
+// NewCounter returns an empty counter.
 func NewCounter() *Counter {
 	c := &Counter{}
 	for i := range c.shards {
-		c.shards[i].parts = map[partID]*counted{}
+		c.shards[i].parts = map[partID]*countedPart{}
 	}
 	return c
 }
 
 func shardOf(key string) int { return int(xxhash.Sum64String(key) % shardCount) }
 
-// Grant answers an ask under a right and a part's limit.
+// Grant handles a grant request under the given limit and ownership.
 //
-// A host whose lease was broken was followed by another one that granted units of the
-// part. It begins anew under its next lease, or the same units would be granted twice.
-func (c *Counter) Grant(ask GrantRequest, limit Limit, right Ownership, now time.Time) GrantResponse {
-	shard := &c.shards[shardOf(ask.Key)]
+// After a host's lease is broken another host grants units of the part, so a bucket is replaced
+// by an empty one when the lease epoch changes. Otherwise the same units would be granted twice.
+func (c *Counter) Grant(request GrantRequest, limit Limit, ownership Ownership, now time.Time) GrantResponse {
+	shard := &c.shards[shardOf(request.Key)]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	id := partID{key: ask.Key, part: ask.Part}
+	id := partID{key: request.Key, part: request.Part}
 	part := shard.parts[id]
-	if part == nil || part.epoch != right.Epoch {
-		part = &counted{bucket: newBucket(right.Since), epoch: right.Epoch}
+	if part == nil || part.epoch != ownership.Epoch {
+		part = &countedPart{bucket: newBucket(ownership.Since), epoch: ownership.Epoch}
 		shard.parts[id] = part
 	}
-	return part.take(ask, limit, now)
+	return part.take(request, limit, now)
 }
 
-// Retain forgets the parts that this host does not count any more.
-func (c *Counter) Retain(counts func(key string, part int) bool) {
+// Retain drops the parts that this host no longer owns.
+func (c *Counter) Retain(owned func(key string, part int) bool) {
 	for i := range c.shards {
-		c.shards[i].keep(counts)
+		c.shards[i].retain(owned)
 	}
 }
 
-func (s *counterShard) keep(counts func(key string, part int) bool) {
+func (s *counterShard) retain(owned func(key string, part int) bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id := range s.parts {
-		if !counts(id.key, id.part) {
+		if !owned(id.key, id.part) {
 			delete(s.parts, id)
 		}
 	}
 }
 
-// Size gives the number of parts that this host counts.
+// Size returns the number of parts in the counter.
 func (c *Counter) Size() int {
 	size := 0
 	for i := range c.shards {
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -1,12 +1,12 @@
-// Package quota keeps each workspace to its quota, over all hosts together.
+// Package quota enforces the quota of each workspace across all hosts.
 //
-// A quota is divided into a few parts, each a token bucket that one host counts for the
-// whole fleet. A host that needs units asks one of these hosts and is granted what its
-// request costs, and some ahead while the bucket is well filled. So the sum of what is
-// granted never exceeds the quota, whatever the hosts believe of each other, and a
-// counting host that is lost takes one part with it and not the workspace.
+// A quota is split into a few parts, each a token bucket that one host, the counting host,
+// maintains for all. A host that needs units requests them from a counting host, which grants
+// the cost of the request and, while the bucket is well filled, some units in advance. The sum
+// of all grants therefore never exceeds the quota, even if hosts disagree on the membership, and
+// the loss of a counting host takes away one part of the quota rather than all of it.
 //
-// All decisions take the time as an argument and do no I/O.
+// All functions take the current time as an argument and do no I/O.
 package quota
 
 import (
@@ -16,69 +16,69 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// Parts is the number of parts of a quota. Without one of three a workspace at 60% of its
-// quota is served as before; more parts would each hold less than one request of a small
+// Parts is the number of parts of a quota. With one of three lost, a workspace that uses 60% of
+// its quota is still served; with more parts, each would hold less than one request of a small
 // workspace.
 const Parts = 3
 
-// Tolerance is how far the deployment lets a workspace exceed its quota: in each Window
-// by Overshoot times what the quota allows, and by Slack units more.
+// Tolerance is how far the deployment lets a workspace exceed its quota in each Window: by
+// Overshoot times the quota for the window, and by Slack units.
 type Tolerance struct {
 	Window    time.Duration
 	Overshoot float64
 	Slack     float64
 }
 
-// A part of the tolerance is given out with the burst, so that requests that come together
-// are not refused for how the parts divide them. The rest is for what two hosts count at a
-// moment at which hosts join, and for what was granted before a window and is spent in it.
+// Part of the tolerance is added to the burst, so that simultaneous requests are not refused
+// because of the split into parts. The rest covers units that two hosts grant while hosts join,
+// and units that are granted before a window and spent in it.
 const (
 	overshootShare = 0.25
 	slackShare     = 0.5
-	// mostBurst times its burst is what a workspace gets at most: the slack is one number
-	// for all, and many times the burst of a small one.
-	mostBurst = 3
+	// maxBurstFactor bounds the resulting burst as a multiple of the quota's own: the slack is
+	// the same for all workspaces and can be many times the burst of a small one.
+	maxBurstFactor = 3
 )
 
-// Limit is a token bucket's.
+// Limit configures a token bucket.
 type Limit struct {
-	// Rate is in units a second, Burst in units.
+	// Rate is in units per second, Burst in units.
 	Rate  float64
 	Burst float64
 }
 
-// PartLimit gives the limit of each part of a quota.
+// PartLimit returns the limit of each part of a quota.
 func PartLimit(q site.Quota, tolerance Tolerance) Limit {
 	overshoot := tolerance.Overshoot * (q.Rate*tolerance.Window.Seconds() + q.Burst)
 	burst := q.Burst + overshootShare*overshoot + slackShare*tolerance.Slack
-	burst = min(burst, mostBurst*q.Burst)
+	burst = min(burst, maxBurstFactor*q.Burst)
 	return Limit{Rate: q.Rate / Parts, Burst: max(1, burst/Parts)}
 }
 
-// PartKey names a part of a workspace's quota, for the choice of the host that counts it.
+// PartKey returns the key by which the counting host of a part is chosen.
 func PartKey(workspace string, part int) string {
 	return "quota." + workspace + "." + strconv.Itoa(part)
 }
 
-// GrantRequest is what a host asks of the one that counts a part.
+// GrantRequest asks a counting host for units of a part, or returns some.
 type GrantRequest struct {
-	// Key names what is bounded: a workspace, or a runner that names a limit.
+	// Key identifies what is limited: a workspace, or a runner with a rate limit.
 	Key  string
 	Part int
-	// Cost is what the request at hand needs, 0 to give back only.
+	// Cost is the number of units that the current request needs, 0 only to return units.
 	Cost float64
-	// Prefetch is what the host will likely need besides.
+	// Prefetch is the number of further units that the host expects to need.
 	Prefetch float64
-	// Returned is what the host was granted and does not need.
+	// Returned is the number of granted units that the host gives back.
 	Returned float64
 }
 
-// GrantResponse is that host's answer.
+// GrantResponse is the counting host's response.
 type GrantResponse struct {
-	// Granted is 0, or the cost and some ahead.
+	// Granted is 0 if the request is refused, otherwise the cost and any prefetched units.
 	Granted float64
-	// RetryAfter is when the cost may be granted, where it was not.
+	// RetryAfter is when a refused request may be granted.
 	RetryAfter time.Duration
-	// Level is what the part holds after it.
+	// Level is the number of units that the part holds afterwards.
 	Level float64
 }
--- a/internal/quota/usage.go
+++ b/internal/quota/usage.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// maxUsages bounds the workspaces that a host counts apart; further ones are counted
-	// together as otherWorkspaces.
-	maxUsages       = 1024
-	otherWorkspaces = "(others)"
+	// maxTrackedWorkspaces bounds the workspaces that are counted individually; any others are
+	// counted together as otherWorkspaces.
+	maxTrackedWorkspaces = 1024
+	otherWorkspaces      = "(others)"
 )
 
-// Usage is what one host did for a workspace since its process started.
+// Usage counts what one host did for a workspace since its process started.
 type Usage struct {
-	// Requests that were charged, refused for the quota, and refused since no host that
-	// counts answered.
+	// Charged counts the requests that were charged, Refused those over the quota, and Unknown
+	// those refused because no counting host responded.
 	Charged int64 `json:"charged"`
 	Refused int64 `json:"refused"`
 	Unknown int64 `json:"unknown"`
-	// Units were charged, and Returned given back since the request did not run.
+	// Units were charged; Returned were refunded because their request did not run.
 	Units    float64 `json:"units"`
 	Returned float64 `json:"returned"`
 }
 
-// WorkspaceMetrics is what a host's metrics tell of a workspace.
+// WorkspaceMetrics is a workspace's entry in a host's metrics.
 type WorkspaceMetrics struct {
-	// Rate and Burst are the quota in force, in units a second and in units.
+	// Rate is the quota's rate in units per second, Burst its burst in units.
 	Rate     float64 `json:"rate"`
 	Burst    float64 `json:"burst"`
 	InTokens bool    `json:"in_tokens"`
 	Usage
 }
 
-// Add adds what another host did.
+// Add adds the usage on another host.
 func (u *Usage) Add(other Usage) {
 	u.Charged += other.Charged
 	u.Refused += other.Refused
@@ -42,30 +42,30 @@
 	u.Returned += other.Returned
 }
 
-// UsageByWorkspace counts by workspace. It is safe for concurrent use.
+// UsageByWorkspace counts usage by workspace. It is safe for concurrent use.
 type UsageByWorkspace struct {
-	mu sync.Mutex
-	by map[string]Usage
+	mu          sync.Mutex
+	byWorkspace map[string]Usage
 }
 
-// Add adds to a workspace's usage.
-func (u *UsageByWorkspace) Add(workspace string, more Usage) {
+// Add adds to the usage of a workspace.
+func (u *UsageByWorkspace) Add(workspace string, delta Usage) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.by == nil {
-		u.by = map[string]Usage{}
+	if u.byWorkspace == nil {
+		u.byWorkspace = map[string]Usage{}
 	}
-	if _, known := u.by[workspace]; !known && len(u.by) >= maxUsages {
+	if _, known := u.byWorkspace[workspace]; !known && len(u.byWorkspace) >= maxTrackedWorkspaces {
 		workspace = otherWorkspaces
 	}
-	one := u.by[workspace]
-	one.Add(more)
-	u.by[workspace] = one
+	usage := u.byWorkspace[workspace]
+	usage.Add(delta)
+	u.byWorkspace[workspace] = usage
 }
 
-// All gives the usage of each workspace.
+// All returns the usage of each workspace.
 func (u *UsageByWorkspace) All() map[string]Usage {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return maps.Clone(u.by)
+	return maps.Clone(u.byWorkspace)
 }
