--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -13,9 +13,9 @@
 	limit = Limit{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 )
 
-// All targets of a service fail at once, and seven hosts send every request on
-// as often as they may. Over any window the further attempts of all hosts stay
-// within the deployment's bound, also when some hosts restart in it.
+// All targets of a service fail at once and seven hosts retry every request as often as they
+// may. In any window the retries of all hosts stay within the deployment's bound, also when some
+// hosts restart.
 func TestBudgetHoldsOverAllHosts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const hosts = 7
@@ -49,15 +49,15 @@
 		}
 		for tick := range 200 {
 			from := epoch.Add(time.Duration(tick) * 100 * time.Millisecond)
-			bound := limit.Ratio*float64(within(requests, from)) + limit.Slack
-			if got := within(retries, from); float64(got) > bound {
-				t.Fatalf("%d further attempts within 10 s from %s, bound %.0f", got, from.Sub(epoch), bound)
+			bound := limit.Ratio*float64(countInWindow(requests, from)) + limit.Slack
+			if got := countInWindow(retries, from); float64(got) > bound {
+				t.Fatalf("%d retries within 10 s from %s, want at most %.0f", got, from.Sub(epoch), bound)
 			}
 		}
 	})
 }
 
-func within(times []time.Time, from time.Time) int {
+func countInWindow(times []time.Time, from time.Time) int {
 	count := 0
 	for _, at := range times {
 		if !at.Before(from) && at.Before(from.Add(limit.Window)) {
@@ -67,10 +67,10 @@
 	return count
 }
 
-// One of 88 hosts, with eight requests a second. Three of its requests come before
-// their adapters are there, at the same moment and after a quiet while. Each may be
-// sent once more; the part of a fleet so large is a tenth of an attempt a second.
-func TestQuietHostSavesAttempts(t *testing.T) {
+// One of 88 hosts receives eight requests per second. After a period without retries, three
+// requests fail at the same time because their adapters are not loaded yet; each can be retried,
+// although the host's share of the slack is only a tenth of a retry per second.
+func TestQuietHostAccumulatesRetries(t *testing.T) {
 	const hosts = 88
 	b := New(Limit{Ratio: 0.2, Slack: 216, Window: 10 * time.Second}, epoch)
 	now := epoch
@@ -84,8 +84,8 @@
 	must.False(t, b.Take(now, hosts))
 }
 
-// A deployment that allows no further attempts gets none.
-func TestNoBudget(t *testing.T) {
+// A deployment that allows no retries gets none.
+func TestNoRetriesAllowed(t *testing.T) {
 	b := New(Limit{Window: time.Second}, epoch)
 	for i := range 100 {
 		now := epoch.Add(time.Duration(i) * time.Second)
@@ -95,37 +95,36 @@
 	must.Eq(t, 100, b.Denied())
 }
 
-// A fleet of hundreds restarts at once and every request fails before the hosts have
-// heard of each other. Each host that took itself for the only one would hand out the
-// whole slack; none of it is handed out until the others are known.
-func TestNoSlackWhileTheFleetIsNotKnown(t *testing.T) {
+// A fleet of hundreds of hosts restarts and every request fails before the hosts know each
+// other. A host that believed it was alone would spend the whole slack, so none is available
+// until the number of hosts is known.
+func TestNoSlackWhileHostCountIsUnknown(t *testing.T) {
 	b := New(limit, epoch)
 	now := epoch.Add(limit.Window)
 	b.RecordRequest(now, 0)
 	must.False(t, b.Take(now, 0))
 	now = now.Add(limit.Window)
 	b.RecordRequest(now, 7)
-	must.True(t, b.Take(now, 7), must.Sprint("once they are known the part is this host's"))
+	must.True(t, b.Take(now, 7), must.Sprint("this host's share, once the number of hosts is known"))
 }
 
-// A host of 195 gets a request for a plain service in a second. Its part of the slack
-// makes a token in 11 s, whether or not there were requests meanwhile: the first of
-// its callers that meets a failure gets its second try. Over all hosts the tokens that
-// were saved up, spent at once, stay within the bound.
-func TestLargeFleetSavesOneTryAHost(t *testing.T) {
+// Each of 195 hosts receives one request for a plain service in a second. Its share
+// of the slack yields one token in 11 s, even without requests, so the first failed request can
+// be retried. If all hosts spend their accumulated tokens at once, they stay within the bound.
+func TestLargeFleetAccumulatesOneRetryPerHost(t *testing.T) {
 	large := Limit{Ratio: 0.2, Slack: 430, Window: 10 * time.Second}
 	const hosts = 195
 	now := epoch.Add(14 * time.Second)
-	tries := 0
+	retries := 0
 	for range hosts {
 		b := New(large, epoch)
 		b.RecordRequest(now, hosts)
 		for tick := range 100 {
 			for b.Take(now.Add(time.Duration(tick)*100*time.Millisecond), hosts) {
-				tries++
+				retries++
 			}
 		}
 	}
-	must.GreaterEq(t, hosts, tries)
-	must.LessEq(t, int(large.Slack+large.Ratio*hosts), tries)
+	must.GreaterEq(t, hosts, retries)
+	must.LessEq(t, int(large.Slack+large.Ratio*hosts), retries)
 }
