--- a/internal/credential/credential.go
+++ b/internal/credential/credential.go
@@ -1,6 +1,6 @@
-// Package credential knows callers by the digests of their bearer keys. A key
-// itself is held only while its header is read, so none can reach a log, a
-// metric or another host.
+// Package credential identifies callers by the digests of their bearer keys. A key itself is
+// only in memory while its header is parsed, so it cannot leak into a log, a metric or another
+// host.
 package credential
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/pkg/errors"
 )
 
-// scheme is the authentication scheme of bearer keys (RFC 6750). Schemes are
-// compared without regard to case (RFC 9110).
+// scheme is the authentication scheme of bearer keys (RFC 6750). Schemes are case-insensitive
+// (RFC 9110).
 const scheme = "Bearer"
 
-// Digest is the SHA-256 digest of a bearer key. The zero digest is that of no key.
+// Digest is the SHA-256 digest of a bearer key. The zero digest stands for no key.
 type Digest [sha256.Size]byte
 
-// Of gives the digest of a key. Keys are compared by their digests only: how long
-// a comparison takes then tells nothing of a key.
+// Of returns the digest of a key. Only digests are compared, so that the duration of a
+// comparison reveals nothing about a key.
 func Of(key string) Digest { return sha256.Sum256([]byte(key)) }
 
-// Parse reads what String gives.
+// Parse parses the output of String.
 func Parse(text string) (Digest, error) {
 	var digest Digest
 	raw, err := hex.DecodeString(text)
@@ -33,10 +33,10 @@
 	return digest, nil
 }
 
-// String gives the digest in hexadecimal.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// MarshalText and UnmarshalText are String and Parse for encoders.
+// MarshalText implements encoding.TextMarshaler.
 func (d Digest) MarshalText() ([]byte, error) { return []byte(d.String()), nil }
 
 // UnmarshalText implements encoding.TextUnmarshaler.
@@ -49,8 +49,8 @@
 	return nil
 }
 
-// BearerDigest reads the key of an Authorization header and gives its digest. A header
-// that is missing, stands twice or names no bearer key has none.
+// BearerDigest parses the values of an Authorization header and returns the digest of the bearer
+// key. It returns false unless there is exactly one value and it contains a bearer key.
 func BearerDigest(values []string) (Digest, bool) {
 	if len(values) != 1 {
 		return Digest{}, false
@@ -63,12 +63,12 @@
 	return Of(key), true
 }
 
-// Holders tells who holds a key. It is not safe for concurrent use while it is
-// being filled.
+// Holders maps key digests to their holders. It is not safe for concurrent use while keys are
+// added.
 type Holders map[Digest]string
 
-// Add notes a holder of a key. It returns false, and changes nothing, where
-// somebody else holds the key already.
+// Add records the holder of a key. It returns false and changes nothing if the key has another
+// holder.
 func (h Holders) Add(digest Digest, holder string) bool {
 	if other, taken := h[digest]; taken && other != holder {
 		return false
@@ -77,7 +77,7 @@
 	return true
 }
 
-// Holder gives who holds a key.
+// Holder returns the holder of a key.
 func (h Holders) Holder(digest Digest) (string, bool) {
 	holder, ok := h[digest]
 	return holder, ok
--- a/internal/credential/credential_test.go
+++ b/internal/credential/credential_test.go
@@ -11,15 +11,15 @@
 		values []string
 		known  bool
 	}{
-		"a key":                       {[]string{"Bearer k"}, true},
-		"the scheme in other letters": {[]string{"bearer k"}, true},
-		"spaces around the key":       {[]string{" Bearer   k "}, true},
-		"no header":                   {nil, false},
-		"an empty header":             {[]string{""}, false},
-		"no key":                      {[]string{"Bearer "}, false},
-		"another scheme":              {[]string{"Basic k"}, false},
-		"a key without a scheme":      {[]string{"k"}, false},
-		"two headers":                 {[]string{"Bearer k", "Bearer other"}, false},
+		"a key":                  {[]string{"Bearer k"}, true},
+		"scheme in lower case":   {[]string{"bearer k"}, true},
+		"spaces around the key":  {[]string{" Bearer   k "}, true},
+		"no header":              {nil, false},
+		"an empty header":        {[]string{""}, false},
+		"no key":                 {[]string{"Bearer "}, false},
+		"another scheme":         {[]string{"Basic k"}, false},
+		"a key without a scheme": {[]string{"k"}, false},
+		"two headers":            {[]string{"Bearer k", "Bearer other"}, false},
 	} {
 		digest, ok := BearerDigest(c.values)
 		must.Eq(t, c.known, ok, must.Sprint(name))
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestDigestIsReadBackInEitherCase(t *testing.T) {
+func TestParseDigestInEitherCase(t *testing.T) {
 	for _, text := range []string{Of("k").String(), "8254C329A92850F6D539DD376F4816EE2764517DA5E0235514AF433164480D7A"} {
 		digest, err := Parse(text)
 		must.NoError(t, err)
@@ -41,7 +41,8 @@
 	}
 }
 
-// A key that two hold would let a request count for either. The first keeps it.
+// A key with two holders would let a request be attributed to either. The first holder keeps the
+// key.
 func TestKeyHasOneHolder(t *testing.T) {
 	holders := Holders{}
 	must.True(t, holders.Add(Of("k"), "a"))
@@ -59,7 +60,7 @@
 	f.Fuzz(func(t *testing.T, value string) {
 		digest, ok := BearerDigest([]string{value})
 		if ok && digest == (Digest{}) {
-			t.Fatalf("%q has a key without a digest", value)
+			t.Fatalf("%q: bearer key with the zero digest", value)
 		}
 	})
 }
