--- a/internal/verdict/verdict.go
+++ b/internal/verdict/verdict.go
@@ -1,32 +1,32 @@
-// Package verdict holds the answer to the one question that decides about a
-// retry: may the request have run on its target?
+// Package verdict represents whether a request may have run on its target, which determines
+// whether it may be retried.
 package verdict
 
 import (
 	"github.com/pkg/errors"
 )
 
-// Verdict says whether a request may have run. The zero value is MayHaveRun,
-// so that a verdict nobody thought of never leads to a second run.
+// Verdict says whether a request has run. The zero value is MayHaveRun, so that a missing
+// verdict never leads to a second run.
 type Verdict uint8
 
 const (
-	// MayHaveRun: the request, or a part of it, may have reached a target.
+	// MayHaveRun means that the request, or a part of it, may have reached a target.
 	MayHaveRun Verdict = iota
-	// NotRun: no target has begun the request, and none will.
+	// NotRun means that no target has started the request and none will.
 	NotRun
-	// Ran: a target has run the request to its end.
+	// Ran means that a target has run the request to completion.
 	Ran
 )
 
-// Names of the verdicts, as callers and operators read them.
+// Names of the verdicts in headers, JSON and logs.
 const (
 	nameNotRun     = "not-run"
 	nameMayHaveRun = "may-have-run"
 	nameRan        = "ran"
 )
 
-// String gives the verdict's name in headers, JSON and logs.
+// String returns the verdict's name in headers, JSON and logs.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -38,7 +38,7 @@
 	}
 }
 
-// Parse reads a verdict's name.
+// Parse returns the verdict with the given name.
 func Parse(name string) (Verdict, error) {
 	switch name {
 	case nameNotRun:
@@ -52,10 +52,10 @@
 	}
 }
 
-// MarshalText writes the verdict's name.
+// MarshalText implements encoding.TextMarshaler.
 func (v Verdict) MarshalText() ([]byte, error) { return []byte(v.String()), nil }
 
-// UnmarshalText reads the verdict's name.
+// UnmarshalText implements encoding.TextUnmarshaler.
 func (v *Verdict) UnmarshalText(text []byte) error {
 	parsed, err := Parse(string(text))
 	if err != nil {
@@ -65,14 +65,13 @@
 	return nil
 }
 
-// Carrier is an error that knows its verdict.
+// Carrier is an error that has a verdict.
 type Carrier interface {
 	error
 	Verdict() Verdict
 }
 
-// Of gives the verdict that an error carries, and MayHaveRun for an error that
-// carries none.
+// Of returns the verdict of an error, or MayHaveRun for an error without one.
 func Of(err error) Verdict {
 	var carrier Carrier
 	if errors.As(err, &carrier) {
