--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -1,7 +1,7 @@
-// Package claims makes a request that may run only once run at most once, also
-// when its caller repeats it through another entry host, or after the first
-// one died: before it is sent, its idempotency key is claimed in the object
-// API, where no two hosts can claim the same.
+// Package claims ensures that a non-idempotent request runs at most once, even if its caller
+// retries it through another host or after the first host failed: before the request is sent,
+// its idempotency key is claimed with a conditional write to the object API, which only one host
+// can win.
 package claims
 
 import (
@@ -17,13 +17,13 @@
 )
 
 const (
-	keyPrefix   = "claims/"
-	claimTries  = 3
-	finishTries = 4
-	finishPause = 250 * time.Millisecond
+	keyPrefix      = "claims/"
+	claimAttempts  = 3
+	finishAttempts = 4
+	finishBackoff  = 250 * time.Millisecond
 )
 
-// Objects is what claims need of the object API.
+// Objects is the part of the object API that claims use.
 type Objects interface {
 	Get(ctx context.Context, key string) (objectapi.Object, error)
 	Put(ctx context.Context, key string, value []byte, ifVersion objectapi.Version) (objectapi.Version, error)
@@ -31,23 +31,23 @@
 	Delete(ctx context.Context, key string, ifVersion objectapi.Version) error
 }
 
-// Retention is how long a claim is kept: a day covers every caller that repeats
-// a request, over all three shifts, and bounds what lies in the object API.
+// Retention is how long a claim is kept. A day covers every caller that retries a request, over
+// all three shifts, and bounds the number of stored claims.
 const Retention = 24 * time.Hour
 
-// record is a stored claim. Ended is empty while the request may be under way;
-// it stays so if the claiming host dies.
+// record is a stored claim. Outcome is the verdict's name. It is empty while the request may be
+// in progress, and stays empty if the claiming host fails.
 type record struct {
-	// Nonce tells this try from all others, so that a host whose answer was
-	// lost knows its own claim.
+	// Nonce distinguishes this attempt from all others, so that a host whose response was lost
+	// recognizes its own claim.
 	Nonce   string    `json:"nonce"`
 	Request string    `json:"request"`
 	Host    string    `json:"host"`
 	At      time.Time `json:"at"`
-	Ended   string    `json:"ended,omitempty"`
+	Outcome string    `json:"ended,omitempty"`
 }
 
-// Claim is the right to run a request once.
+// Claim is the exclusive right to run a request.
 type Claim struct {
 	store   *Store
 	key     string
@@ -55,7 +55,7 @@
 	version objectapi.Version
 }
 
-// DuplicateError refuses a request whose key has been claimed before.
+// DuplicateError rejects a request whose key was claimed before.
 type DuplicateError struct {
 	Request string
 	At      time.Time
@@ -64,22 +64,22 @@
 
 // Error implements error.
 func (e *DuplicateError) Error() string {
-	return "the same Idempotency-Key came before, as request " + e.Request + " at " + e.At.Format(time.RFC3339) + "; its verdict is " + e.Earlier.String()
+	return "Idempotency-Key already used by request " + e.Request + " at " + e.At.Format(time.RFC3339) + "; its verdict is " + e.Earlier.String()
 }
 
-// Verdict gives the earlier request's verdict.
+// Verdict returns the verdict of the earlier request.
 func (e *DuplicateError) Verdict() verdict.Verdict { return e.Earlier }
 
-// ErrUnavailable refuses a request whose claim could not be made.
-var ErrUnavailable = errors.New("the claim that keeps this request from running twice cannot be made now")
+// ErrUnavailable rejects a request whose key could not be claimed.
+var ErrUnavailable = errors.New("cannot claim the Idempotency-Key that prevents a second run of the request")
 
-// Store makes claims.
+// Store stores claims in the object API.
 type Store struct {
 	objects Objects
 	host    string
 }
 
-// NewStore makes a store of claims for a host.
+// NewStore returns a store of claims for a host.
 func NewStore(objects Objects, host string) *Store {
 	return &Store{objects: objects, host: host}
 }
@@ -89,8 +89,8 @@
 	return keyPrefix + hex.EncodeToString(digest[:])
 }
 
-// Begin claims a caller's key. It returns a DuplicateError if the key was
-// claimed before by a request that ran or may have run.
+// Begin claims a caller's key. It returns a DuplicateError if the key was claimed before by a
+// request that ran or may have run.
 func (s *Store) Begin(ctx context.Context, caller, key, request, nonce string, now time.Time) (*Claim, error) {
 	claim := &Claim{store: s, key: objectKey(caller, key)}
 	claim.record = record{Nonce: nonce, Request: request, Host: s.host, At: now.UTC()}
@@ -98,9 +98,9 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "encode claim")
 	}
-	var free objectapi.Version
-	for range claimTries {
-		version, err := s.objects.Put(ctx, claim.key, text, free)
+	var expected objectapi.Version
+	for range claimAttempts {
+		version, err := s.objects.Put(ctx, claim.key, text, expected)
 		switch {
 		case err == nil:
 			claim.version = version
@@ -108,30 +108,30 @@
 		case errors.Is(err, objectapi.ErrUnavailable):
 			return nil, errors.Wrap(ErrUnavailable, err.Error())
 		}
-		// The key is taken, or the answer was lost: what stands there decides.
+		// Either the key is taken or the response was lost: the stored record decides.
 		earlier, version, err := s.read(ctx, claim.key)
 		switch {
 		case errors.Is(err, objectapi.ErrNotFound):
-			free = 0
+			expected = 0
 		case err != nil:
 			return nil, errors.Wrap(ErrUnavailable, err.Error())
 		case earlier.Nonce == nonce:
 			claim.version = version
 			return claim, nil
-		case earlier.Ended != verdict.NotRun.String():
-			return nil, duplicate(earlier)
+		case earlier.Outcome != verdict.NotRun.String():
+			return nil, newDuplicateError(earlier)
 		default:
-			free = version
+			expected = version
 		}
 	}
 	return nil, ErrUnavailable
 }
 
-// Sweep removes claims that are older than Retention and gives their number. A
-// claim that changed meanwhile stays: the removal is conditional.
+// Sweep removes the claims that are older than Retention and returns their number. The removal
+// is conditional, so a claim that has changed since the listing is kept.
 //
-// Claims are written for each once-only request. Never removed, they would fill
-// the object API and slow every listing.
+// A claim is stored for every non-idempotent request with a key. If claims were never removed,
+// they would fill the object API and slow down every listing.
 func (s *Store) Sweep(ctx context.Context, now time.Time) (int, error) {
 	listing, err := s.objects.List(ctx, keyPrefix)
 	if err != nil {
@@ -155,13 +155,14 @@
 	return removed, nil
 }
 
-func duplicate(earlier record) *DuplicateError {
-	// A claim without an end may be under way, or its host may have died: both may have run.
-	ended, err := verdict.Parse(earlier.Ended)
+func newDuplicateError(earlier record) *DuplicateError {
+	// Without an outcome the request may be in progress, or its host may have failed: in both
+	// cases it may have run.
+	outcome, err := verdict.Parse(earlier.Outcome)
 	if err != nil {
-		ended = verdict.MayHaveRun
+		outcome = verdict.MayHaveRun
 	}
-	return &DuplicateError{Request: earlier.Request, At: earlier.At, Earlier: ended}
+	return &DuplicateError{Request: earlier.Request, At: earlier.At, Earlier: outcome}
 }
 
 func (s *Store) read(ctx context.Context, key string) (record, objectapi.Version, error) {
@@ -174,23 +175,23 @@
 	return rec, object.Version, errors.Wrap(err, "decode claim")
 }
 
-// Finish notes how the request ended. It goes on in the background for a
-// while if the object API is away; a claim that is never finished counts as
-// one that may have run, which is safe.
-func (c *Claim) Finish(ctx context.Context, ended verdict.Verdict) {
-	c.record.Ended = ended.String()
+// Finish records the outcome of the request. It retries for a while in the background if the
+// object API is unavailable. A claim that is never finished counts as one that may have run,
+// which is safe.
+func (c *Claim) Finish(ctx context.Context, outcome verdict.Verdict) {
+	c.record.Outcome = outcome.String()
 	text, err := json.Marshal(c.record)
 	if err != nil {
 		return
 	}
 	ctx = context.WithoutCancel(ctx)
 	go func() {
-		for try := range finishTries {
+		for try := range finishAttempts {
 			_, err := c.store.objects.Put(ctx, c.key, text, c.version)
 			if err == nil || errors.Is(err, objectapi.ErrConflict) {
 				return
 			}
-			time.Sleep(finishPause << try)
+			time.Sleep(finishBackoff << try)
 		}
 	}()
 }
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -13,8 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A day after a once-only request its claim is swept, and a claim of today
-// stays: the request that comes again today is still refused.
+// A claim is removed a day after its request; a claim of today stays, so that a repetition of
+// its request is still rejected.
 func TestSweep(t *testing.T) {
 	platform := standin.NewPlatform()
 	server := httptest.NewServer(platform)
