--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,9 +1,9 @@
-// Package lease holds the rules of node leases: one object a node in the
-// object API, renewed by its holder, that a peer may break once it has seen
-// no renewal for longer than the lease's life.
+// Package lease implements node leases. Each node has one object in the object API, which its
+// holder renews. A peer may break the lease once it has seen no renewal for longer than the
+// lease's life.
 //
-// A lease ends as a fact in the object API (its record says so), not by
-// anybody's clock. The holder's own clock only makes it stop earlier.
+// A lease ends when its record in the object API says so, not when some clock runs out. The
+// holder's own clock only makes it stop earlier.
 package lease
 
 import (
@@ -13,10 +13,10 @@
 	"github.com/cherrystage/cherrystage/internal/objectapi"
 )
 
-// KeyPrefix is where the records stand in the object API.
+// KeyPrefix is the prefix of the records' keys in the object API.
 const KeyPrefix = "nodes/"
 
-// Key gives the object of a node's lease.
+// Key returns the key of a host's record.
 func Key(host string) string { return KeyPrefix + host }
 
 // Record is the stored lease of one node.
@@ -25,11 +25,11 @@
 	// Incarnation changes with every start of the node's process.
 	Incarnation string `json:"incarnation"`
 	Renewal     uint64 `json:"renewal"`
-	// EndedBy names the node that broke or released the lease; empty while it holds.
+	// EndedBy is the node that broke or released the lease, empty while the lease is held.
 	EndedBy string `json:"ended_by,omitempty"`
 }
 
-// HeldBy says whether a record is the living lease of an incarnation.
+// HeldBy reports whether the lease is held by the given incarnation.
 func (r Record) HeldBy(incarnation string) bool {
 	return r.Incarnation == incarnation && r.EndedBy == ""
 }
@@ -39,20 +39,20 @@
 	life   time.Duration
 	margin time.Duration
 
-	mu         sync.Mutex
-	validUntil time.Time
-	longest    time.Duration
-	lastBeat   time.Time
+	mu           sync.Mutex
+	validUntil   time.Time
+	longestPause time.Duration
+	lastTick     time.Time
 }
 
-// NewHolder makes a holder of leases with a life; margin is the time by which
-// the holder stops before its lease could be broken.
+// NewHolder returns a holder of a lease with the given life. Margin is how long before the lease
+// could be broken the holder stops using it.
 func NewHolder(life, margin time.Duration) *Holder {
 	return &Holder{life: life, margin: margin}
 }
 
-// RecordRenewal notes a successful renewal that was sent at the given time. The life
-// counts from the sending: the platform may have taken it at any time since.
+// RecordRenewal records a successful renewal that was sent at the given time. The life counts
+// from the time of sending, because the platform may have applied the renewal at any time since.
 func (h *Holder) RecordRenewal(sent time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -62,75 +62,75 @@
 	}
 }
 
-// MarkLost notes that the lease was broken.
+// MarkLost records that the lease was broken.
 func (h *Holder) MarkLost() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.validUntil = time.Time{}
 }
 
-// RecordTick notes a regular tick and learns the longest pause of this process.
+// RecordTick is called at regular intervals and measures the longest pause of the process.
 func (h *Holder) RecordTick(now time.Time, interval time.Duration) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if !h.lastBeat.IsZero() {
-		pause := now.Sub(h.lastBeat) - interval
-		h.longest = max(h.longest, pause)
+	if !h.lastTick.IsZero() {
+		pause := now.Sub(h.lastTick) - interval
+		h.longestPause = max(h.longestPause, pause)
 	}
-	h.lastBeat = now
+	h.lastTick = now
 }
 
-// MayOrder says whether an order that takes up to duration may be begun: its
-// end must fall before the lease could be broken, less the margin and the
-// longest pause that this process has seen, up to half of the life.
+// MayOrder reports whether an order that takes up to duration may be started: it must end before
+// the lease could be broken, less the margin and the longest pause of the process so far, which
+// counts up to a quarter of the life.
 func (h *Holder) MayOrder(now time.Time, duration time.Duration) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	pause := min(h.longest, h.life/4)
+	pause := min(h.longestPause, h.life/4)
 	return now.Add(duration + h.margin + pause).Before(h.validUntil)
 }
 
-// ValidUntil gives the time up to which nobody can have broken the lease.
+// ValidUntil returns the time until which no peer can have broken the lease.
 func (h *Holder) ValidUntil() time.Time {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.validUntil
 }
 
-// Observer times how long peers' leases have gone without renewal, by this
-// node's own clock. It is safe for concurrent use.
+// Observer measures by this node's clock how long peers' leases have gone without renewal. It is
+// safe for concurrent use.
 type Observer struct {
 	life time.Duration
 
 	mu   sync.Mutex
-	seen map[string]sighting
+	seen map[string]observation
 }
 
-type sighting struct {
+type observation struct {
 	version objectapi.Version
 	since   time.Time
 }
 
-// NewObserver makes an observer; life must be the holders'.
+// NewObserver returns an observer. Life must equal that of the holders.
 func NewObserver(life time.Duration) *Observer {
-	return &Observer{life: life, seen: map[string]sighting{}}
+	return &Observer{life: life, seen: map[string]observation{}}
 }
 
-// Observe notes the version of a peer's lease as read at a time, and says
-// whether it has now been unchanged for the lease's whole life. The first
-// sighting comes after the renewal, so the peer's own clock has run out by then.
+// Observe records the version of a peer's lease and reports whether it has been unchanged for
+// longer than the lease's life. A version is first observed after its renewal, so by then the
+// lease has also expired by the holder's own clock.
 func (o *Observer) Observe(host string, version objectapi.Version, now time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	last, ok := o.seen[host]
 	if !ok || last.version != version {
-		o.seen[host] = sighting{version: version, since: now}
+		o.seen[host] = observation{version: version, since: now}
 		return false
 	}
 	return now.Sub(last.since) > o.life
 }
 
-// Forget drops what was seen of a peer that is heard again.
+// Forget drops the observations of a peer that is reachable again.
 func (o *Observer) Forget(host string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
