--- a/internal/quarantine/quarantine.go
+++ b/internal/quarantine/quarantine.go
@@ -206,8 +206,8 @@
 	return changed
 }
 
-// Restore adds a quarantined request from a persistent record, which contains no times. The
-// request is blocked at once, so that a restarted host blocks it from the beginning.
+// Restore adds a quarantined request from a persistent record, which contains no times. It skips
+// confirmationDelay, so that a host blocks the request as soon as it starts.
 func (q *Quarantine) Restore(content Fingerprint, round int, now time.Time) bool {
 	if _, listed := q.list.Load().entries[content]; listed {
 		return false
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -55,21 +55,21 @@
 	return a
 }
 
-func (a *Allowances) withWorkspace(workspace string, update func(one *allowance)) {
+func (a *Allowances) withWorkspace(workspace string, update func(entry *allowance)) {
 	shard := &a.shards[shardOf(workspace)]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
-	one := shard.workspaces[workspace]
-	if one == nil {
-		one = &allowance{}
-		shard.workspaces[workspace] = one
+	entry := shard.workspaces[workspace]
+	if entry == nil {
+		entry = &allowance{}
+		shard.workspaces[workspace] = entry
 	}
-	update(one)
+	update(entry)
 }
 
 // Spend deducts the cost of a request from a part that has enough units, and returns the part.
 func (a *Allowances) Spend(workspace string, cost float64, now time.Time) (part int, ok bool) {
-	a.withWorkspace(workspace, func(one *allowance) { part, ok = one.spend(cost, now) })
+	a.withWorkspace(workspace, func(entry *allowance) { part, ok = entry.spend(cost, now) })
 	return part, ok
 }
 
@@ -99,9 +99,9 @@
 
 // Refused reports whether a request is refused locally, and after which time to retry.
 func (a *Allowances) Refused(workspace string, cost float64, now time.Time) (wait time.Duration, refused bool) {
-	a.withWorkspace(workspace, func(one *allowance) {
-		if refused = now.Before(one.refusedUntil); refused {
-			wait = one.nextRetry(cost, now)
+	a.withWorkspace(workspace, func(entry *allowance) {
+		if refused = now.Before(entry.refusedUntil); refused {
+			wait = entry.nextRetry(cost, now)
 		}
 	})
 	return wait, refused
@@ -119,32 +119,32 @@
 // RefuseUntil records that all parts refused a request that may be retried after wait. Rate is
 // that of the workspace's quota, in units per second.
 func (a *Allowances) RefuseUntil(workspace string, wait time.Duration, rate float64, now time.Time) {
-	a.withWorkspace(workspace, func(one *allowance) {
-		one.refusedUntil = now.Add(min(wait, maxLocalRefusal))
-		one.retryAt = now.Add(wait)
-		one.rate = rate
+	a.withWorkspace(workspace, func(entry *allowance) {
+		entry.refusedUntil = now.Add(min(wait, maxLocalRefusal))
+		entry.retryAt = now.Add(wait)
+		entry.rate = rate
 	})
 }
 
 // PrefetchUnits returns the units to request in addition to the cost of the current request.
 func (a *Allowances) PrefetchUnits(workspace string, now time.Time) (units float64) {
-	a.withWorkspace(workspace, func(one *allowance) {
-		units = math.Floor(one.recentUsage(now) * float64(prefetchPeriod) / float64(usageDecay))
+	a.withWorkspace(workspace, func(entry *allowance) {
+		units = math.Floor(entry.recentUsage(now) * float64(prefetchPeriod) / float64(usageDecay))
 	})
 	return units
 }
 
 // AddGrant adds granted units of a part.
 func (a *Allowances) AddGrant(workspace string, part int, units float64, now time.Time) {
-	a.withWorkspace(workspace, func(one *allowance) {
-		one.balance[part] += units
-		one.updatedAt = now
+	a.withWorkspace(workspace, func(entry *allowance) {
+		entry.balance[part] += units
+		entry.updatedAt = now
 	})
 }
 
 // RecordUse counts units that were granted for a waiting request and spent at once.
 func (a *Allowances) RecordUse(workspace string, cost float64, now time.Time) {
-	a.withWorkspace(workspace, func(one *allowance) { one.addUsage(cost, now) })
+	a.withWorkspace(workspace, func(entry *allowance) { entry.addUsage(cost, now) })
 }
 
 // TakeIdle removes the units that have been idle for maxIdle and returns the requests that give
@@ -161,17 +161,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var returns []GrantRequest
-	for name, one := range s.workspaces {
-		if now.Sub(one.updatedAt) < maxIdle {
+	for name, entry := range s.workspaces {
+		if now.Sub(entry.updatedAt) < maxIdle {
 			continue
 		}
-		for part, balance := range one.balance {
+		for part, balance := range entry.balance {
 			if balance > 0 {
 				returns = append(returns, GrantRequest{Key: name, Part: part, Returned: balance})
 			}
 		}
-		one.balance = [Parts]float64{}
-		if now.After(one.refusedUntil) && now.Sub(one.usageAt) > 10*usageDecay {
+		entry.balance = [Parts]float64{}
+		if now.After(entry.refusedUntil) && now.Sub(entry.usageAt) > 10*usageDecay {
 			delete(s.workspaces, name)
 		}
 	}
