--- a/internal/mesh/breaking.go
+++ b/internal/mesh/breaking.go
@@ -13,17 +13,17 @@
 func (s *State) Vote(host string, at registry.Position, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	signs := s.signs(host)
-	silence := s.timing.silence()
-	if now.Sub(signs.heard) < silence || now.Sub(s.started) < silence || at.Era != s.era || signs.revision > at.Revision {
+	peer := s.peerOf(host)
+	silence := s.timing.breakTimeout()
+	if now.Sub(peer.heardAt) < silence || now.Sub(s.started) < silence || at.Era != s.era || peer.revision > at.Revision {
 		return false
 	}
-	signs.voted = at.Revision
+	peer.votedRevision = at.Revision
 	return true
 }
 
-// Break is a peer whose lease should be ended.
-type Break struct {
+// DeadHost is a peer whose lease should be ended.
+type DeadHost struct {
 	Host     string
 	Record   HostRecord
 	Revision uint64
@@ -31,8 +31,8 @@
 	Era registry.Era
 	// Witnesses are those whose votes are needed beside this host's.
 	Witnesses []Peer
-	// Votes is how many of them must agree.
-	Votes int
+	// VotesNeeded is how many of them must agree.
+	VotesNeeded int
 }
 
 // Breakable gives the peers that should be declared dead, as far as this host
@@ -42,20 +42,20 @@
 // vote so too. The write must be conditional on the revision: a renewal that
 // came meanwhile makes it fail. In a new era of the store this host waits until a peer
 // that acts by the one before has stopped, and tells of what is known to be broken.
-func (s *State) Breakable(now time.Time) []Break {
+func (s *State) Breakable(now time.Time) []DeadHost {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	silence := s.timing.silence()
+	silence := s.timing.breakTimeout()
 	if now.Sub(s.started) < silence {
 		return nil
 	}
-	var breaks []Break
+	var breaks []DeadHost
 	for host, m := range s.members {
 		if host == s.self || m.Broken {
 			continue
 		}
-		settled := s.eraSettled(now) && now.Sub(s.signs(host).changed) >= silence
-		if !settled && !s.knownEnded(host, m) {
+		settled := s.eraSettled(now) && now.Sub(s.peerOf(host).changedAt) >= silence
+		if !settled && !s.leaseKnownEnded(host, m) {
 			continue
 		}
 		if b, ok := s.breakable(host, m, now); ok {
@@ -65,20 +65,20 @@
 	return breaks
 }
 
-func (s *State) breakable(host string, m member, now time.Time) (Break, bool) {
+func (s *State) breakable(host string, m member, now time.Time) (DeadHost, bool) {
 	own := slices.Index(m.Witnesses, s.self)
 	if own >= 0 {
 		// The first witness begins; the others follow if it does not.
-		patience := s.timing.silence() + time.Duration(own)*s.timing.Margin
-		if now.Sub(s.signs(host).heard) < patience {
-			return Break{}, false
+		patience := s.timing.breakTimeout() + time.Duration(own)*s.timing.Margin
+		if now.Sub(s.peerOf(host).heardAt) < patience {
+			return DeadHost{}, false
 		}
-	} else if !s.unwitnessed(m, now) || fleet.First(host, s.inForce().without(host)) != s.self {
-		return Break{}, false
+	} else if !s.witnessesGone(m, now) || fleet.First(host, s.currentMembership().without(host)) != s.self {
+		return DeadHost{}, false
 	}
-	b := Break{Host: host, Record: m.HostRecord, Revision: m.revision, Era: s.era, Votes: neededVotes(m)}
+	b := DeadHost{Host: host, Record: m.HostRecord, Revision: m.revision, Era: s.era, VotesNeeded: neededVotes(m)}
 	for _, witness := range m.Witnesses {
-		b.count(s, witness, now)
+		b.countWitness(s, witness, now)
 	}
 	return b, true
 }
@@ -90,48 +90,48 @@
 	return majority(len(m.Witnesses))
 }
 
-// unwitnessed says that no living witness's vote is needed to break a lease. Only
+// witnessesGone says that no living witness's vote is needed to break a lease. Only
 // then may a host break it that is no witness.
-func (s *State) unwitnessed(m member, now time.Time) bool {
+func (s *State) witnessesGone(m member, now time.Time) bool {
 	missing := neededVotes(m)
 	for _, witness := range m.Witnesses {
-		if s.gone(witness, now) {
+		if s.witnessGone(witness, now) {
 			missing--
 		}
 	}
 	return missing <= 0
 }
 
-// gone says that a witness's own lease has been broken for long enough. It promised
+// witnessGone says that a witness's own lease has been broken for long enough. It promised
 // only while that was valid, so its last promise is as old as the gap, and over after
 // a lease more.
-func (s *State) gone(witness string, now time.Time) bool {
+func (s *State) witnessGone(witness string, now time.Time) bool {
 	m, ok := s.members[witness]
-	return !ok || m.Broken && now.Sub(s.signs(witness).changed) > s.timing.Lease
+	return !ok || m.Broken && now.Sub(s.peerOf(witness).changedAt) > s.timing.Lease
 }
 
-// count adds one witness: its vote is asked for, or counts as given where it is gone.
-func (b *Break) count(s *State, witness string, now time.Time) {
+// countWitness adds one witness: its vote is asked for, or counts as given where it is gone.
+func (b *DeadHost) countWitness(s *State, witness string, now time.Time) {
 	switch {
 	case witness == s.self:
-		b.Votes--
-		s.signs(b.Host).voted = b.Revision
-	case s.gone(witness, now):
-		b.Votes--
+		b.VotesNeeded--
+		s.peerOf(b.Host).votedRevision = b.Revision
+	case s.witnessGone(witness, now):
+		b.VotesNeeded--
 	case !s.members[witness].Broken:
 		b.Witnesses = append(b.Witnesses, Peer{Host: witness, Address: s.members[witness].Address})
 	}
 }
 
-// Dead gives hosts whose lease was ended so long ago that their record is of no
+// RemovableRecords gives hosts whose lease was ended so long ago that their record is of no
 // use any more.
-func (s *State) Dead(now time.Time, after time.Duration) []Break {
+func (s *State) RemovableRecords(now time.Time, after time.Duration) []DeadHost {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var dead []Break
+	var dead []DeadHost
 	for host, m := range s.members {
-		if m.Broken && host != s.self && now.Sub(s.signs(host).changed) > after && fleet.First(host, s.inForce().hosts) == s.self {
-			dead = append(dead, Break{Host: host, Record: m.HostRecord, Revision: m.revision, Era: s.era})
+		if m.Broken && host != s.self && now.Sub(s.peerOf(host).changedAt) > after && fleet.First(host, s.currentMembership().hosts) == s.self {
+			dead = append(dead, DeadHost{Host: host, Record: m.HostRecord, Revision: m.revision, Era: s.era})
 		}
 	}
 	return dead
--- a/internal/mesh/breaktry.go
+++ b/internal/mesh/breaktry.go
@@ -8,23 +8,23 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// breakTry is the try to end one dead host's lease.
-type breakTry struct {
+// breakAttempt is the try to end one dead host's lease.
+type breakAttempt struct {
 	running bool
-	// again is when it may be tried again, pause how long after the last try.
-	again time.Time
-	pause time.Duration
+	// retryAt is when it may be tried retryAt, pause how long after the last try.
+	retryAt time.Time
+	backoff time.Duration
 }
 
 const (
-	// breakPause is the pause after a try to end a lease that too few witnesses agreed
+	// breakBackoff is the pause after a try to end a lease that too few witnesses agreed
 	// to, and longestBreakPause what it grows to, doubled each time. Witnesses that are
 	// back or whose own lease is ended make it succeed; they take seconds to.
-	breakPause        = 500 * time.Millisecond
-	longestBreakPause = 10 * time.Second
+	breakBackoff    = 500 * time.Millisecond
+	maxBreakBackoff = 10 * time.Second
 )
 
-// tryBreak begins to end a dead host's lease, unless that is under way or was tried a
+// startBreak begins to end a dead host's lease, unless that is under way or was tried a
 // moment ago.
 //
 // The failure it answers: many hosts fall silent at once. The votes on each of them
@@ -32,15 +32,15 @@
 // kept the survivors from renewing their own leases, so these lapsed as well, and all
 // runners were without an owner. Asked for side by side and seldom, they keep nobody
 // from anything.
-func (s *Service) tryBreak(ctx context.Context, dead Break) {
+func (s *Service) startBreak(ctx context.Context, dead DeadHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	try := s.breaking[dead.Host]
+	try := s.breakAttempts[dead.Host]
 	if try == nil {
-		try = &breakTry{pause: breakPause}
-		s.breaking[dead.Host] = try
+		try = &breakAttempt{backoff: breakBackoff}
+		s.breakAttempts[dead.Host] = try
 	}
-	if try.running || s.Now().Before(try.again) {
+	if try.running || s.Now().Before(try.retryAt) {
 		return
 	}
 	try.running = true
@@ -49,59 +49,59 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		try.running = false
-		try.again = s.Now().Add(try.pause)
-		try.pause = min(2*try.pause, longestBreakPause)
+		try.retryAt = s.Now().Add(try.backoff)
+		try.backoff = min(2*try.backoff, maxBreakBackoff)
 	}()
 }
 
-// forgetBreaks drops the tries for hosts that are no longer to be broken.
-func (s *Service) forgetBreaks(dead []Break) {
+// pruneBreakAttempts drops the tries for hosts that are no longer to be broken.
+func (s *Service) pruneBreakAttempts(dead []DeadHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	still := make(map[string]bool, len(dead))
 	for _, b := range dead {
 		still[b.Host] = true
 	}
-	for host, try := range s.breaking {
+	for host, try := range s.breakAttempts {
 		if !still[host] && !try.running {
-			delete(s.breaking, host)
+			delete(s.breakAttempts, host)
 		}
 	}
 }
 
 // breakLease ends a dead host's lease if enough witnesses agree.
-func (s *Service) breakLease(ctx context.Context, dead Break) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (s *Service) breakLease(ctx context.Context, dead DeadHost) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if !s.agreed(ctx, dead) {
+	if !s.collectVotes(ctx, dead) {
 		return
 	}
 	dead.Record.Broken = true
-	record, err := s.Store.Update(ctx, Kind, hostName(dead.Host), dead.Record, dead.Revision)
+	record, err := s.Store.Update(ctx, Kind, hostRecordName(dead.Host), dead.Record, dead.Revision)
 	if err != nil {
 		s.Log.Info("lease not broken", "peer", dead.Host, "revision", dead.Revision, "error", err.Error())
-		s.refresh(ctx, hostName(dead.Host), err)
+		s.refreshAfterConflict(ctx, hostRecordName(dead.Host), err)
 		return
 	}
-	s.took(record)
+	s.applyRecord(record)
 	s.Log.Warn("lease broken: the host was silent for too long", "peer", dead.Host, "epoch", dead.Record.Epoch, "revision", record.Revision)
 }
 
-// agreed asks the other witnesses for their votes.
-func (s *Service) agreed(ctx context.Context, dead Break) bool {
-	if dead.Votes > len(dead.Witnesses) {
-		s.Log.Info("lease not broken: too few witnesses are left", "peer", dead.Host, "witnesses", len(dead.Witnesses), "needed", dead.Votes)
+// collectVotes asks the other witnesses for their votes.
+func (s *Service) collectVotes(ctx context.Context, dead DeadHost) bool {
+	if dead.VotesNeeded > len(dead.Witnesses) {
+		s.Log.Info("lease not broken: too few witnesses are left", "peer", dead.Host, "witnesses", len(dead.Witnesses), "needed", dead.VotesNeeded)
 		return false
 	}
 	answers := make(chan bool, len(dead.Witnesses))
 	for _, witness := range dead.Witnesses {
 		go func() {
-			var answer VoteAnswer
+			var answer VoteResult
 			err := s.Pool.Call(ctx, witness.Address, methodVote, VoteParams{Host: dead.Host, Position: registry.Position{Era: dead.Era, Revision: dead.Revision}}, &answer)
 			answers <- err == nil && answer.Agreed
 		}()
 	}
-	votes := dead.Votes
+	votes := dead.VotesNeeded
 	for range dead.Witnesses {
 		if votes <= 0 {
 			break
@@ -123,13 +123,13 @@
 	registry.Position
 }
 
-// VoteAnswer is a witness's vote.
-type VoteAnswer struct {
+// VoteResult is a witness's vote.
+type VoteResult struct {
 	Agreed bool `json:"agreed"`
 }
 
-func (s *Service) vote(_ context.Context, from peer.Identity, params VoteParams) (VoteAnswer, error) {
+func (s *Service) handleVote(_ context.Context, from peer.Identity, params VoteParams) (VoteResult, error) {
 	agreed := s.State.Vote(params.Host, params.Position, s.Now())
 	s.Log.Info("vote on a lease", "peer", params.Host, "asked_by", from.Host, "agreed", agreed)
-	return VoteAnswer{Agreed: agreed}, nil
+	return VoteResult{Agreed: agreed}, nil
 }
--- a/internal/mesh/breaktry_test.go
+++ b/internal/mesh/breaktry_test.go
@@ -94,7 +94,7 @@
 		for w := range maxWitnesses {
 			witnesses = append(witnesses, names[(i+size-1-w)%size])
 		}
-		record, err := store.Create(ctx, Kind, hostName(name), HostRecord{Address: name + ":1", Epoch: 1, Incarnation: "one", Witnesses: witnesses})
+		record, err := store.Create(ctx, Kind, hostRecordName(name), HostRecord{Address: name + ":1", Epoch: 1, Incarnation: "one", Witnesses: witnesses})
 		must.NoError(t, err)
 		records = append(records, record)
 		if i == 0 {
@@ -127,7 +127,7 @@
 			defer close(done)
 			s.Run(ctx)
 		}()
-		time.Sleep(usual.silence() + 3*time.Second)
+		time.Sleep(usual.breakTimeout() + 3*time.Second)
 		before := asked()
 		lapsed := 0
 		const samples = 600
@@ -153,11 +153,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		s, _, _ := survivor(t, t.Context(), 30)
 		now := time.Now()
-		s.State.Apply([]registry.Change{change(t, ownerName("r1:1"), OwnerRecord{Host: "h07", Epoch: 1}, 90)}, now)
+		s.State.Apply([]registry.Change{change(t, ownerRecordName("r1:1"), OwnerRecord{Host: "h07", Epoch: 1}, 90)}, now)
 		runners := []Runner{{Address: "r1:1"}}
 		must.SliceEmpty(t, s.State.Claims(runners))
 		for i := 1; i < 30; i++ {
-			gone := registry.Change{Record: registry.Record{Name: hostName(fmt.Sprintf("h%02d", i))}, Removed: true}
+			gone := registry.Change{Record: registry.Record{Name: hostRecordName(fmt.Sprintf("h%02d", i))}, Removed: true}
 			s.State.Apply([]registry.Change{gone}, now)
 		}
 		must.Len(t, 1, s.State.Claims(runners))
--- a/internal/mesh/claims.go
+++ b/internal/mesh/claims.go
@@ -36,12 +36,12 @@
 	var claims []Claim
 	for _, runner := range runners {
 		address := runner.Address
-		name := ownerName(address)
+		name := ownerRecordName(address)
 		o, found := s.owners[name]
-		if found && s.holds(o) {
+		if found && s.ownerInForce(o) {
 			continue
 		}
-		if fleet.First(address, s.inForce().near(runner.DataCentre)) != s.self {
+		if fleet.First(address, s.currentMembership().hostsNear(runner.DataCentre)) != s.self {
 			continue
 		}
 		claims = append(claims, Claim{Address: address, Name: name, Revision: o.revision, Record: OwnerRecord{Host: s.self, Epoch: s.epoch}})
@@ -49,9 +49,9 @@
 	return claims
 }
 
-// Settled says that no host has joined for a time.
-func (s *State) Settled(now time.Time, since time.Duration) bool {
+// JoinsSettled says that no host has joined for a time.
+func (s *State) JoinsSettled(now time.Time, since time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.joined) >= since
+	return now.Sub(s.lastJoin) >= since
 }
--- a/internal/mesh/counting.go
+++ b/internal/mesh/counting.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// recomposeSettle is how long after hosts joined or left this host begins to count
+	// membershipSettle is how long after hosts joined or left this host begins to count
 	// what another one counted: until the others know of the change too, both count. A
 	// heartbeat that tells of it takes two intervals to reach everybody.
-	recomposeSettle = time.Second
-	// maxFirsts bounds the keys for which the first host is remembered.
-	maxFirsts = 1 << 14
+	membershipSettle = time.Second
+	// maxCachedLeaders bounds the keys for which the first host is remembered.
+	maxCachedLeaders = 1 << 14
 )
 
 // LeaderFor gives the host that comes first for a key, empty where none is known, and
@@ -20,19 +20,19 @@
 func (s *State) LeaderFor(key string) (host, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	host = s.inForce().firstFor(key)
+	host = s.currentMembership().leaderFor(key)
 	return host, s.members[host].Address
 }
 
-func (m *membership) firstFor(key string) string {
-	if first, known := m.firsts[key]; known {
+func (m *membership) leaderFor(key string) string {
+	if first, known := m.leaders[key]; known {
 		return first
 	}
-	if len(m.firsts) >= maxFirsts {
-		clear(m.firsts)
+	if len(m.leaders) >= maxCachedLeaders {
+		clear(m.leaders)
 	}
 	first := fleet.First(key, m.hosts)
-	m.firsts[key] = first
+	m.leaders[key] = first
 	return first
 }
 
@@ -53,11 +53,11 @@
 func (s *State) Leads(key string, now time.Time) (Leadership, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.epoch == 0 || s.inForce().firstFor(key) != s.self || !now.Add(s.timing.Margin).Before(s.validUntil()) {
+	if s.epoch == 0 || s.currentMembership().leaderFor(key) != s.self || !now.Add(s.timing.Margin).Before(s.validUntil()) {
 		return Leadership{}, false
 	}
 	since := s.started
-	if settled := s.recomposed.Add(recomposeSettle); !s.recomposed.IsZero() && settled.After(since) {
+	if settled := s.membershipChanged.Add(membershipSettle); !s.membershipChanged.IsZero() && settled.After(since) {
 		since = settled
 	}
 	return Leadership{Since: since, Epoch: s.epoch}, true
@@ -67,5 +67,5 @@
 func (s *State) MembershipChangedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.recomposed
+	return s.membershipChanged
 }
--- a/internal/mesh/counting_test.go
+++ b/internal/mesh/counting_test.go
@@ -67,9 +67,9 @@
 	must.Eq(t, epoch, right.Since)
 
 	later := epoch.Add(time.Second)
-	hosts["a"].Apply([]registry.Change{change(t, hostName("c"), HostRecord{Address: "c:1", Epoch: 1, Broken: true}, 100)}, later)
+	hosts["a"].Apply([]registry.Change{change(t, hostRecordName("c"), HostRecord{Address: "c:1", Epoch: 1, Broken: true}, 100)}, later)
 	beatAll(hosts, later)
 	right, ok = hosts["a"].Leads(key, later)
 	must.True(t, ok)
-	must.Eq(t, later.Add(recomposeSettle), right.Since)
+	must.Eq(t, later.Add(membershipSettle), right.Since)
 }
--- a/internal/mesh/delay.go
+++ b/internal/mesh/delay.go
@@ -17,43 +17,43 @@
 // it wakes from a suspension, or that waited on a full link, keep it from asking the store. It
 // is safe for concurrent use.
 type delays struct {
-	mu   sync.Mutex
-	seen map[string]*fastest
+	mu     sync.Mutex
+	byHost map[string]*offsetWindow
 }
 
-// fastest are the least differences of clocks, of this window and the one before.
-type fastest struct {
-	since          time.Time
-	before, lately time.Duration
+// offsetWindow are the least differences of clocks, of this window and the one before.
+type offsetWindow struct {
+	since             time.Time
+	previous, current time.Duration
 }
 
-// of gives how long a message waited that a host sent by its own clock and that came now, 0
+// estimate gives how long a message waited that a host sent by its own clock and that came now, 0
 // for one that does not say when it was sent.
-func (d *delays) of(host string, sentMS int64, now time.Time) time.Duration {
+func (d *delays) estimate(host string, sentMS int64, now time.Time) time.Duration {
 	if sentMS == 0 {
 		return 0
 	}
 	took := now.Sub(time.UnixMilli(sentMS))
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.seen == nil {
-		d.seen = map[string]*fastest{}
+	if d.byHost == nil {
+		d.byHost = map[string]*offsetWindow{}
 	}
-	f := d.seen[host]
+	f := d.byHost[host]
 	if f == nil || now.Sub(f.since) > 2*delayWindow {
-		f = &fastest{since: now, before: took, lately: took}
-		d.seen[host] = f
+		f = &offsetWindow{since: now, previous: took, current: took}
+		d.byHost[host] = f
 	}
 	if now.Sub(f.since) > delayWindow {
-		f.since, f.before, f.lately = now, f.lately, took
+		f.since, f.previous, f.current = now, f.current, took
 	}
-	f.lately = min(f.lately, took)
-	return took - min(f.before, f.lately)
+	f.current = min(f.current, took)
+	return took - min(f.previous, f.current)
 }
 
 // forget drops what was kept of a host.
 func (d *delays) forget(host string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.seen, host)
+	delete(d.byHost, host)
 }
--- a/internal/mesh/delay_test.go
+++ b/internal/mesh/delay_test.go
@@ -26,13 +26,13 @@
 			}
 			sent := now.Add(offset).UnixMilli()
 			now = now.Add(way + waited)
-			must.Between(t, waited-3*time.Millisecond, d.of("h", sent, now), waited+3*time.Millisecond)
+			must.Between(t, waited-3*time.Millisecond, d.estimate("h", sent, now), waited+3*time.Millisecond)
 			now = now.Add(300 * time.Millisecond)
 		}
 		now = now.Add(3 * delayWindow)
 	}
 	d.forget("h")
-	must.MapEmpty(t, d.seen)
+	must.MapEmpty(t, d.byHost)
 }
 
 // A host wakes from a suspension of three seconds and finds a heartbeat that came at its
@@ -46,15 +46,15 @@
 	replica.Listed([]registry.Record{{Name: "a", Revision: 1, Spec: json.RawMessage("1")}}, registry.Position{Revision: 1})
 	from := peer.Identity{Host: "h1"}
 	beat := func(sent time.Time) {
-		_, err := s.takeBeat(t.Context(), from, Beat{Address: "h1:1", SentMS: sent.UnixMilli(), Known: map[string]Known{"k": {Version: replica.Version()}}})
+		_, err := s.handleHeartbeat(t.Context(), from, Heartbeat{Address: "h1:1", SentMS: sent.UnixMilli(), Known: map[string]KnownVersion{"k": {Version: replica.Version()}}})
 		must.NoError(t, err)
 	}
 	beat(now)
 	now = now.Add(time.Second)
 	beat(now)
-	must.Eq(t, 0, s.spread.age("k"))
+	must.Eq(t, 0, s.freshness.age("k"))
 	sent := now.Add(100 * time.Millisecond)
 	now = now.Add(3100 * time.Millisecond)
 	beat(sent)
-	must.Eq(t, 3*time.Second, s.spread.age("k"))
+	must.Eq(t, 3*time.Second, s.freshness.age("k"))
 }
--- a/internal/mesh/eras_test.go
+++ b/internal/mesh/eras_test.go
@@ -9,7 +9,7 @@
 )
 
 // settles is how long after a new era began all have stopped that act by an earlier one.
-var settles = usual.silence() + eraSpread
+var settles = usual.breakTimeout() + eraPropagation
 
 // The store gives revisions out again: a claim of the new era has a lower one than that of the
 // era before. Its token is higher all the same.
@@ -29,7 +29,7 @@
 	before, ok := a.MayOrder(runnerAddress, epoch)
 	must.True(t, ok)
 	a.BeginEra(1, epoch.Add(time.Second))
-	a.Checked()
+	a.RecordVerified()
 	after, ok := a.MayOrder(runnerAddress, epoch.Add(time.Second))
 	must.True(t, ok)
 	must.Greater(t, before, after)
@@ -45,13 +45,13 @@
 			a := hosts["a"]
 			beatAll(hosts, epoch)
 			a.BeginEra(1, epoch.Add(begins))
-			a.Checked()
+			a.RecordVerified()
 			again := epoch.Add(3 * usual.Lease)
-			a.Promised("b", again)
+			a.PromiseReceived("b", again)
 			_, ok := a.MayOrder(runnerAddress, again)
 			must.False(t, ok)
 			settled := epoch.Add(begins + settles)
-			a.Promised("b", settled)
+			a.PromiseReceived("b", settled)
 			_, ok = a.MayOrder(runnerAddress, settled)
 			must.True(t, ok)
 		})
@@ -66,14 +66,14 @@
 		a := NewState("a", usual, epoch)
 		a.BeginEra(2, epoch)
 		a.Apply([]registry.Change{
-			change(t, hostName("a"), HostRecord{Epoch: 1}, 1),
-			change(t, ownerName(runnerAddress), OwnerRecord{Host: "a", Epoch: 1}, 2),
-			change(t, eraName, EraRecord{Settled: settled}, 3),
+			change(t, hostRecordName("a"), HostRecord{Epoch: 1}, 1),
+			change(t, ownerRecordName(runnerAddress), OwnerRecord{Host: "a", Epoch: 1}, 2),
+			change(t, eraRecordName, EraRecord{Settled: settled}, 3),
 		}, epoch)
 		a.Registered(1, nil, epoch)
 		_, ok := a.MayOrder(runnerAddress, epoch)
 		must.Eq(t, settled == 2, ok)
-		_, due := a.Settles(epoch.Add(settles))
+		_, due := a.EraToSettle(epoch.Add(settles))
 		must.Eq(t, settled < 2, due)
 	}
 }
@@ -84,12 +84,12 @@
 	hosts := newHosts(t, "a", "b")
 	b := hosts["b"]
 	b.Registered(1, []string{"a"}, epoch)
-	must.True(t, b.TakeBeat("a", 0, epoch))
+	must.True(t, b.ReceiveHeartbeat("a", 0, epoch))
 	b.BeginEra(1, epoch)
-	b.Checked()
-	must.False(t, b.TakeBeat("a", 0, epoch))
-	must.True(t, b.TakeBeat("a", 1, epoch))
-	late := epoch.Add(usual.silence() + time.Second)
+	b.RecordVerified()
+	must.False(t, b.ReceiveHeartbeat("a", 0, epoch))
+	must.True(t, b.ReceiveHeartbeat("a", 1, epoch))
+	late := epoch.Add(usual.breakTimeout() + time.Second)
 	must.False(t, b.Vote("a", registry.Position{Revision: 1}, late))
 	must.True(t, b.Vote("a", registry.Position{Era: 1, Revision: 1}, late))
 }
@@ -101,10 +101,10 @@
 	a := hosts["a"]
 	beatAll(hosts, epoch)
 	a.BeginEra(1, epoch)
-	a.Promised("b", epoch.Add(usual.Lease/2))
+	a.PromiseReceived("b", epoch.Add(usual.Lease/2))
 	_, ok := a.MayOrder(runnerAddress, epoch.Add(usual.Lease))
 	must.False(t, ok)
-	_, witnesses, unchecked := a.Unchecked()
+	_, witnesses, unchecked := a.UnverifiedRecord()
 	must.True(t, unchecked)
 	must.Eq(t, []string{"b"}, witnesses)
 }
@@ -114,13 +114,13 @@
 func TestEpochsOnlyGrow(t *testing.T) {
 	a := newHosts(t, "a", "b")["a"]
 	now := epoch.Add(6 * time.Second)
-	a.Apply([]registry.Change{change(t, hostName("a"), HostRecord{Epoch: 1, Broken: true}, 100)}, now)
+	a.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Epoch: 1, Broken: true}, 100)}, now)
 	must.Eq(t, 0, a.Epoch())
 	a.BeginEra(1, now)
 	must.Eq(t, 2, a.NextEpoch(HostRecord{Epoch: 1}))
 	a.Registered(2, nil, now)
 	a.BeginEra(2, now)
-	a.Apply([]registry.Change{change(t, hostName("a"), HostRecord{Epoch: 1, Broken: true}, 40)}, now)
+	a.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Epoch: 1, Broken: true}, 40)}, now)
 	must.Eq(t, 2, a.Epoch())
 	must.Eq(t, 2, a.NextEpoch(HostRecord{Epoch: 1, Broken: true}))
 }
@@ -132,9 +132,9 @@
 	b := newHosts(t, "a", "b", "c")["b"]
 	now := epoch.Add(20 * time.Second)
 	b.Registered(1, []string{"a", "c"}, now)
-	b.Apply([]registry.Change{change(t, hostName("a"), HostRecord{Epoch: 1, Broken: true, Witnesses: []string{"b"}}, 100)}, now)
+	b.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Epoch: 1, Broken: true, Witnesses: []string{"b"}}, 100)}, now)
 	b.BeginEra(1, now)
-	b.Apply([]registry.Change{change(t, hostName("a"), HostRecord{Epoch: 1, Witnesses: []string{"b"}}, 1)}, now)
+	b.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Epoch: 1, Witnesses: []string{"b"}}, 1)}, now)
 	breakable := b.Breakable(now)
 	must.Len(t, 1, breakable)
 	must.Eq(t, "a", breakable[0].Host)
@@ -146,7 +146,7 @@
 func TestClaimsWaitInANewEra(t *testing.T) {
 	a := newHosts(t, "a")["a"]
 	now := epoch.Add(time.Minute)
-	must.True(t, a.Settled(now, joinSettle))
+	must.True(t, a.JoinsSettled(now, joinSettle))
 	a.BeginEra(1, now)
-	must.False(t, a.Settled(now, joinSettle))
+	must.False(t, a.JoinsSettled(now, joinSettle))
 }
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -20,25 +20,25 @@
 	Since uint64       `json:"since,omitempty"`
 	Era   registry.Era `json:"era,omitempty"`
 	Parts []uint64     `json:"parts,omitempty"`
-	// Begun is the ID of the parcel of which the asker has some pieces, 0 without any.
-	Begun uint64 `json:"begun,omitempty"`
+	// PartialID is the ID of the parcel of which the asker has some pieces, 0 without any.
+	PartialID uint64 `json:"begun,omitempty"`
 }
 
 // FetchResult gives the records, or announces them where they are many.
 type FetchResult struct {
 	registry.Snapshot
-	Parcel *Announcement `json:"parcel,omitempty"`
+	Archive *Announcement `json:"parcel,omitempty"`
 }
 
-// pursue fetches a kind of record until no host is known that has more, from one source
+// fetchUntilCurrent fetches a kind of record until no host is known that has more, from one source
 // after the other.
 //
 // Tied to one source, a host whose source froze waited out a second, and then until it was
 // told again, before it asked another.
-func (s *Service) pursue(kind string) {
-	var left unfinished
+func (s *Service) fetchUntilCurrent(kind string) {
+	var left partialArchive
 	for {
-		source, ok := s.spread.nextSource(kind)
+		source, ok := s.freshness.nextSource(kind)
 		if !ok {
 			return
 		}
@@ -46,7 +46,7 @@
 	}
 }
 
-func (s *Service) fetchFrom(address, kind string, left *unfinished) {
+func (s *Service) fetchFrom(address, kind string, left *partialArchive) {
 	replica := s.Kinds[kind]
 	before := replica.Version()
 	begun := s.Now()
@@ -54,7 +54,7 @@
 	if errors.Is(err, errIncomplete) {
 		err = s.fetchParts(address, kind, left)
 	}
-	s.tellFetch(kind, address, before, s.Now().Sub(begun), err)
+	s.logFetch(kind, address, before, s.Now().Sub(begun), err)
 	if before.Before(replica.Position()) {
 		s.HeartbeatNow()
 	}
@@ -64,13 +64,13 @@
 // a line about it is worth its bytes.
 const slowFetch = 100 * time.Millisecond
 
-// tellFetch logs what became of a fetch: failures and what took long, and the rest where
+// logFetch logs what became of a fetch: failures and what took long, and the rest where
 // everything is logged. Records change several times a second in a busy fleet.
-func (s *Service) tellFetch(kind, address string, before registry.Version, took time.Duration, err error) {
-	behind, _ := s.spread.behind(kind)
+func (s *Service) logFetch(kind, address string, before registry.Version, took time.Duration, err error) {
+	behind, _ := s.freshness.behind(kind)
 	line := []any{
 		"kind", kind, "address", address, "took_ms", took.Milliseconds(), "behind_ms", behind.Milliseconds(),
-		"from_revision", before.Revision, "revision", s.Kinds[kind].Revision(), "age_ms", s.spread.age(kind).Milliseconds(),
+		"from_revision", before.Revision, "revision", s.Kinds[kind].Revision(), "age_ms", s.freshness.age(kind).Milliseconds(),
 	}
 	s.fetches.Add(1)
 	if err != nil {
@@ -89,7 +89,7 @@
 var errIncomplete = errors.New("the changes that the peer knows are not all that differs")
 
 // fetchChanges fetches what changed since this host knew all.
-func (s *Service) fetchChanges(address, kind string, left *unfinished) error {
+func (s *Service) fetchChanges(address, kind string, left *partialArchive) error {
 	replica := s.Kinds[kind]
 	before := replica.Version()
 	if before.Revision == 0 {
@@ -106,7 +106,7 @@
 }
 
 // fetchParts fetches the parts that differ.
-func (s *Service) fetchParts(address, kind string, left *unfinished) error {
+func (s *Service) fetchParts(address, kind string, left *partialArchive) error {
 	replica := s.Kinds[kind]
 	parts, before := replica.Parts()
 	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Parts: parts}, left)
@@ -120,22 +120,22 @@
 }
 
 // fetchSnapshot asks a host and fetches the pieces of what it announces.
-func (s *Service) fetchSnapshot(address string, params FetchParams, left *unfinished) (registry.Snapshot, error) {
+func (s *Service) fetchSnapshot(address string, params FetchParams, left *partialArchive) (registry.Snapshot, error) {
 	var result FetchResult
-	params.Begun = left.parcel.ID
+	params.PartialID = left.archive.ID
 	if err := s.callSource(address, methodFetch, params, &result); err != nil {
 		return registry.Snapshot{}, err
 	}
-	if result.Parcel == nil {
+	if result.Archive == nil {
 		return result.Snapshot, nil
 	}
-	left.begin(*result.Parcel)
+	left.start(*result.Archive)
 	if len(left.data) == 0 {
-		left.data = result.Parcel.First
+		left.data = result.Archive.First
 	}
-	for !left.whole() {
+	for !left.complete() {
 		var piece PieceResult
-		if err := s.callSource(address, methodPiece, left.next(), &piece); err != nil {
+		if err := s.callSource(address, methodPiece, left.nextPiece(), &piece); err != nil {
 			return registry.Snapshot{}, err
 		}
 		if err := left.add(piece.Data); err != nil {
@@ -143,7 +143,7 @@
 		}
 	}
 	records, err := inflate(left.data)
-	*left = unfinished{}
+	*left = partialArchive{}
 	result.Snapshot.Records = records
 	return result.Snapshot, err
 }
@@ -154,25 +154,27 @@
 	return s.Pool.Call(ctx, address, method, params, result)
 }
 
-// unfinished is what a fetch has of a parcel. It outlives a source that fails: what has
+// partialArchive is what a fetch has of a parcel. It outlives a source that fails: what has
 // come over a thin link is not sent again.
-type unfinished struct {
-	parcel Parcel
-	data   []byte
+type partialArchive struct {
+	archive Archive
+	data    []byte
 }
 
-// begin goes on with a parcel, or begins another one.
-func (u *unfinished) begin(announced Announcement) {
-	if u.parcel != announced.Parcel {
-		*u = unfinished{parcel: announced.Parcel}
+// start goes on with a parcel, or begins another one.
+func (u *partialArchive) start(announced Announcement) {
+	if u.archive != announced.Archive {
+		*u = partialArchive{archive: announced.Archive}
 	}
 }
 
-func (u *unfinished) whole() bool { return len(u.data) >= u.parcel.Bytes }
+func (u *partialArchive) complete() bool { return len(u.data) >= u.archive.Bytes }
 
-func (u *unfinished) next() PieceParams { return PieceParams{ID: u.parcel.ID, Offset: len(u.data)} }
+func (u *partialArchive) nextPiece() PieceParams {
+	return PieceParams{ID: u.archive.ID, Offset: len(u.data)}
+}
 
-func (u *unfinished) add(data []byte) error {
+func (u *partialArchive) add(data []byte) error {
 	if len(data) == 0 {
 		return errors.New("the peer gave an empty piece")
 	}
@@ -180,7 +182,7 @@
 	return nil
 }
 
-func (s *Service) fetch(_ context.Context, _ peer.Identity, params FetchParams) (FetchResult, error) {
+func (s *Service) handleFetch(_ context.Context, _ peer.Identity, params FetchParams) (FetchResult, error) {
 	replica := s.Kinds[params.Kind]
 	if replica == nil {
 		return FetchResult{}, peer.Refuse(errors.Errorf("no records of kind %q are kept", params.Kind))
@@ -192,19 +194,19 @@
 		// Where the changes are not all known the asker hears so and asks for parts.
 		snapshot, _ = replica.ChangedSince(registry.Position{Era: params.Era, Revision: params.Since})
 	}
-	if !large(snapshot.Records) {
+	if !exceedsInline(snapshot.Records) {
 		return FetchResult{Snapshot: snapshot}, nil
 	}
-	parcel, err := s.parcels.announce(params.Kind, snapshot.Records, params.Begun)
+	parcel, err := s.archives.announce(params.Kind, snapshot.Records, params.PartialID)
 	if err != nil {
 		return FetchResult{}, peer.Refuse(err)
 	}
 	snapshot.Records = nil
-	return FetchResult{Snapshot: snapshot, Parcel: parcel}, nil
+	return FetchResult{Snapshot: snapshot, Archive: parcel}, nil
 }
 
-func (s *Service) piece(_ context.Context, _ peer.Identity, params PieceParams) (PieceResult, error) {
-	data, ok := s.parcels.piece(params)
+func (s *Service) handlePiece(_ context.Context, _ peer.Identity, params PieceParams) (PieceResult, error) {
+	data, ok := s.archives.piece(params)
 	if !ok {
 		return PieceResult{}, peer.Refuse(errors.New("no such piece is kept"))
 	}
--- a/internal/mesh/fetch_test.go
+++ b/internal/mesh/fetch_test.go
@@ -106,7 +106,7 @@
 
 // tell has a host hear what another one knows.
 func (m *meshes) tell(to, from string) {
-	m.all[to].learn(from, from+":1", m.all[from].spread.known(), nil, time.Now())
+	m.all[to].learn(from, from+":1", m.all[from].freshness.known(), nil, time.Now())
 }
 
 func (m *meshes) revision(host string) uint64 { return m.all[host].Kinds["k"].Revision() }
@@ -164,7 +164,7 @@
 		m.net.Links.Limit("source", 10)
 		const size = 1_000_000
 		m.change(size, "source")
-		for end := time.Now().Add(14 * time.Second); time.Now().Before(end); time.Sleep(largeBeatInterval) {
+		for end := time.Now().Add(14 * time.Second); time.Now().Before(end); time.Sleep(largeFleetInterval) {
 			for _, host := range hosts[1:] {
 				m.tell(host, "source")
 			}
@@ -213,15 +213,15 @@
 			must.NoError(t, err)
 			records = append(records, registry.Record{Name: fmt.Sprint(i), Revision: uint64(i + 1), Spec: spec})
 		}
-		one, other := parcels{now: time.Now}, parcels{now: time.Now}
+		one, other := archiveCache{now: time.Now}, archiveCache{now: time.Now}
 		parcel, err := one.pack("k", records)
 		must.NoError(t, err)
 		same, err := other.pack("k", records)
 		must.NoError(t, err)
 		must.Eq(t, parcel, same)
-		left := unfinished{parcel: parcel}
-		for !left.whole() {
-			data, ok := one.piece(left.next())
+		left := partialArchive{archive: parcel}
+		for !left.complete() {
+			data, ok := one.piece(left.nextPiece())
 			must.True(t, ok)
 			must.NoError(t, left.add(data))
 		}
@@ -240,28 +240,28 @@
 // What is kept packed stays bounded, and hosts that ask for what is no longer kept are told.
 func TestParcelsAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := parcels{now: func() time.Time { return now }}
+	p := archiveCache{now: func() time.Time { return now }}
 	first, err := p.pack("k", []registry.Record{largeRecord(1, 100)})
 	must.NoError(t, err)
-	for i := range 3 * maxParcels {
+	for i := range 3 * maxArchives {
 		now = now.Add(time.Millisecond)
 		_, err := p.pack("k", []registry.Record{largeRecord(uint64(i+2), 100)})
 		must.NoError(t, err)
 	}
-	must.Eq(t, maxParcels, len(p.kept))
+	must.Eq(t, maxArchives, len(p.archives))
 	for i := range 5 {
 		now = now.Add(time.Millisecond)
 		_, err := p.pack("k", []registry.Record{largeRecord(uint64(1000+i), 1_000_000)})
 		must.NoError(t, err)
 	}
-	must.Eq(t, 2, len(p.kept))
+	must.Eq(t, 2, len(p.archives))
 	_, ok := p.piece(PieceParams{ID: first.ID})
 	must.False(t, ok)
-	now = now.Add(parcelLife + time.Second)
+	now = now.Add(archiveRetention + time.Second)
 	_, err = p.pack("k", nil)
 	must.NoError(t, err)
-	must.Eq(t, 1, len(p.kept))
-	_, ok = p.piece(PieceParams{ID: p.kept[0].id, Offset: -1})
+	must.Eq(t, 1, len(p.archives))
+	_, ok = p.piece(PieceParams{ID: p.archives[0].id, Offset: -1})
 	must.False(t, ok)
 }
 
--- a/internal/mesh/join.go
+++ b/internal/mesh/join.go
@@ -9,47 +9,47 @@
 )
 
 const (
-	// uninformed is how long nobody may tell a host anything before it asks. It is
+	// silenceBeforeQuery is how long nobody may tell a host anything before it asks. It is
 	// as long as two heartbeats and leaves half of a configuration's two seconds.
-	uninformed = 900 * time.Millisecond
-	// askInterval is the least time between two such questions, some 0.5 KB each.
-	askInterval = 400 * time.Millisecond
+	silenceBeforeQuery = 900 * time.Millisecond
+	// queryInterval is the least time between two such questions, some 0.5 KB each.
+	queryInterval = 400 * time.Millisecond
 )
 
 // KnownResult tells what a host knows of each kind of record.
 type KnownResult struct {
-	Known map[string]Known `json:"known"`
+	Known map[string]KnownVersion `json:"known"`
 }
 
-func (s *Service) known(context.Context, peer.Identity, struct{}) (KnownResult, error) {
-	return KnownResult{Known: s.spread.known()}, nil
+func (s *Service) handleKnown(context.Context, peer.Identity, struct{}) (KnownResult, error) {
+	return KnownResult{Known: s.freshness.known()}, nil
 }
 
-// askAround asks a host for what it knows while nobody tells this host anything.
+// queryPeers asks a host for what it knows while nobody tells this host anything.
 //
 // The failure it answers: a process starts while the store is down or turns its
 // host away. It knows no other host, nobody sends it heartbeats since its record
 // is not there, and it turned all callers away until the store came back, eight
 // seconds on a bad day. The settings name hosts to begin with, and what those know
 // is as good as the store's word: replicas never go back.
-func (s *Service) askAround(ctx context.Context) {
+func (s *Service) queryPeers(ctx context.Context) {
 	now := s.Now()
-	if now.Sub(s.started) < askInterval || now.Sub(s.askedAt) < askInterval || s.spread.silence() < uninformed {
+	if now.Sub(s.started) < queryInterval || now.Sub(s.queriedAt) < queryInterval || s.freshness.silence() < silenceBeforeQuery {
 		return
 	}
-	s.askedAt = now
-	candidates := s.addresses()
+	s.queriedAt = now
+	candidates := s.queryCandidates()
 	if len(candidates) == 0 {
 		return
 	}
-	if s.asks == 0 {
-		s.asks = rand.IntN(len(candidates))
+	if s.queries == 0 {
+		s.queries = rand.IntN(len(candidates))
 	}
 	// In turn: drawn anew each time, a host that is gone was asked three times in a
 	// row by one process in eight, which then did not serve for a second more.
-	address := candidates[s.asks%len(candidates)]
-	s.asks++
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+	address := candidates[s.queries%len(candidates)]
+	s.queries++
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	sent := s.Now()
 	var answer KnownResult
@@ -60,9 +60,9 @@
 	s.learn("", address, answer.Known, nil, sent)
 }
 
-// addresses gives the other hosts that can be asked: those that are known, or
+// queryCandidates gives the other hosts that can be asked: those that are known, or
 // else those that the settings name.
-func (s *Service) addresses() []string {
+func (s *Service) queryCandidates() []string {
 	var known []string
 	for _, host := range s.State.Members() {
 		if address, ok := s.State.AddressOf(host); ok && address != s.Address {
@@ -81,30 +81,30 @@
 }
 
 const (
-	// watcherPause is the longest pause after a failed call to the store of a host
+	// watcherRetryPause is the longest pause after a failed call to the store of a host
 	// that others rely on, or that hears no other host.
-	watcherPause = 500 * time.Millisecond
-	// patientPause is that of a host that hears others, in a fleet of up to
+	watcherRetryPause = 500 * time.Millisecond
+	// followerRetryPause is that of a host that hears others, in a fleet of up to
 	// patientFleet hosts; in a larger one it grows with the fleet, so that as
 	// many ask in all: one outage would otherwise cost a large fleet most of a day's calls.
-	patientPause = 3 * time.Second
-	patientFleet = 20
-	// heardLately is how long a host counts as hearing others.
-	heardLately = 1200 * time.Millisecond
-	// turnStep is the time between two turns to ask the store in place of hosts that
+	followerRetryPause = 3 * time.Second
+	followerPauseFleet = 20
+	// contactTimeout is how long a host counts as hearing others.
+	contactTimeout = 1200 * time.Millisecond
+	// fallbackStep is the time between two turns to ask the store in place of hosts that
 	// watch. What one learns reaches the hosts that it tells, and those that they tell,
 	// within two steps.
-	turnStep = 40 * time.Millisecond
-	// behindPatience is how long a host that knows of more than it has leaves it to other
+	fallbackStep = 40 * time.Millisecond
+	// behindTimeout is how long a host that knows of more than it has leaves it to other
 	// hosts to give it that.
-	behindPatience = 400 * time.Millisecond
+	behindTimeout = 400 * time.Millisecond
 )
 
 // MaxRetryPause gives the longest pause after a failed call to the store for a kind of
 // record.
 func (s *Service) MaxRetryPause(kind string) time.Duration {
-	if s.State.Watcher(kind) || s.spread.silence() > heardLately {
-		return watcherPause
+	if s.State.IsWatcher(kind) || s.freshness.silence() > contactTimeout {
+		return watcherRetryPause
 	}
-	return patientPause * time.Duration(max(patientFleet, s.State.Size())) / patientFleet
+	return followerRetryPause * time.Duration(max(followerPauseFleet, s.State.Size())) / followerPauseFleet
 }
--- a/internal/mesh/join_test.go
+++ b/internal/mesh/join_test.go
@@ -20,7 +20,7 @@
 	}
 	var records []registry.Change
 	for i, name := range names {
-		records = append(records, change(panics{}, hostName(name), HostRecord{Epoch: 1, Address: name + ":1"}, uint64(i+1)))
+		records = append(records, change(panics{}, hostRecordName(name), HostRecord{Epoch: 1, Address: name + ":1"}, uint64(i+1)))
 	}
 	services := make([]*Service, 0, size)
 	for _, name := range names {
@@ -31,7 +31,7 @@
 		})
 		s.State.Apply(records, now())
 		s.Confirmed("k", now())
-		s.spread.heardAt = now()
+		s.freshness.lastContact = now()
 		services = append(services, s)
 	}
 	return services
@@ -47,7 +47,7 @@
 func due(services []*Service, after time.Duration) int {
 	count := 0
 	for _, s := range services {
-		if !s.State.Watcher("k") && s.WatchDelay("k", time.Second) <= after {
+		if !s.State.IsWatcher("k") && s.WatchDelay("k", time.Second) <= after {
 			count++
 		}
 	}
@@ -64,11 +64,11 @@
 		services := fleetOf(size, func() time.Time { return now })
 		must.Eq(t, 0, due(services, time.Second-time.Millisecond))
 		asked := 0
-		for turn := range lastTurn(size) {
-			asked = min(size-watchers, asked+watchers<<turn)
-			must.Eq(t, asked, due(services, time.Second+time.Duration(turn)*turnStep), must.Sprintf("%d hosts, turn %d", size, turn))
+		for turn := range lastFallbackTurn(size) {
+			asked = min(size-watchersPerKind, asked+watchersPerKind<<turn)
+			must.Eq(t, asked, due(services, time.Second+time.Duration(turn)*fallbackStep), must.Sprintf("%d hosts, turn %d", size, turn))
 		}
-		must.Eq(t, size-watchers, asked)
+		must.Eq(t, size-watchersPerKind, asked)
 	}
 }
 
@@ -77,9 +77,9 @@
 func TestDueAlone(t *testing.T) {
 	now := time.Unix(1000, 0)
 	services := fleetOf(88, func() time.Time { return now })
-	now = now.Add(heardLately + time.Millisecond)
+	now = now.Add(contactTimeout + time.Millisecond)
 	must.Eq(t, 86, due(services, 0))
-	must.Eq(t, watcherPause, services[0].MaxRetryPause("k"))
+	must.Eq(t, watcherRetryPause, services[0].MaxRetryPause("k"))
 }
 
 // Others told a host of a change and do not give it to it, since they freeze or their links
@@ -88,14 +88,14 @@
 	now := time.Unix(1000, 0)
 	s := fleetOf(88, func() time.Time { return now })[0]
 	for _, other := range fleetOf(88, func() time.Time { return now }) {
-		if other.State.Turn("k") > 1 {
+		if other.State.FallbackTurn("k") > 1 {
 			s = other
 		}
 	}
-	must.Positive(t, s.WatchDelay("k", time.Second)-behindPatience)
-	s.spread.learn("other:1", map[string]Known{"k": {Version: registry.Version{Position: registry.Position{Revision: 7}, Digest: 7}}}, now)
-	must.Eq(t, behindPatience, s.WatchDelay("k", time.Second))
-	now = now.Add(behindPatience)
+	must.Positive(t, s.WatchDelay("k", time.Second)-behindTimeout)
+	s.freshness.learn("other:1", map[string]KnownVersion{"k": {Version: registry.Version{Position: registry.Position{Revision: 7}, Digest: 7}}}, now)
+	must.Eq(t, behindTimeout, s.WatchDelay("k", time.Second))
+	now = now.Add(behindTimeout)
 	must.Eq(t, 0, s.WatchDelay("k", time.Second))
 	s.Kinds["k"].Changed([]registry.Change{{Record: registry.Record{Name: "a", Revision: 7}}}, registry.Position{Revision: 7})
 	must.Positive(t, s.WatchDelay("k", time.Second))
@@ -110,8 +110,8 @@
 		want  time.Duration
 	}{{7, 3 * time.Second}, {20, 3 * time.Second}, {88, 13200 * time.Millisecond}} {
 		for _, s := range fleetOf(test.hosts, func() time.Time { return now }) {
-			if s.State.Watcher("k") {
-				must.Eq(t, watcherPause, s.MaxRetryPause("k"))
+			if s.State.IsWatcher("k") {
+				must.Eq(t, watcherRetryPause, s.MaxRetryPause("k"))
 				continue
 			}
 			must.Eq(t, test.want, s.MaxRetryPause("k"))
--- a/internal/mesh/membership.go
+++ b/internal/mesh/membership.go
@@ -17,21 +17,21 @@
 // bursts during which its callers waited.
 type membership struct {
 	// hosts are those in force, sorted.
-	hosts    []string
-	byCentre map[string][]string
+	hosts        []string
+	byDataCentre map[string][]string
 	// ranked are the hosts in the order in which they look after a kind of record.
 	ranked map[string][]string
-	// firsts are the hosts that come first for keys that were asked for.
-	firsts map[string]string
+	// leaders are the hosts that come first for keys that were asked for.
+	leaders map[string]string
 }
 
-// inForce gives the present membership; the lock is held. Its slices are shared and
+// currentMembership gives the present membership; the lock is held. Its slices are shared and
 // must not be changed.
-func (s *State) inForce() *membership {
+func (s *State) currentMembership() *membership {
 	if s.membership != nil {
 		return s.membership
 	}
-	m := &membership{byCentre: map[string][]string{}, ranked: map[string][]string{}, firsts: map[string]string{}}
+	m := &membership{byDataCentre: map[string][]string{}, ranked: map[string][]string{}, leaders: map[string]string{}}
 	for host, member := range s.members {
 		if !member.Broken {
 			m.hosts = append(m.hosts, host)
@@ -40,15 +40,15 @@
 	slices.Sort(m.hosts)
 	for _, host := range m.hosts {
 		centre := s.members[host].DataCentre
-		m.byCentre[centre] = append(m.byCentre[centre], host)
+		m.byDataCentre[centre] = append(m.byDataCentre[centre], host)
 	}
 	s.membership = m
 	return m
 }
 
-// near gives the hosts of a data centre, or all if it has none.
-func (m *membership) near(centre string) []string {
-	if near := m.byCentre[centre]; len(near) > 0 {
+// hostsNear gives the hosts of a data centre, or all if it has none.
+func (m *membership) hostsNear(centre string) []string {
+	if near := m.byDataCentre[centre]; len(near) > 0 {
 		return near
 	}
 	return m.hosts
@@ -59,34 +59,34 @@
 	return slices.DeleteFunc(slices.Clone(m.hosts), func(other string) bool { return other == host })
 }
 
-// watchers is the number of hosts that watch a kind of record: one may be dead,
+// watchersPerKind is the number of hosts that watch a kind of record: one may be dead,
 // cut off or deaf without the others noticing a delay.
-const watchers = 2
+const watchersPerKind = 2
 
-// turnOf gives a host's turn to ask the store for a kind of record: 0 for those that watch,
+// fallbackTurn gives a host's turn to ask the store for a kind of record: 0 for those that watch,
 // 1 for as many after them, and each time for twice as many. Of n hosts the last turn is
 // the binary logarithm of n or less, and that of a host that is not in force is the last.
-func (m *membership) turnOf(kind, host string) int {
+func (m *membership) fallbackTurn(kind, host string) int {
 	ranked := m.rankedFor(kind)
 	rank := slices.Index(ranked, host)
 	if rank < 0 {
-		rank = max(len(ranked), watchers)
+		rank = max(len(ranked), watchersPerKind)
 	}
-	return bits.Len(uint(rank / watchers))
+	return bits.Len(uint(rank / watchersPerKind))
 }
 
-// lastTurn gives the last of the turns in which the hosts of a fleet ask the store in place
+// lastFallbackTurn gives the last of the turns in which the hosts of a fleet ask the store in place
 // of those that watch; the first one comes at once.
-func lastTurn(hosts int) int { return bits.Len(uint((hosts - 1) / watchers)) }
+func lastFallbackTurn(hosts int) int { return bits.Len(uint((hosts - 1) / watchersPerKind)) }
 
 // MaxFallbackDelay gives for how long the last host of a fleet waits for its turn to ask the store.
-func MaxFallbackDelay(hosts int) time.Duration { return waitForTurn(lastTurn(hosts)) }
+func MaxFallbackDelay(hosts int) time.Duration { return fallbackDelay(lastFallbackTurn(hosts)) }
 
-func waitForTurn(turn int) time.Duration { return time.Duration(turn-1) * turnStep }
+func fallbackDelay(turn int) time.Duration { return time.Duration(turn-1) * fallbackStep }
 
 func (m *membership) watchersOf(kind string) []string {
 	ranked := m.rankedFor(kind)
-	return ranked[:min(len(ranked), watchers)]
+	return ranked[:min(len(ranked), watchersPerKind)]
 }
 
 // rankedFor gives the hosts in the order in which they look after a kind of record.
--- a/internal/mesh/membership_test.go
+++ b/internal/mesh/membership_test.go
@@ -25,15 +25,15 @@
 			witnesses = append(witnesses, names[(i+1+7*w)%size])
 		}
 		record := HostRecord{Address: name + ":1", DataCentre: fmt.Sprintf("hall-%d", i%5), Epoch: 1, Witnesses: witnesses}
-		s.apply(change(t, hostName(name), record, uint64(i+1)), epoch)
+		s.applyChange(change(t, hostRecordName(name), record, uint64(i+1)), epoch)
 		if i == 0 {
 			s.Registered(1, witnesses, epoch)
 		}
 	}
 	now := epoch.Add(time.Minute)
 	for _, name := range names {
-		s.TakeBeat(name, 0, now)
-		s.Promised(name, now)
+		s.ReceiveHeartbeat(name, 0, now)
+		s.PromiseReceived(name, now)
 	}
 	return s, now
 }
@@ -47,10 +47,10 @@
 	s, now := inLargeFleet(t, 460)
 	look := func() {
 		must.SliceEmpty(t, s.Breakable(now))
-		must.SliceEmpty(t, s.Dead(now, deadRecordAge))
-		s.Watcher("config")
+		must.SliceEmpty(t, s.RemovableRecords(now, deadRecordRetention))
+		s.IsWatcher("config")
 		must.Eq(t, 460, s.Size())
-		_, others := s.Choose(now)
+		_, others := s.ChooseWitnesses(now)
 		must.False(t, others)
 	}
 	look()
@@ -63,20 +63,20 @@
 func TestMembershipFollowsTheRecords(t *testing.T) {
 	s, now := inLargeFleet(t, 3)
 	set := func(record HostRecord, revision uint64) {
-		s.Apply([]registry.Change{change(t, hostName("host-009"), record, revision)}, now)
+		s.Apply([]registry.Change{change(t, hostRecordName("host-009"), record, revision)}, now)
 	}
 	must.Eq(t, 3, s.Size())
 	set(HostRecord{Epoch: 1, DataCentre: "hall-9"}, 10)
 	must.Eq(t, []string{"host-000", "host-001", "host-002", "host-009"}, s.Members())
-	must.Eq(t, []string{"host-009"}, s.inForce().near("hall-9"))
+	must.Eq(t, []string{"host-009"}, s.currentMembership().hostsNear("hall-9"))
 	set(HostRecord{Epoch: 1, DataCentre: "hall-1"}, 11)
-	must.Eq(t, []string{"host-001", "host-009"}, s.inForce().near("hall-1"))
-	must.Eq(t, 4, len(s.inForce().near("hall-9")), must.Sprint("all serve where a data centre has no host"))
+	must.Eq(t, []string{"host-001", "host-009"}, s.currentMembership().hostsNear("hall-1"))
+	must.Eq(t, 4, len(s.currentMembership().hostsNear("hall-9")), must.Sprint("all serve where a data centre has no host"))
 	set(HostRecord{Epoch: 1, DataCentre: "hall-1", Broken: true}, 12)
 	must.False(t, slices.Contains(s.Members(), "host-009"))
 	set(HostRecord{Epoch: 2, DataCentre: "hall-1"}, 13)
 	must.True(t, slices.Contains(s.Members(), "host-009"))
-	removed := change(t, hostName("host-009"), HostRecord{}, 14)
+	removed := change(t, hostRecordName("host-009"), HostRecord{}, 14)
 	removed.Removed = true
 	s.Apply([]registry.Change{removed}, now)
 	must.Eq(t, 3, s.Size())
--- a/internal/mesh/parcels.go
+++ b/internal/mesh/parcels.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	// inlineBytes is the size of records up to which they are sent as they are. A message
+	// maxInlineBytes is the size of records up to which they are sent as they are. A message
 	// of this size takes 7 ms of a link of 10 Mbit/s.
-	inlineBytes = 8 << 10
+	maxInlineBytes = 8 << 10
 	// pieceBytes is the size of a piece, 18 ms of a link of 10 Mbit/s as it is sent: what
 	// waits behind it on the link, heartbeats among it, keeps its own time limit.
 	pieceBytes = 16 << 10
-	// maxParcels, maxParcelBytes and parcelLife bound what is kept packed for hosts that
+	// maxArchives, maxParcelBytes and parcelLife bound what is kept packed for hosts that
 	// fetch it: a parcel for each of those that hear of a change from this host, who may each
 	// lack something else.
-	maxParcels     = 32
-	maxParcelBytes = 2 << 20
-	parcelLife     = 10 * time.Second
+	maxArchives      = 32
+	maxArchiveBytes  = 2 << 20
+	archiveRetention = 10 * time.Second
 	// maxUnpackedBytes bounds what a host makes of another's parcel.
 	maxUnpackedBytes = 64 << 20
 )
 
-// Parcel announces records that are fetched in pieces.
-type Parcel struct {
+// Archive announces records that are fetched in pieces.
+type Archive struct {
 	// ID names the packed bytes: two hosts that hold the same records give the same bytes
 	// under the same ID, so that a fetch that one of them left unfinished goes on at the
 	// other.
@@ -46,7 +46,7 @@
 // Announcement is a parcel with its first piece, which is left out for a host that has begun
 // to fetch the parcel.
 type Announcement struct {
-	Parcel
+	Archive
 	First []byte `json:"first,omitempty"`
 }
 
@@ -61,16 +61,16 @@
 	Data []byte `json:"data"`
 }
 
-// parcels keeps packed records for the hosts that fetch them. It is safe for concurrent
+// archiveCache keeps packed records for the hosts that fetch them. It is safe for concurrent
 // use.
-type parcels struct {
+type archiveCache struct {
 	now func() time.Time
 
-	mu   sync.Mutex
-	kept []*packed
+	mu       sync.Mutex
+	archives []*cachedArchive
 }
 
-type packed struct {
+type cachedArchive struct {
 	id   uint64
 	used time.Time
 	// size is that of data once it is packed, and is the parcels' to set.
@@ -80,62 +80,62 @@
 	err  error
 }
 
-// large says whether records are too many to be sent as they are.
-func large(records []registry.Record) bool {
+// exceedsInline says whether records are too many to be sent as they are.
+func exceedsInline(records []registry.Record) bool {
 	bytes := 0
 	for _, record := range records {
 		bytes += len(record.Name) + len(record.Spec)
 	}
-	return bytes > inlineBytes
+	return bytes > maxInlineBytes
 }
 
 // pack keeps records and announces them.
-func (p *parcels) pack(kind string, records []registry.Record) (Parcel, error) {
+func (p *archiveCache) pack(kind string, records []registry.Record) (Archive, error) {
 	slices.SortFunc(records, func(a, b registry.Record) int { return cmp.Compare(a.Name, b.Name) })
-	parcel := p.keep(parcelID(kind, records))
+	parcel := p.getOrAdd(archiveID(kind, records))
 	parcel.once.Do(func() { parcel.data, parcel.err = deflate(records) })
-	p.bound(parcel)
-	return Parcel{ID: parcel.id, Bytes: len(parcel.data)}, parcel.err
+	p.evict(parcel)
+	return Archive{ID: parcel.id, Bytes: len(parcel.data)}, parcel.err
 }
 
 // announce packs records for a host that has begun to fetch the parcel with an ID, 0 for one
 // that has not.
-func (p *parcels) announce(kind string, records []registry.Record, begun uint64) (*Announcement, error) {
+func (p *archiveCache) announce(kind string, records []registry.Record, begun uint64) (*Announcement, error) {
 	parcel, err := p.pack(kind, records)
 	if err != nil {
 		return nil, err
 	}
-	announced := &Announcement{Parcel: parcel}
+	announced := &Announcement{Archive: parcel}
 	if parcel.ID != begun {
 		announced.First, _ = p.piece(PieceParams{ID: parcel.ID})
 	}
 	return announced, nil
 }
 
-// bound drops the parcels that were asked for longest ago, but not the one given.
-func (p *parcels) bound(latest *packed) {
+// evict drops the parcels that were asked for longest ago, but not the one given.
+func (p *archiveCache) evict(latest *cachedArchive) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	bytes := 0
-	for _, kept := range p.kept {
+	for _, kept := range p.archives {
 		bytes += kept.size
 	}
 	if latest.size == 0 {
 		latest.size = len(latest.data)
 		bytes += latest.size
 	}
-	for len(p.kept) > maxParcels || bytes > maxParcelBytes {
-		oldest := slices.MinFunc(p.kept, func(a, b *packed) int { return a.used.Compare(b.used) })
+	for len(p.archives) > maxArchives || bytes > maxArchiveBytes {
+		oldest := slices.MinFunc(p.archives, func(a, b *cachedArchive) int { return a.used.Compare(b.used) })
 		if oldest == latest {
 			return
 		}
 		bytes -= oldest.size
-		p.kept = slices.DeleteFunc(p.kept, func(kept *packed) bool { return kept == oldest })
+		p.archives = slices.DeleteFunc(p.archives, func(kept *cachedArchive) bool { return kept == oldest })
 	}
 }
 
-// parcelID tells records apart by all that is packed of them.
-func parcelID(kind string, records []registry.Record) uint64 {
+// archiveID tells records apart by all that is packed of them.
+func archiveID(kind string, records []registry.Record) uint64 {
 	digest := xxhash.New()
 	_, _ = fmt.Fprint(digest, kind)
 	for _, record := range records {
@@ -145,23 +145,23 @@
 	return digest.Sum64()
 }
 
-// keep gives the parcel with an ID, a new one where there is none.
-func (p *parcels) keep(id uint64) *packed {
+// getOrAdd gives the parcel with an ID, a new one where there is none.
+func (p *archiveCache) getOrAdd(id uint64) *cachedArchive {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if parcel := p.find(id); parcel != nil {
+	if parcel := p.lookup(id); parcel != nil {
 		return parcel
 	}
-	parcel := &packed{id: id, used: p.now()}
-	p.kept = append(p.kept, parcel)
+	parcel := &cachedArchive{id: id, used: p.now()}
+	p.archives = append(p.archives, parcel)
 	return parcel
 }
 
-// find gives a parcel, and drops those that nobody has asked for lately; the lock is held.
-func (p *parcels) find(id uint64) *packed {
+// lookup gives a parcel, and drops those that nobody has asked for lately; the lock is held.
+func (p *archiveCache) lookup(id uint64) *cachedArchive {
 	now := p.now()
-	p.kept = slices.DeleteFunc(p.kept, func(kept *packed) bool { return now.Sub(kept.used) > parcelLife })
-	for _, kept := range p.kept {
+	p.archives = slices.DeleteFunc(p.archives, func(kept *cachedArchive) bool { return now.Sub(kept.used) > archiveRetention })
+	for _, kept := range p.archives {
 		if kept.id == id {
 			kept.used = now
 			return kept
@@ -171,9 +171,9 @@
 }
 
 // piece gives a piece of a parcel, and whether the parcel is kept.
-func (p *parcels) piece(params PieceParams) ([]byte, bool) {
+func (p *archiveCache) piece(params PieceParams) ([]byte, bool) {
 	p.mu.Lock()
-	parcel := p.find(params.ID)
+	parcel := p.lookup(params.ID)
 	p.mu.Unlock()
 	if parcel == nil || params.Offset < 0 || params.Offset > len(parcel.data) {
 		return nil, false
--- a/internal/mesh/records.go
+++ b/internal/mesh/records.go
@@ -39,11 +39,13 @@
 	Epoch int64  `json:"epoch"`
 }
 
-func hostName(host string) string { return hostPrefix + host }
+func hostRecordName(host string) string { return hostPrefix + host }
 
-// ownerName is keyed by address: a runner that restarts keeps its owner, so
+// ownerRecordName is keyed by address: a runner that restarts keeps its owner, so
 // that no second host gives orders to the same runner at that moment.
-func ownerName(address string) string { return ownerPrefix + strings.ReplaceAll(address, ":", "-") }
+func ownerRecordName(address string) string {
+	return ownerPrefix + strings.ReplaceAll(address, ":", "-")
+}
 
 // member is a host record with its place in the store.
 type member struct {
@@ -70,7 +72,7 @@
 }
 
 func decodeEra(record registry.Record) (EraRecord, bool) {
-	if record.Name != eraName {
+	if record.Name != eraRecordName {
 		return EraRecord{}, false
 	}
 	var era EraRecord
@@ -78,9 +80,9 @@
 	return era, err == nil
 }
 
-// normal brings a record of this kind into one form, whoever wrote it: hosts compare records
+// normalizeSpec brings a record of this kind into one form, whoever wrote it: hosts compare records
 // by their bytes.
-func normal(spec json.RawMessage) json.RawMessage {
+func normalizeSpec(spec json.RawMessage) json.RawMessage {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(spec, &fields); err != nil {
 		return spec
--- a/internal/mesh/service.go
+++ b/internal/mesh/service.go
@@ -17,30 +17,30 @@
 )
 
 const (
-	// dutyInterval is how often leases and owners are looked at.
-	dutyInterval = 200 * time.Millisecond
-	// callTimeout bounds a write to the store.
-	callTimeout = time.Second
-	// settleTime is how long a fresh host waits before it claims runners: all
+	// loopInterval is how often leases and owners are looked at.
+	loopInterval = 200 * time.Millisecond
+	// storeTimeout bounds a write to the store.
+	storeTimeout = time.Second
+	// startupSettle is how long a fresh host waits before it claims runners: all
 	// hosts of a deployment start within 300 ms of each other, and one that
 	// knows only itself would claim all runners.
-	settleTime = 1200 * time.Millisecond
+	startupSettle = 1200 * time.Millisecond
 	// joinSettle is how long after a host joined runners are claimed: while hosts
 	// still join, several believe that they come first for a runner.
 	joinSettle = 600 * time.Millisecond
-	// settlePause is the pause after a try to note that an era is settled.
-	settlePause = 2 * time.Second
-	// deadRecordAge is how long the record of a dead host is kept.
-	deadRecordAge = 60 * time.Second
+	// settleEraPause is the pause after a try to note that an era is settled.
+	settleEraPause = 2 * time.Second
+	// deadRecordRetention is how long the record of a dead host is kept.
+	deadRecordRetention = 60 * time.Second
 )
 
 // Methods that peers call.
 const (
-	methodBeat  = "mesh.beat"
-	methodFetch = "mesh.fetch"
-	methodPiece = "mesh.piece"
-	methodVote  = "mesh.vote"
-	methodKnown = "mesh.known"
+	methodHeartbeat = "mesh.beat"
+	methodFetch     = "mesh.fetch"
+	methodPiece     = "mesh.piece"
+	methodVote      = "mesh.vote"
+	methodKnown     = "mesh.known"
 )
 
 // StatusExchange is what hosts tell each other in heartbeats.
@@ -54,27 +54,27 @@
 // Service does the I/O of the mesh.
 type Service struct {
 	Deps
-	fleet   *registry.Replica
-	started time.Time
-	spread  *spread
-	parcels parcels
-	delays  delays
+	fleet     *registry.Replica
+	started   time.Time
+	freshness *freshness
+	archives  archiveCache
+	delays    delays
 
 	fetches       atomic.Int64
 	fetchesFailed atomic.Int64
 
-	mu       sync.Mutex
-	beating  map[string]*beater
-	breaking map[string]*breakTry
-	kick     chan struct{}
-	// askedAt is when a host was last asked out of turn, asks how often; they and
+	mu            sync.Mutex
+	senders       map[string]*heartbeatSender
+	breakAttempts map[string]*breakAttempt
+	wakeup        chan struct{}
+	// queriedAt is when a host was last asked out of turn, asks how often; they and
 	// storeAgain, until when the store is left alone after a failure, are Run's.
-	askedAt    time.Time
-	asks       int
-	storeAgain time.Time
-	storePause time.Duration
-	// settleAgain is when it may be noted again that an era is settled. It is Run's.
-	settleAgain time.Time
+	queriedAt    time.Time
+	queries      int
+	storeRetryAt time.Time
+	storeBackoff time.Duration
+	// settleRetryAt is when it may be noted again that an era is settled. It is Run's.
+	settleRetryAt time.Time
 }
 
 // Deps are what a service works with.
@@ -101,11 +101,11 @@
 
 // NewService makes a service.
 func NewService(deps Deps) *Service {
-	s := &Service{Deps: deps, started: deps.Now(), beating: map[string]*beater{}, breaking: map[string]*breakTry{}, kick: make(chan struct{}, 1), parcels: parcels{now: deps.Now}}
+	s := &Service{Deps: deps, started: deps.Now(), senders: map[string]*heartbeatSender{}, breakAttempts: map[string]*breakAttempt{}, wakeup: make(chan struct{}, 1), archives: archiveCache{now: deps.Now}}
 	s.fleet = registry.NewReplica()
-	s.fleet.Strip = normal
+	s.fleet.Strip = normalizeSpec
 	s.Kinds[Kind] = s.fleet
-	s.spread = newSpread(s.Kinds, deps.Now)
+	s.freshness = newFreshness(s.Kinds, deps.Now)
 	s.fleet.OnEra = func(era registry.Era) {
 		s.State.BeginEra(era, s.Now())
 		s.Log.Warn("store's era changed", "kind", Kind, "era", era, "revision", s.fleet.Revision())
@@ -113,7 +113,7 @@
 	}
 	s.fleet.OnChange = func(changes []registry.Change, _ bool) {
 		s.State.Apply(changes, s.Now())
-		s.forgetGone(changes)
+		s.forgetRemovedHosts(changes)
 		if other := otherRecords(changes); len(other) > 0 && s.OtherChanges != nil {
 			s.OtherChanges(other)
 		}
@@ -122,8 +122,8 @@
 	return s
 }
 
-// forgetGone drops what was kept of hosts whose records are gone.
-func (s *Service) forgetGone(changes []registry.Change) {
+// forgetRemovedHosts drops what was kept of hosts whose records are gone.
+func (s *Service) forgetRemovedHosts(changes []registry.Change) {
 	for _, change := range changes {
 		if host, ok := strings.CutPrefix(change.Name, hostPrefix); ok && change.Removed {
 			s.delays.forget(host)
@@ -150,8 +150,8 @@
 // ReplicationStatus gives what the host knows.
 func (s *Service) ReplicationStatus() ReplicationStatus {
 	told := ReplicationStatus{Kinds: map[string]KindStatus{}, Fetches: s.fetches.Load(), FetchesFailed: s.fetchesFailed.Load()}
-	for kind, known := range s.spread.known() {
-		behind, _ := s.spread.behind(kind)
+	for kind, known := range s.freshness.known() {
+		behind, _ := s.freshness.behind(kind)
 		told.Kinds[kind] = KindStatus{Position: known.Position, AgeMS: known.AgeMS, BehindMS: behind.Milliseconds()}
 	}
 	return told
@@ -162,16 +162,16 @@
 
 // Register adds the methods that peers call.
 func (s *Service) Register(mux *peer.Mux) {
-	peer.Handle(mux, methodBeat, s.takeBeat)
-	peer.Handle(mux, methodFetch, s.fetch)
-	peer.Handle(mux, methodPiece, s.piece)
-	peer.Handle(mux, methodVote, s.vote)
-	peer.Handle(mux, methodKnown, s.known)
+	peer.Handle(mux, methodHeartbeat, s.handleHeartbeat)
+	peer.Handle(mux, methodFetch, s.handleFetch)
+	peer.Handle(mux, methodPiece, s.handlePiece)
+	peer.Handle(mux, methodVote, s.handleVote)
+	peer.Handle(mux, methodKnown, s.handleKnown)
 }
 
 func (s *Service) wake() {
 	select {
-	case s.kick <- struct{}{}:
+	case s.wakeup <- struct{}{}:
 	default:
 	}
 }
@@ -179,42 +179,42 @@
 // Run keeps the lease, the owners and the heartbeats until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		s.keepRecord(ctx)
-		s.takeOver(ctx)
-		s.beatWitnesses(ctx)
-		s.askAround(ctx)
+		s.maintainLease(ctx)
+		s.failOver(ctx)
+		s.updateSenders(ctx)
+		s.queryPeers(ctx)
 		s.wait(ctx)
 	}
 }
 
 func (s *Service) wait(ctx context.Context) {
-	timer := time.NewTimer(dutyInterval)
+	timer := time.NewTimer(loopInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-s.kick:
+	case <-s.wakeup:
 	}
 }
 
-// keepRecord writes the own record: at the start, after the lease was broken,
+// maintainLease writes the own record: at the start, after the lease was broken,
 // where promises are missing and where other witnesses are wanted.
-func (s *Service) keepRecord(ctx context.Context) {
-	if s.Now().Before(s.storeAgain) {
+func (s *Service) maintainLease(ctx context.Context) {
+	if s.Now().Before(s.storeRetryAt) {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if s.State.Epoch() == 0 || s.ownRecordLost() {
 		s.register(ctx)
 		return
 	}
-	if s.Now().Sub(s.started) < settleTime {
+	if s.Now().Sub(s.started) < startupSettle {
 		// The others are not known yet, and nothing is owned that needs a lease:
 		// witnesses chosen now would be chosen anew, a write each time.
 		return
 	}
-	witnesses, others := s.State.Choose(s.Now())
+	witnesses, others := s.State.ChooseWitnesses(s.Now())
 	if others || s.State.NeedsRenewal(s.Now()) {
 		s.renew(ctx, witnesses)
 	}
@@ -225,7 +225,7 @@
 		// Whether there is a record of an earlier life is not known yet.
 		return
 	}
-	name := hostName(s.Self.Host)
+	name := hostRecordName(s.Self.Host)
 	own := HostRecord{Epoch: 1}
 	current, _ := s.fleet.Get(name)
 	if _, m, ok := decodeHost(current); ok {
@@ -235,83 +235,83 @@
 	own.Address, own.DataCentre, own.Incarnation = s.Address, s.DataCentre, s.Self.Incarnation
 	// A process that has just started knows nobody yet; the witnesses that its
 	// record names are as good as ever. So are those of a record that the store has lost.
-	if _, wanted, lost := s.State.Unchecked(); lost && len(wanted) > 0 {
+	if _, wanted, lost := s.State.UnverifiedRecord(); lost && len(wanted) > 0 {
 		own.Witnesses = wanted
-	} else if witnesses, _ := s.State.Choose(s.Now()); len(witnesses) > 0 {
+	} else if witnesses, _ := s.State.ChooseWitnesses(s.Now()); len(witnesses) > 0 {
 		own.Witnesses = witnesses
 	}
 	own.Renewals++
 	sent := s.Now()
-	record, err := s.writeOwn(ctx, name, own, current.Revision)
+	record, err := s.writeOwnRecord(ctx, name, own, current.Revision)
 	if err != nil {
 		s.Log.Debug("registration failed", "error", err.Error())
-		s.refresh(ctx, name, err)
-		s.pauseStore()
+		s.refreshAfterConflict(ctx, name, err)
+		s.backOffStore()
 		return
 	}
-	if !s.took(record) {
-		s.pauseStore()
+	if !s.applyRecord(record) {
+		s.backOffStore()
 		return
 	}
-	s.storePause = 0
+	s.storeBackoff = 0
 	s.State.Registered(own.Epoch, own.Witnesses, sent)
 	s.Log.Info("registered", "epoch", own.Epoch, "revision", record.Revision, "witnesses", len(own.Witnesses))
 }
 
 // ownRecordLost says whether the store came back without the own record as it was.
 func (s *Service) ownRecordLost() bool {
-	epoch, witnesses, unchecked := s.State.Unchecked()
+	epoch, witnesses, unchecked := s.State.UnverifiedRecord()
 	if !unchecked {
 		return false
 	}
-	record, _ := s.fleet.Get(hostName(s.Self.Host))
+	record, _ := s.fleet.Get(hostRecordName(s.Self.Host))
 	_, own, ok := decodeHost(record)
 	if !ok || own.Broken || own.Epoch != epoch || own.Incarnation != s.Self.Incarnation || !slices.Equal(own.Witnesses, witnesses) {
 		return true
 	}
-	s.State.Checked()
+	s.State.RecordVerified()
 	return false
 }
 
-// took notes a record that the store answered with, and says whether the answer is of the era
+// applyRecord notes a record that the store answered with, and says whether the answer is of the era
 // that this host goes by. By one of another era it may do nothing yet.
-func (s *Service) took(record registry.Record) bool {
+func (s *Service) applyRecord(record registry.Record) bool {
 	if s.fleet.Put(record) {
 		return true
 	}
 	s.Log.Info("record of another era", "record", record.Name, "era", record.Era, "known_era", s.fleet.Position().Era, "revision", record.Revision)
-	s.spread.newEra(Kind, record.Era)
+	s.freshness.expectEra(Kind, record.Era)
 	return false
 }
 
 // settleEra notes in the store that an era is settled, once it is.
 func (s *Service) settleEra(ctx context.Context) {
 	now := s.Now()
-	era, due := s.State.Settles(now)
-	if !due || now.Before(s.settleAgain) {
+	era, due := s.State.EraToSettle(now)
+	if !due || now.Before(s.settleRetryAt) {
 		return
 	}
-	s.settleAgain = now.Add(settlePause)
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	s.settleRetryAt = now.Add(settleEraPause)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	current, _ := s.fleet.Get(eraName)
+	current, _ := s.fleet.Get(eraRecordName)
 	var record registry.Record
 	var err error
 	if current.Revision == 0 {
-		record, err = s.Store.Create(ctx, Kind, eraName, EraRecord{Settled: era})
+		record, err = s.Store.Create(ctx, Kind, eraRecordName, EraRecord{Settled: era})
 	} else {
-		record, err = s.Store.Update(ctx, Kind, eraName, EraRecord{Settled: era}, current.Revision)
+		record, err = s.Store.Update(ctx, Kind, eraRecordName, EraRecord{Settled: era}, current.Revision)
 	}
 	if err != nil {
 		s.Log.Info("era not noted as settled", "era", era, "error", err.Error())
-		s.refresh(ctx, eraName, err)
+		s.refreshAfterConflict(ctx, eraRecordName, err)
 		return
 	}
-	s.took(record)
+	s.applyRecord(record)
 	s.Log.Info("era settled: nobody acts by an earlier one", "era", era, "revision", record.Revision)
 }
 
-func (s *Service) writeOwn(ctx context.Context, name string, own HostRecord, revision uint64) (registry.Record, error) {
+func (s *Service) writeOwnRecord(ctx context.Context, name string, own HostRecord, revision uint64) (registry.Record, error) {
 	if revision == 0 {
 		return s.Store.Create(ctx, Kind, name, own)
 	}
@@ -320,14 +320,14 @@
 
 // renew renews the lease in the store and names the witnesses.
 func (s *Service) renew(ctx context.Context, witnesses []string) {
-	current, ok := s.fleet.Get(hostName(s.Self.Host))
+	current, ok := s.fleet.Get(hostRecordName(s.Self.Host))
 	if !ok {
-		s.reread(ctx)
+		s.rereadOwnRecord(ctx)
 		return
 	}
 	_, m, ok := decodeHost(current)
 	if !ok || m.Broken {
-		s.reread(ctx)
+		s.rereadOwnRecord(ctx)
 		return
 	}
 	own := m.HostRecord
@@ -337,57 +337,57 @@
 	record, err := s.Store.Update(ctx, Kind, current.Name, own, current.Revision)
 	switch {
 	case err == nil:
-		if !s.took(record) {
+		if !s.applyRecord(record) {
 			// Which witnesses the record of that era names is not known here.
-			s.State.Doubt()
-			s.pauseStore()
+			s.State.RenewalUncertain()
+			s.backOffStore()
 			return
 		}
-		s.storePause = 0
+		s.storeBackoff = 0
 		s.State.Registered(own.Epoch, own.Witnesses, sent)
 	case registry.IsConflict(err):
-		s.State.Doubt()
-		s.reread(ctx)
+		s.State.RenewalUncertain()
+		s.rereadOwnRecord(ctx)
 	case errors.Is(err, objectapi.ErrAnswerLost):
-		s.State.Doubt()
+		s.State.RenewalUncertain()
 		s.Log.Info("lease renewed or not: no answer", "error", err.Error())
-		s.pauseStore()
-		s.reread(ctx)
+		s.backOffStore()
+		s.rereadOwnRecord(ctx)
 	default:
 		s.Log.Debug("lease not renewed", "error", err.Error())
-		s.pauseStore()
+		s.backOffStore()
 	}
 }
 
-// pauseStore leaves the store alone for a time after a call of keepRecord failed.
+// backOffStore leaves the store alone for a time after a call of keepRecord failed.
 // A host without a lease called it five times a second for as long as an outage
 // lasted; it orders nothing meanwhile and loses at most the pause by it.
-func (s *Service) pauseStore() {
-	s.storePause = min(max(dutyInterval, 2*s.storePause), watcherPause)
-	s.storeAgain = s.Now().Add(s.storePause)
+func (s *Service) backOffStore() {
+	s.storeBackoff = min(max(loopInterval, 2*s.storeBackoff), watcherRetryPause)
+	s.storeRetryAt = s.Now().Add(s.storeBackoff)
 }
 
-// reread finds out which own record is in force: that of an earlier renewal
+// rereadOwnRecord finds out which own record is in force: that of an earlier renewal
 // whose answer was lost, or one that ended the lease.
-func (s *Service) reread(ctx context.Context) {
+func (s *Service) rereadOwnRecord(ctx context.Context) {
 	sent := s.Now()
 	era := s.fleet.Position().Era
-	record, err := s.Store.Get(ctx, Kind, hostName(s.Self.Host))
+	record, err := s.Store.Get(ctx, Kind, hostRecordName(s.Self.Host))
 	if registry.IsNotFound(err) {
-		s.State.Lost(s.Now())
-		s.fleet.Drop(hostName(s.Self.Host), era)
+		s.State.LeaseLost(s.Now())
+		s.fleet.Drop(hostRecordName(s.Self.Host), era)
 		return
 	}
 	if err != nil {
 		s.Log.Debug("own record not read", "error", err.Error())
 		return
 	}
-	if !s.took(record) {
+	if !s.applyRecord(record) {
 		return
 	}
 	_, m, ok := decodeHost(record)
 	if !ok || m.Broken || m.Incarnation != s.Self.Incarnation {
-		s.State.Lost(s.Now())
+		s.State.LeaseLost(s.Now())
 		s.Log.Warn("lease lost", "broken", m.Broken, "epoch", m.Epoch)
 		return
 	}
@@ -396,22 +396,22 @@
 	s.Log.Debug("own record read", "revision", record.Revision, "read_ms", s.Now().Sub(sent).Milliseconds())
 }
 
-// takeOver ends the leases of dead peers and claims runners without an owner.
-func (s *Service) takeOver(ctx context.Context) {
+// failOver ends the leases of dead peers and claims runners without an owner.
+func (s *Service) failOver(ctx context.Context) {
 	now := s.Now()
 	breakable := s.State.Breakable(now)
 	for _, dead := range breakable {
-		s.tryBreak(ctx, dead)
+		s.startBreak(ctx, dead)
 	}
-	s.forgetBreaks(breakable)
-	for _, dead := range s.State.Dead(now, deadRecordAge) {
-		s.removeDead(ctx, dead)
+	s.pruneBreakAttempts(breakable)
+	for _, dead := range s.State.RemovableRecords(now, deadRecordRetention) {
+		s.removeRecord(ctx, dead)
 	}
 	s.settleEra(ctx)
-	if now.Sub(s.started) < settleTime || !s.State.Settled(now, joinSettle) {
+	if now.Sub(s.started) < startupSettle || !s.State.JoinsSettled(now, joinSettle) {
 		return
 	}
-	if !s.spread.since(Kind, s.started.Add(joinSettle)) {
+	if !s.freshness.confirmedSince(Kind, s.started.Add(joinSettle)) {
 		// What was listed at the start lacks the hosts that started a moment later.
 		// Two hosts would claim each runner, and one of them read the record to see why
 		// it could not.
@@ -423,7 +423,7 @@
 }
 
 func (s *Service) claim(ctx context.Context, claim Claim) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	var record registry.Record
 	var err error
@@ -434,15 +434,15 @@
 	}
 	if err != nil {
 		s.Log.Info("runner not claimed", "address", claim.Address, "error", err.Error())
-		s.refresh(ctx, claim.Name, err)
+		s.refreshAfterConflict(ctx, claim.Name, err)
 		return
 	}
-	s.took(record)
+	s.applyRecord(record)
 	s.Log.Info("runner claimed", "address", claim.Address, "token", fencingToken(record.Era, record.Revision), "epoch", claim.Record.Epoch)
 }
 
-// refresh reads a record again after a conflict; the watch may be behind.
-func (s *Service) refresh(ctx context.Context, name string, cause error) {
+// refreshAfterConflict reads a record again after a conflict; the watch may be behind.
+func (s *Service) refreshAfterConflict(ctx context.Context, name string, cause error) {
 	if !registry.IsConflict(cause) && !errors.Is(cause, objectapi.ErrAnswerLost) {
 		return
 	}
@@ -450,7 +450,7 @@
 	record, err := s.Store.Get(ctx, Kind, name)
 	switch {
 	case err == nil:
-		s.took(record)
+		s.applyRecord(record)
 	case registry.IsNotFound(err):
 		s.fleet.Drop(name, era)
 	default:
@@ -458,10 +458,10 @@
 	}
 }
 
-func (s *Service) removeDead(ctx context.Context, dead Break) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+func (s *Service) removeRecord(ctx context.Context, dead DeadHost) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if err := s.Store.Delete(ctx, Kind, hostName(dead.Host), dead.Revision); err != nil {
+	if err := s.Store.Delete(ctx, Kind, hostRecordName(dead.Host), dead.Revision); err != nil {
 		s.Log.Debug("record of a dead host not removed", "peer", dead.Host, "error", err.Error())
 		return
 	}
--- a/internal/mesh/spread_test.go
+++ b/internal/mesh/spread_test.go
@@ -23,24 +23,24 @@
 		replica.Listed(records, registry.Position{Revision: revision})
 		return replica
 	}
-	own := newSpread(map[string]*registry.Replica{"same": listed(5, "a"), "more": listed(7, "a", "b"), "less": listed(3, "a")}, clock)
-	peer := newSpread(map[string]*registry.Replica{"same": listed(6, "a"), "more": listed(5, "a"), "less": listed(4, "a", "b")}, clock)
+	own := newFreshness(map[string]*registry.Replica{"same": listed(5, "a"), "more": listed(7, "a", "b"), "less": listed(3, "a")}, clock)
+	peer := newFreshness(map[string]*registry.Replica{"same": listed(6, "a"), "more": listed(5, "a"), "less": listed(4, "a", "b")}, clock)
 	for _, kind := range []string{"same", "more", "less"} {
-		own.confirmed(kind, now)
-		peer.confirmed(kind, now)
+		own.confirm(kind, now)
+		peer.confirm(kind, now)
 	}
-	must.MapContainsKeys(t, own.lacking(peer.known()), []string{"more"})
-	must.MapLen(t, 1, own.lacking(peer.known()))
+	must.MapContainsKeys(t, own.newsFor(peer.known()), []string{"more"})
+	must.MapLen(t, 1, own.newsFor(peer.known()))
 
 	now = now.Add(time.Second)
-	own.confirmed("same", now)
-	lacking := own.lacking(peer.known())
+	own.confirm("same", now)
+	lacking := own.newsFor(peer.known())
 	must.MapLen(t, 2, lacking)
 	must.Eq(t, 0, lacking["same"].AgeMS)
 	must.Eq(t, []string{"more"}, peer.learn("own:1", lacking, now))
 	must.Eq(t, 0, peer.age("same"))
 
-	must.MapLen(t, 3, own.lacking(nil), must.Sprint("to a host that tells of nothing, everything"))
+	must.MapLen(t, 3, own.newsFor(nil), must.Sprint("to a host that tells of nothing, everything"))
 }
 
 // Answers without news still say that the other host is there: a host that took them
@@ -49,7 +49,7 @@
 	now := time.Unix(1000, 0)
 	s := fleetOf(3, func() time.Time { return now })[0]
 	now = now.Add(time.Minute)
-	must.Greater(t, heardLately, s.spread.silence())
+	must.Greater(t, contactTimeout, s.freshness.silence())
 	s.learn("h1", "h1:1", nil, nil, now)
-	must.Eq(t, 0, s.spread.silence())
+	must.Eq(t, 0, s.freshness.silence())
 }
--- a/internal/mesh/state.go
+++ b/internal/mesh/state.go
@@ -36,20 +36,20 @@
 	DefaultMargin = 200 * time.Millisecond
 )
 
-// silence is how long a host must have been silent before its lease is broken:
+// breakTimeout is how long a host must have been silent before its lease is broken:
 // it has then stopped giving orders for the length of the gap.
-func (t Timing) silence() time.Duration { return t.Lease + t.OrderGap + t.Margin }
+func (t Timing) breakTimeout() time.Duration { return t.Lease + t.OrderGap + t.Margin }
 
 const (
 	// maxWitnesses is the number of a host's witnesses: with five, two may be
 	// gone at once without the store being needed.
 	maxWitnesses = 5
-	// witnessSilence is how long a witness may leave heartbeats unanswered
+	// witnessTimeout is how long a witness may leave heartbeats unanswered
 	// before another takes its place.
-	witnessSilence = 2 * time.Second
-	// rechoose is the least time between two choices of witnesses, each of which
+	witnessTimeout = 2 * time.Second
+	// minRechooseInterval is the least time between two choices of witnesses, each of which
 	// costs a write to the store.
-	rechoose = 2 * time.Second
+	minRechooseInterval = 2 * time.Second
 )
 
 // State is the pure part: it takes the time as an argument and does no I/O. It
@@ -61,39 +61,39 @@
 	mu      sync.Mutex
 	members map[string]member
 	owners  map[string]owner
-	peers   map[string]*peerSigns
+	peers   map[string]*peerState
 	// started is when this process began: it has heard nobody before.
 	started time.Time
 	// epoch is this process's; 0 until it is registered. lastEpoch is the last one it had.
 	epoch     int64
 	lastEpoch int64
-	transition
-	// renewed is when the last successful write of the own record was sent.
-	renewed time.Time
+	eraTransition
+	// renewedAt is when the last successful write of the own record was sent.
+	renewedAt time.Time
 	// witnesses are those of the own record; none while it is in doubt which
 	// record is in force.
 	witnesses []string
-	chosen    time.Time
-	// joined is when a host was first seen last.
-	joined time.Time
-	// recomposed is when hosts last joined or left. What is learnt when nobody was known
+	chosenAt  time.Time
+	// lastJoin is when a host was first seen last.
+	lastJoin time.Time
+	// membershipChanged is when hosts last joined or left. What is learnt when nobody was known
 	// yet is no change.
-	recomposed time.Time
+	membershipChanged time.Time
 	// membership is worked out from members when it is next asked for.
 	membership *membership
 }
 
-// peerSigns is what is known of one peer beside its record.
-type peerSigns struct {
-	// heard is when its last heartbeat arrived here.
-	heard time.Time
-	// promised is when the last heartbeat that it answered was sent.
-	promised time.Time
+// peerState is what is known of one peer beside its record.
+type peerState struct {
+	// heardAt is when its last heartbeat arrived here.
+	heardAt time.Time
+	// promisedAt is when the last heartbeat that it answered was sent.
+	promisedAt time.Time
 	// revision is that of its record, first seen at changed.
-	revision uint64
-	changed  time.Time
-	// voted is the revision of its record whose end this host has agreed to.
-	voted uint64
+	revision  uint64
+	changedAt time.Time
+	// votedRevision is the revision of its record whose end this host has agreed to.
+	votedRevision uint64
 }
 
 // NewState makes the state of a host that knows nobody.
@@ -103,7 +103,7 @@
 		timing:  timing,
 		members: map[string]member{},
 		owners:  map[string]owner{},
-		peers:   map[string]*peerSigns{},
+		peers:   map[string]*peerState{},
 		started: now,
 	}
 }
@@ -113,18 +113,18 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := len(s.members) > 0
-	before := s.inForce()
+	before := s.currentMembership()
 	for _, change := range changes {
-		s.apply(change, now)
+		s.applyChange(change, now)
 	}
-	if known && !slices.Equal(before.hosts, s.inForce().hosts) {
-		s.recomposed = now
+	if known && !slices.Equal(before.hosts, s.currentMembership().hosts) {
+		s.membershipChanged = now
 	}
 }
 
-func (s *State) apply(change registry.Change, now time.Time) {
+func (s *State) applyChange(change registry.Change, now time.Time) {
 	if change.Removed {
-		s.remove(change.Name)
+		s.removeRecord(change.Name)
 		return
 	}
 	if host, m, ok := decodeHost(change.Record); ok {
@@ -140,9 +140,9 @@
 	}
 }
 
-// remove drops a record by its name alone: who learns that a record is gone may not
+// removeRecord drops a record by its name alone: who learns that a record is gone may not
 // know what it said.
-func (s *State) remove(name string) {
+func (s *State) removeRecord(name string) {
 	delete(s.owners, name)
 	if host, ok := strings.CutPrefix(name, hostPrefix); ok {
 		delete(s.members, host)
@@ -153,19 +153,19 @@
 func (s *State) applyHost(host string, m member, now time.Time) {
 	before, known := s.members[host]
 	if !known {
-		s.joined = now
+		s.lastJoin = now
 	}
 	s.members[host] = m
 	if !known || before.Broken != m.Broken || before.DataCentre != m.DataCentre {
 		s.membership = nil
 	}
-	signs := s.signs(host)
-	if signs.revision != m.revision {
-		signs.revision = m.revision
-		signs.changed = now
+	peer := s.peerOf(host)
+	if peer.revision != m.revision {
+		peer.revision = m.revision
+		peer.changedAt = now
 	}
 	if m.Broken {
-		s.end(host, m.Epoch, now)
+		s.noteLeaseEnd(host, m.Epoch, now)
 	}
 	// The end of an earlier epoch stands there where the store has lost that this one began.
 	if host == s.self && m.Broken && m.Epoch >= s.epoch {
@@ -173,40 +173,40 @@
 	}
 }
 
-func (s *State) signs(host string) *peerSigns {
-	signs := s.peers[host]
-	if signs == nil {
-		signs = &peerSigns{}
-		s.peers[host] = signs
+func (s *State) peerOf(host string) *peerState {
+	peer := s.peers[host]
+	if peer == nil {
+		peer = &peerState{}
+		s.peers[host] = peer
 	}
-	return signs
+	return peer
 }
 
 // Registered notes the own record as it was written at a time.
 func (s *State) Registered(epoch int64, witnesses []string, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.continued(sent)
+	s.dropRetainedIfLapsed(sent)
 	s.epoch, s.lastEpoch = epoch, epoch
-	s.witnesses, s.named = witnesses, witnesses
-	s.renewed = sent
-	s.unchecked = false
+	s.witnesses, s.recordWitnesses = witnesses, witnesses
+	s.renewedAt = sent
+	s.unverified = false
 }
 
-// Doubt notes that a write of the own record got no answer: the witnesses may
+// RenewalUncertain notes that a write of the own record got no answer: the witnesses may
 // be the old or the new ones, so no promise counts until the record is read.
-func (s *State) Doubt() {
+func (s *State) RenewalUncertain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.witnesses = nil
 }
 
-// Lost notes that the own lease was found broken.
-func (s *State) Lost(now time.Time) {
+// LeaseLost notes that the own lease was found broken.
+func (s *State) LeaseLost(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.epoch != 0 {
-		s.end(s.self, s.epoch, now)
+		s.noteLeaseEnd(s.self, s.epoch, now)
 	}
 	s.epoch = 0
 }
@@ -230,14 +230,14 @@
 func (s *State) Members() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Clone(s.inForce().hosts)
+	return slices.Clone(s.currentMembership().hosts)
 }
 
 // Size gives the number of hosts, this one included.
 func (s *State) Size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return max(1, len(s.inForce().hosts))
+	return max(1, len(s.currentMembership().hosts))
 }
 
 // ValidUntil gives the time up to which no other host can give orders to this
@@ -252,13 +252,13 @@
 	if s.epoch == 0 {
 		return time.Time{}
 	}
-	valid := s.renewed
+	valid := s.renewedAt
 	if promised := s.majorityPromised(); promised.After(valid) {
 		valid = promised
 	}
 	valid = valid.Add(s.timing.Lease)
-	if s.granted.After(valid) {
-		return s.granted
+	if s.previousLeaseEnd.After(valid) {
+		return s.previousLeaseEnd
 	}
 	return valid
 }
@@ -274,8 +274,8 @@
 func (s *State) MayOrder(address string, now time.Time) (token uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, found := s.owners[ownerName(address)]
-	if !found || o.Host != s.self || o.Epoch != s.epoch || s.epoch == 0 || !s.mayOrderIn(ownerName(address), now) {
+	o, found := s.owners[ownerRecordName(address)]
+	if !found || o.Host != s.self || o.Epoch != s.epoch || s.epoch == 0 || !s.mayOrderInEra(ownerRecordName(address), now) {
 		return 0, false
 	}
 	return fencingToken(s.era, o.revision), now.Add(s.timing.Margin).Before(s.validUntil())
@@ -285,31 +285,31 @@
 func (s *State) OwnerOf(address string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o, ok := s.owners[ownerName(address)]
-	if !ok || !s.holds(o) {
+	o, ok := s.owners[ownerRecordName(address)]
+	if !ok || !s.ownerInForce(o) {
 		return "", false
 	}
 	return o.Host, true
 }
 
-// holds says whether an owner record is in force.
-func (s *State) holds(o owner) bool {
+// ownerInForce says whether an owner record is in force.
+func (s *State) ownerInForce(o owner) bool {
 	m, ok := s.members[o.Host]
 	return ok && !m.Broken && m.Epoch == o.Epoch
 }
 
-// Turn gives when this host's turn comes to ask the store for a kind of record: 0 if it is
+// FallbackTurn gives when this host's turn comes to ask the store for a kind of record: 0 if it is
 // one of those that always watch it.
-func (s *State) Turn(kind string) int {
+func (s *State) FallbackTurn(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.inForce().turnOf(kind, s.self)
+	return s.currentMembership().fallbackTurn(kind, s.self)
 }
 
-// Watcher says whether this host is one of those that always watch a kind of
+// IsWatcher says whether this host is one of those that always watch a kind of
 // record for the others.
-func (s *State) Watcher(kind string) bool {
+func (s *State) IsWatcher(kind string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return slices.Contains(s.inForce().watchersOf(kind), s.self)
+	return slices.Contains(s.currentMembership().watchersOf(kind), s.self)
 }
--- a/internal/mesh/state_test.go
+++ b/internal/mesh/state_test.go
@@ -40,9 +40,9 @@
 	t.Helper()
 	var changes []registry.Change
 	for i, name := range names {
-		changes = append(changes, change(t, hostName(name), HostRecord{Address: name + ":1", Epoch: 1, Witnesses: others(names, name)}, uint64(i+1)))
+		changes = append(changes, change(t, hostRecordName(name), HostRecord{Address: name + ":1", Epoch: 1, Witnesses: others(names, name)}, uint64(i+1)))
 	}
-	changes = append(changes, change(t, ownerName(runnerAddress), OwnerRecord{Host: "a", Epoch: 1}, 90))
+	changes = append(changes, change(t, ownerRecordName(runnerAddress), OwnerRecord{Host: "a", Epoch: 1}, 90))
 	hosts := map[string]*State{}
 	for _, name := range names {
 		s := NewState(name, usual, epoch)
@@ -60,8 +60,8 @@
 
 // beat plays a heartbeat and its answer.
 func beat(from, to *State, now time.Time) {
-	if to.TakeBeat(from.self, 0, now) {
-		from.Promised(to.self, now)
+	if to.ReceiveHeartbeat(from.self, 0, now) {
+		from.PromiseReceived(to.self, now)
 	}
 }
 
@@ -81,7 +81,7 @@
 // served.
 func TestPromisesReplaceTheStore(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c", "d", "e", "f")
-	for passed := time.Duration(0); passed < time.Minute; passed += beatInterval {
+	for passed := time.Duration(0); passed < time.Minute; passed += heartbeatInterval {
 		now := epoch.Add(passed)
 		beatAll(hosts, now, "f")
 		token, ok := hosts["a"].MayOrder(runnerAddress, now)
@@ -118,7 +118,7 @@
 		if b.Host != "a" {
 			continue
 		}
-		votes := b.Votes
+		votes := b.VotesNeeded
 		for _, witness := range b.Witnesses {
 			if hosts[witness.Host].Vote("a", registry.Position{Revision: b.Revision}, now) {
 				votes--
@@ -147,7 +147,7 @@
 func TestRestartKeepsRunners(t *testing.T) {
 	hosts := newHosts(t, "a", "b")
 	b := hosts["b"]
-	b.Apply([]registry.Change{change(t, hostName("a"), HostRecord{Address: "a:1", Epoch: 1, Renewals: 1, Witnesses: []string{"b"}}, 99)}, epoch.Add(3*time.Second))
+	b.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Address: "a:1", Epoch: 1, Renewals: 1, Witnesses: []string{"b"}}, 99)}, epoch.Add(3*time.Second))
 	must.SliceEmpty(t, b.Breakable(epoch.Add(6*time.Second)))
 	host, ok := b.OwnerOf(runnerAddress)
 	must.True(t, ok)
@@ -158,7 +158,7 @@
 // end of its lease.
 func TestMajorityKeepsLease(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c", "d")
-	for passed := time.Duration(0); passed < 30*time.Second; passed += beatInterval {
+	for passed := time.Duration(0); passed < 30*time.Second; passed += heartbeatInterval {
 		now := epoch.Add(passed)
 		for _, to := range []string{"c", "d"} {
 			beat(hosts["a"], hosts[to], now)
@@ -173,11 +173,11 @@
 func TestBrokenLeaseEndsOwnership(t *testing.T) {
 	hosts := newHosts(t, "a", "b")
 	a, b := hosts["a"], hosts["b"]
-	broken := []registry.Change{change(t, hostName("a"), HostRecord{Address: "a:1", Epoch: 1, Broken: true}, 100)}
+	broken := []registry.Change{change(t, hostRecordName("a"), HostRecord{Address: "a:1", Epoch: 1, Broken: true}, 100)}
 	now := epoch.Add(6 * time.Second)
 	a.Apply(broken, now)
 	b.Apply(broken, now)
-	a.Promised("b", now)
+	a.PromiseReceived("b", now)
 	_, ok := a.MayOrder(runnerAddress, now)
 	must.False(t, ok)
 	claims := b.Claims([]Runner{{Address: runnerAddress}})
@@ -190,21 +190,21 @@
 // sides; it does so once the record shows that the lease was kept.
 func TestVoterDoesNotPromise(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c")
-	now := epoch.Add(usual.silence() + time.Second)
+	now := epoch.Add(usual.breakTimeout() + time.Second)
 	b := hosts["b"]
 	b.Registered(1, []string{"a", "c"}, now)
 	must.True(t, b.Vote("a", registry.Position{Revision: 1}, now))
-	must.False(t, b.TakeBeat("a", 0, now))
-	b.Apply([]registry.Change{change(t, hostName("a"), HostRecord{Epoch: 1, Renewals: 1}, 95)}, now)
-	must.True(t, b.TakeBeat("a", 0, now))
+	must.False(t, b.ReceiveHeartbeat("a", 0, now))
+	b.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Epoch: 1, Renewals: 1}, 95)}, now)
+	must.True(t, b.ReceiveHeartbeat("a", 0, now))
 }
 
 // A host whose own lease is over promises nothing: its lease may have been
 // broken without its knowledge, and a broken witness counts as one that agrees.
 func TestExpiredWitnessDoesNotPromise(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c")
-	must.True(t, hosts["b"].TakeBeat("a", 0, epoch.Add(time.Second)))
-	must.False(t, hosts["b"].TakeBeat("a", 0, epoch.Add(2*usual.Lease)))
+	must.True(t, hosts["b"].ReceiveHeartbeat("a", 0, epoch.Add(time.Second)))
+	must.False(t, hosts["b"].ReceiveHeartbeat("a", 0, epoch.Add(2*usual.Lease)))
 }
 
 // An owner and all its witnesses are gone for good. Another host ends their
@@ -213,18 +213,18 @@
 	now := epoch.Add(20 * time.Second)
 	survivor := NewState("z", usual, epoch)
 	survivor.Apply([]registry.Change{
-		change(t, hostName("a"), HostRecord{Epoch: 1, Witnesses: []string{"b", "c"}}, 1),
-		change(t, hostName("b"), HostRecord{Epoch: 1, Broken: true}, 2),
-		change(t, hostName("c"), HostRecord{Epoch: 1, Broken: true}, 3),
-		change(t, hostName("z"), HostRecord{Epoch: 1}, 4),
-		change(t, ownerName(runnerAddress), OwnerRecord{Host: "a", Epoch: 1}, 5),
+		change(t, hostRecordName("a"), HostRecord{Epoch: 1, Witnesses: []string{"b", "c"}}, 1),
+		change(t, hostRecordName("b"), HostRecord{Epoch: 1, Broken: true}, 2),
+		change(t, hostRecordName("c"), HostRecord{Epoch: 1, Broken: true}, 3),
+		change(t, hostRecordName("z"), HostRecord{Epoch: 1}, 4),
+		change(t, ownerRecordName(runnerAddress), OwnerRecord{Host: "a", Epoch: 1}, 5),
 	}, epoch)
 	survivor.Registered(1, nil, now)
 	must.SliceEmpty(t, survivor.Breakable(epoch.Add(2*time.Second)))
 	found := survivor.Breakable(now)
 	must.Len(t, 1, found)
 	must.Eq(t, "a", found[0].Host)
-	must.LessEq(t, 0, found[0].Votes)
+	must.LessEq(t, 0, found[0].VotesNeeded)
 }
 
 // Hosts lose heartbeats, renewals and the store at random, and are suspended.
@@ -259,15 +259,15 @@
 						continue
 					}
 					// A heartbeat may arrive while its answer is lost.
-					if hosts[name].TakeBeat("a", 0, now) && rapid.Bool().Draw(t, "answer") {
-						a.Promised(name, now)
+					if hosts[name].ReceiveHeartbeat("a", 0, now) && rapid.Bool().Draw(t, "answer") {
+						a.PromiseReceived(name, now)
 					}
 				}
 				if a.NeedsRenewal(now) && !(cut && storeAway) && rapid.IntRange(0, 39).Draw(t, "store") == 39 {
 					revision++
 					renewals++
 					a.Registered(1, others(names, "a"), now)
-					renewed := change(t, hostName("a"), HostRecord{Epoch: 1, Renewals: renewals, Witnesses: others(names, "a")}, revision)
+					renewed := change(t, hostRecordName("a"), HostRecord{Epoch: 1, Renewals: renewals, Witnesses: others(names, "a")}, revision)
 					for _, name := range names[1:] {
 						hosts[name].Apply([]registry.Change{renewed}, now)
 					}
@@ -309,7 +309,7 @@
 func TestClaimsAgree(t *testing.T) {
 	var changes []registry.Change
 	for i := range 7 {
-		changes = append(changes, change(t, hostName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1)))
+		changes = append(changes, change(t, hostRecordName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1)))
 	}
 	claimed := map[string]int{}
 	for i := range 7 {
@@ -330,8 +330,8 @@
 func TestOwnerIsNear(t *testing.T) {
 	s := NewState("a", usual, epoch)
 	hosts := []registry.Change{
-		change(t, hostName("a"), HostRecord{Epoch: 1, DataCentre: "here"}, 1),
-		change(t, hostName("b"), HostRecord{Epoch: 1, DataCentre: "there"}, 2),
+		change(t, hostRecordName("a"), HostRecord{Epoch: 1, DataCentre: "here"}, 1),
+		change(t, hostRecordName("b"), HostRecord{Epoch: 1, DataCentre: "there"}, 2),
 	}
 	s.Apply(hosts, epoch)
 	s.Registered(1, nil, epoch)
@@ -339,7 +339,7 @@
 	claims := s.Claims(runners)
 	must.Len(t, 1, claims)
 	must.Eq(t, "r1:1", claims[0].Address)
-	s.Apply([]registry.Change{change(t, hostName("b"), HostRecord{Epoch: 1, DataCentre: "there", Broken: true}, 3)}, epoch)
+	s.Apply([]registry.Change{change(t, hostRecordName("b"), HostRecord{Epoch: 1, DataCentre: "there", Broken: true}, 3)}, epoch)
 	must.Len(t, 2, s.Claims(runners))
 }
 
@@ -348,17 +348,17 @@
 func TestFewHostsWatch(t *testing.T) {
 	var changes []registry.Change
 	for i := range 400 {
-		changes = append(changes, change(t, hostName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1)))
+		changes = append(changes, change(t, hostRecordName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1)))
 	}
 	count := 0
 	for i := range 400 {
 		s := NewState(fmt.Sprintf("h%d", i), usual, epoch)
 		s.Apply(changes, epoch)
-		if s.Watcher("config") {
+		if s.IsWatcher("config") {
 			count++
 		}
 	}
-	must.Eq(t, watchers, count)
+	must.Eq(t, watchersPerKind, count)
 }
 
 // The witnesses of a host: those that answer stay, silent ones make way once
@@ -366,22 +366,22 @@
 func TestChooseWitnesses(t *testing.T) {
 	s := NewState("a", usual, epoch)
 	for i := range 9 {
-		s.Apply([]registry.Change{change(t, hostName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1))}, epoch)
+		s.Apply([]registry.Change{change(t, hostRecordName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1))}, epoch)
 	}
-	chosen, others := s.Choose(epoch)
+	chosen, others := s.ChooseWitnesses(epoch)
 	must.True(t, others)
 	must.Len(t, maxWitnesses, chosen)
 	s.Registered(1, chosen, epoch)
 	now := epoch.Add(10 * time.Second)
 	for _, host := range chosen[1:] {
-		s.Promised(host, now)
+		s.PromiseReceived(host, now)
 	}
-	next, others := s.Choose(now)
+	next, others := s.ChooseWitnesses(now)
 	must.True(t, others)
 	must.SliceNotContains(t, next, chosen[0])
 	must.SliceContainsSubset(t, next, chosen[1:])
 	s.Registered(1, next, now)
-	_, others = s.Choose(now.Add(rechoose / 2))
+	_, others = s.ChooseWitnesses(now.Add(minRechooseInterval / 2))
 	must.False(t, others)
 }
 
@@ -393,13 +393,13 @@
 	var changes []registry.Change
 	for i := range 60 {
 		record := HostRecord{Epoch: 1, DataCentre: fmt.Sprintf("hall-%d", i%5)}
-		changes = append(changes, change(t, hostName(fmt.Sprintf("h%02d", i)), record, uint64(i+1)))
+		changes = append(changes, change(t, hostRecordName(fmt.Sprintf("h%02d", i)), record, uint64(i+1)))
 	}
 	for i := range 60 {
 		s := NewState(fmt.Sprintf("h%02d", i), usual, epoch)
 		s.Apply(changes, epoch)
 		s.Registered(1, nil, epoch)
-		witnesses, _ := s.Choose(epoch)
+		witnesses, _ := s.ChooseWitnesses(epoch)
 		must.Len(t, maxWitnesses, witnesses)
 		near := 0
 		for _, witness := range witnesses {
@@ -417,11 +417,11 @@
 	var changes []registry.Change
 	for i := range 6 {
 		record := HostRecord{Epoch: 1, DataCentre: fmt.Sprintf("hall-%d", i/5)}
-		changes = append(changes, change(t, hostName(fmt.Sprintf("h%d", i)), record, uint64(i+1)))
+		changes = append(changes, change(t, hostRecordName(fmt.Sprintf("h%d", i)), record, uint64(i+1)))
 	}
 	s := NewState("h0", usual, epoch)
 	s.Apply(changes, epoch)
 	s.Registered(1, nil, epoch)
-	witnesses, _ := s.Choose(epoch)
+	witnesses, _ := s.ChooseWitnesses(epoch)
 	must.Eq(t, []string{"h1", "h2", "h3", "h4", "h5"}, witnesses)
 }
--- a/internal/mesh/witnesses.go
+++ b/internal/mesh/witnesses.go
@@ -8,7 +8,7 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// TakeBeat notes a peer's heartbeat and says whether this host promises to keep
+// ReceiveHeartbeat notes a peer's heartbeat and says whether this host promises to keep
 // the peer's lease.
 //
 // A host whose own lease is over does not promise: its lease may be broken
@@ -16,22 +16,22 @@
 // One that has agreed to break this lease does not promise either, until a newer
 // record shows that the lease was kept. Nor does one that knows another era of the
 // store: there the peer's record may name other witnesses, who break its lease.
-func (s *State) TakeBeat(host string, era registry.Era, now time.Time) bool {
+func (s *State) ReceiveHeartbeat(host string, era registry.Era, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	signs := s.signs(host)
-	signs.heard = now
-	voted := signs.voted != 0 && signs.voted == signs.revision
-	return !voted && era == s.era && now.Before(s.validUntil())
+	peer := s.peerOf(host)
+	peer.heardAt = now
+	hasVoted := peer.votedRevision != 0 && peer.votedRevision == peer.revision
+	return !hasVoted && era == s.era && now.Before(s.validUntil())
 }
 
-// Promised notes a peer's promise in answer to a heartbeat sent at a time.
-func (s *State) Promised(host string, sent time.Time) {
+// PromiseReceived notes a peer's promise in answer to a heartbeat sent at a time.
+func (s *State) PromiseReceived(host string, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if signs := s.signs(host); sent.After(signs.promised) {
-		s.continued(sent)
-		signs.promised = sent
+	if peer := s.peerOf(host); sent.After(peer.promisedAt) {
+		s.dropRetainedIfLapsed(sent)
+		peer.promisedAt = sent
 	}
 }
 
@@ -62,7 +62,7 @@
 	}
 	times := make([]time.Time, 0, len(s.witnesses))
 	for _, host := range s.witnesses {
-		times = append(times, s.signs(host).promised)
+		times = append(times, s.peerOf(host).promisedAt)
 	}
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
 	return times[majority(len(times))-1]
@@ -79,7 +79,7 @@
 		return false
 	}
 	third := s.timing.Lease / 3
-	return now.Sub(s.majorityPromised()) > 3*third/2 && now.Sub(s.renewed) > third
+	return now.Sub(s.majorityPromised()) > 3*third/2 && now.Sub(s.renewedAt) > third
 }
 
 // nearWitnesses is how many of the witnesses are of the host's own data centre, if
@@ -89,27 +89,27 @@
 // were elsewhere.
 const nearWitnesses = 2
 
-// Choose gives the witnesses that the own record should name, and whether they
+// ChooseWitnesses gives the witnesses that the own record should name, and whether they
 // are others than those it names.
-func (s *State) Choose(now time.Time) ([]string, bool) {
+func (s *State) ChooseWitnesses(now time.Time) ([]string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.witnesses) > 0 && now.Sub(s.chosen) < rechoose {
+	if len(s.witnesses) > 0 && now.Sub(s.chosenAt) < minRechooseInterval {
 		return s.witnesses, false
 	}
-	wanted := s.wanted(now)
+	wanted := s.selectWitnesses(now)
 	if slices.Equal(wanted, s.witnesses) {
 		return wanted, false
 	}
-	s.chosen = now
+	s.chosenAt = now
 	return wanted, true
 }
 
-// wanted keeps the witnesses that answer and fills up with others.
-func (s *State) wanted(now time.Time) []string {
+// selectWitnesses keeps the witnesses that answer and fills up with others.
+func (s *State) selectWitnesses(now time.Time) []string {
 	var wanted []string
 	for _, host := range s.witnesses {
-		if m, ok := s.members[host]; ok && !m.Broken && now.Sub(s.signs(host).promised) < witnessSilence {
+		if m, ok := s.members[host]; ok && !m.Broken && now.Sub(s.peerOf(host).promisedAt) < witnessTimeout {
 			wanted = append(wanted, host)
 		}
 	}
@@ -118,7 +118,7 @@
 		return wanted
 	}
 	var others []string
-	for _, host := range s.inForce().hosts {
+	for _, host := range s.currentMembership().hosts {
 		if host != s.self && !slices.Contains(wanted, host) {
 			others = append(others, host)
 		}
@@ -136,7 +136,7 @@
 	order := make(map[string]int, len(others))
 	for _, host := range others {
 		switch {
-		case s.silent(host):
+		case s.isSilentWitness(host):
 			order[host] = 3
 		case s.members[host].DataCentre != centre:
 			order[host] = 1
@@ -152,5 +152,5 @@
 	return wanted
 }
 
-// silent says that a host is a witness that did not answer lately.
-func (s *State) silent(host string) bool { return slices.Contains(s.witnesses, host) }
+// isSilentWitness says that a host is a witness that did not answer lately.
+func (s *State) isSilentWitness(host string) bool { return slices.Contains(s.witnesses, host) }
