--- a/internal/mesh/beats.go
+++ b/internal/mesh/beats.go
@@ -10,49 +10,49 @@
 )
 
 const (
-	// heartbeatInterval is the time between heartbeats to a witness: three a second
-	// to five witnesses cost a host about half a percent of a core, however
-	// large the fleet is. In a large fleet what they say matters less to each
-	// host, while their bytes are a third of all that goes between data centres;
-	// three in a lease still bear two losses.
+	// heartbeatInterval is the time between heartbeats to a witness. Three a second to
+	// five witnesses cost a host about half a percent of a core, whatever the size of the
+	// fleet. Above largeFleet hosts the interval is longer: heartbeats then make up a
+	// third of all bytes between data centres, and each one matters less. Three of them in
+	// a lease still tolerate two losses.
 	heartbeatInterval  = 300 * time.Millisecond
 	largeFleetInterval = 450 * time.Millisecond
 	largeFleet         = 20
-	// heartbeatTimeout bounds a heartbeat; a connection that did not answer by then
-	// may have gone silent for good and is replaced.
+	// heartbeatTimeout bounds a heartbeat call. A connection without an answer by then may
+	// be dead and is replaced.
 	heartbeatTimeout = 400 * time.Millisecond
 )
 
-// Heartbeat is a heartbeat.
+// Heartbeat is the request that a host sends to its witnesses.
 type Heartbeat struct {
 	Address string `json:"address"`
-	// SentMS is when it was sent by the sender's clock, which may differ from others' by any
-	// time.
+	// SentMS is the send time in Unix milliseconds by the sender's clock, which may be off
+	// by any amount.
 	SentMS int64 `json:"sent_ms"`
-	// Known tells what the sender knows of each kind of record, by kind.
+	// Known is the sender's version of each kind of record, by kind.
 	Known map[string]KnownVersion `json:"known,omitempty"`
-	// Status is what the sender tells of its runners and requests.
+	// Status describes the sender's runners and requests.
 	Status json.RawMessage `json:"status,omitempty"`
 }
 
-// HeartbeatResult answers a heartbeat.
+// HeartbeatResult is the answer to a Heartbeat.
 type HeartbeatResult struct {
-	// Promised: the lease will not be broken with this host's vote before a
-	// lease, the gap and a margin have passed.
+	// Promised reports that the witness will not vote to break the sender's lease before a
+	// lease, the order gap and a margin have passed.
 	Promised bool `json:"promised,omitempty"`
-	// Known tells what the sender of the heartbeat lacks.
+	// Known holds the kinds of record of which the answering host has newer versions.
 	Known  map[string]KnownVersion `json:"known,omitempty"`
 	Status json.RawMessage         `json:"status,omitempty"`
 }
 
-// heartbeatSender sends the heartbeats to one witness.
+// heartbeatSender sends heartbeats to one witness.
 type heartbeatSender struct {
 	host    string
 	stop    context.CancelFunc
 	trigger chan struct{}
 }
 
-// updateSenders starts and stops beaters.
+// updateSenders starts senders for new witnesses and stops those of former ones.
 func (s *Service) updateSenders(ctx context.Context) {
 	wanted := map[string]bool{}
 	for _, witness := range s.State.Witnesses() {
@@ -77,8 +77,8 @@
 	}
 }
 
-// HeartbeatNow sends heartbeats at once, since something changed that others should
-// know.
+// HeartbeatNow sends heartbeats at once instead of after the interval, because something
+// changed that other hosts should know.
 func (s *Service) HeartbeatNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +143,7 @@
 	if answer.Promised {
 		s.State.PromiseReceived(host, sent)
 	}
-	// What the peer knew is at least as old as the question.
+	// The answer reflects what the peer knew no earlier than when the call was sent.
 	s.learn(host, address, answer.Known, answer.Status, sent)
 	return nil
 }
@@ -164,7 +164,7 @@
 	return HeartbeatResult{Promised: promised, Known: s.freshness.newsFor(beat.Known), Status: s.status()}, nil
 }
 
-// learn takes over what a peer knew at a moment, and fetches what it is ahead in.
+// learn merges what a peer knew at a moment and fetches the kinds in which it is ahead.
 func (s *Service) learn(host, address string, known map[string]KnownVersion, status json.RawMessage, moment time.Time) {
 	s.freshness.noteContact()
 	for _, kind := range s.freshness.learn(address, known, moment) {
@@ -175,22 +175,22 @@
 	}
 }
 
-// Confirmed notes that a kind's replica has everything up to a moment, by the store's own
-// word.
+// Confirmed records that, according to the store, a kind's replica is complete up to asOf.
 func (s *Service) Confirmed(kind string, asOf time.Time) { s.freshness.confirm(kind, asOf) }
 
-// ListedStale notes that a kind's replica was listed from a copy of the store.
+// ListedStale records that a kind's replica was listed from a stale copy of the store.
 func (s *Service) ListedStale(kind string) { s.freshness.listedStale(kind) }
 
-// Age gives how old what is known of a kind of record may be.
+// Age returns the greatest possible age of this host's records of a kind.
 func (s *Service) Age(kind string) time.Duration { return s.freshness.age(kind) }
 
-// WatchDelay gives how long this host may leave a kind of record to the hosts that
-// watch it: not at all if it is one of them, and else until what it knows
-// is older than a limit, or until it has known for a while that there is more.
+// WatchDelay returns how long this host may rely on the watching hosts before it asks the
+// store for a kind of record itself. It is 0 on a watching host. On others it lasts until
+// the local records are older than limit, or until the host has known for behindTimeout
+// that newer ones exist.
 //
-// The limit and the longest turn bound, for every host and whatever others tell or fail to
-// tell it, how old what it goes by may be before it asks the store itself.
+// Whatever its peers send or fail to send, limit and the last fallback turn bound the age
+// of the records that a host acts on before it asks the store.
 func (s *Service) WatchDelay(kind string, limit time.Duration) time.Duration {
 	turn := s.State.FallbackTurn(kind)
 	if turn == 0 {
--- a/internal/mesh/breaking.go
+++ b/internal/mesh/breaking.go
@@ -8,8 +8,8 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// Vote says whether this host agrees that the lease of a peer, in the record of
-// a revision, is broken. From then on it does not promise to keep it.
+// Vote reports whether this host agrees to break the lease of a peer as it stands in the
+// record at a position. After that it no longer promises to keep that lease.
 func (s *State) Vote(host string, at registry.Position, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -22,26 +22,27 @@
 	return true
 }
 
-// DeadHost is a peer whose lease should be ended.
+// DeadHost is a peer whose lease should be broken or whose record should be removed.
 type DeadHost struct {
 	Host     string
 	Record   HostRecord
 	Revision uint64
-	// Era is that of the revision.
+	// Era is the era of Revision.
 	Era registry.Era
-	// Witnesses are those whose votes are needed beside this host's.
+	// Witnesses are the witnesses to ask for a vote, without this host.
 	Witnesses []Peer
-	// VotesNeeded is how many of them must agree.
+	// VotesNeeded is the number of them that must agree.
 	VotesNeeded int
 }
 
-// Breakable gives the peers that should be declared dead, as far as this host
-// can tell: it is one of the peer's witnesses and has not heard it, and the
-// peer's record was not renewed, for so long that the peer has stopped giving
-// orders and that the gap has passed since. A majority of the witnesses must
-// vote so too. The write must be conditional on the revision: a renewal that
-// came meanwhile makes it fail. In a new era of the store this host waits until a peer
-// that acts by the one before has stopped, and tells of what is known to be broken.
+// Breakable returns the peers to declare dead as far as this host can tell. It is a
+// witness of such a peer, has not heard from it, and has not seen its record renewed for
+// so long that the peer has stopped giving orders and the order gap has passed since. A
+// majority of the peer's witnesses must agree. The write must be conditional on the
+// revision, so that it fails if the lease was renewed meanwhile.
+//
+// In a new era of the store this host waits until a peer that still acts on the previous
+// era has stopped, except for peers whose lease is known to have been broken.
 func (s *State) Breakable(now time.Time) []DeadHost {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,8 +91,8 @@
 	return majority(len(m.Witnesses))
 }
 
-// witnessesGone says that no living witness's vote is needed to break a lease. Only
-// then may a host break it that is no witness.
+// witnessesGone reports whether the lease can be broken without the vote of any live
+// witness. Only then may a host that is no witness break it.
 func (s *State) witnessesGone(m member, now time.Time) bool {
 	missing := neededVotes(m)
 	for _, witness := range m.Witnesses {
@@ -102,15 +103,16 @@
 	return missing <= 0
 }
 
-// witnessGone says that a witness's own lease has been broken for long enough. It promised
-// only while that was valid, so its last promise is as old as the gap, and over after
-// a lease more.
+// witnessGone reports whether a witness's own lease has been broken for more than a lease.
+// It promised only while its lease was valid, so its last promise was then already as old
+// as the order gap and has expired a lease later.
 func (s *State) witnessGone(witness string, now time.Time) bool {
 	m, ok := s.members[witness]
 	return !ok || m.Broken && now.Sub(s.peerOf(witness).changedAt) > s.timing.Lease
 }
 
-// countWitness adds one witness: its vote is asked for, or counts as given where it is gone.
+// countWitness adds a witness to ask for its vote, or counts the vote as given where the
+// witness is gone.
 func (b *DeadHost) countWitness(s *State, witness string, now time.Time) {
 	switch {
 	case witness == s.self:
@@ -123,8 +125,8 @@
 	}
 }
 
-// RemovableRecords gives hosts whose lease was ended so long ago that their record is of no
-// use any more.
+// RemovableRecords returns the hosts whose lease was broken longer ago than after, and
+// whose records this host should remove.
 func (s *State) RemovableRecords(now time.Time, after time.Duration) []DeadHost {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/breaktry.go
+++ b/internal/mesh/breaktry.go
@@ -8,30 +8,29 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// breakAttempt is the try to end one dead host's lease.
+// breakAttempt tracks the attempts to break one dead host's lease.
 type breakAttempt struct {
 	running bool
-	// retryAt is when it may be tried retryAt, pause how long after the last try.
+	// retryAt is when the next attempt may begin, backoff the pause after the last one.
 	retryAt time.Time
 	backoff time.Duration
 }
 
 const (
-	// breakBackoff is the pause after a try to end a lease that too few witnesses agreed
-	// to, and longestBreakPause what it grows to, doubled each time. Witnesses that are
-	// back or whose own lease is ended make it succeed; they take seconds to.
+	// breakBackoff is the pause after an attempt to which too few witnesses agreed. It
+	// doubles up to maxBreakBackoff. A later attempt succeeds once witnesses are back or
+	// their own leases are broken, which takes seconds.
 	breakBackoff    = 500 * time.Millisecond
 	maxBreakBackoff = 10 * time.Second
 )
 
-// startBreak begins to end a dead host's lease, unless that is under way or was tried a
-// moment ago.
+// startBreak begins to break a dead host's lease in the background, unless an attempt is
+// running or its backoff has not passed.
 //
-// The failure it answers: many hosts fall silent at once. The votes on each of them
-// wait a second for witnesses that are silent too. Asked for one after the other, they
-// kept the survivors from renewing their own leases, so these lapsed as well, and all
-// runners were without an owner. Asked for side by side and seldom, they keep nobody
-// from anything.
+// When many hosts fall silent at once, the votes on each of them wait a second for
+// witnesses that are silent too. Votes asked for one after the other kept the surviving
+// hosts from renewing their own leases, which then expired as well and left all runners
+// without an owner. Concurrent attempts with a backoff do not block renewals.
 func (s *Service) startBreak(ctx context.Context, dead DeadHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,7 +53,7 @@
 	}()
 }
 
-// pruneBreakAttempts drops the tries for hosts that are no longer to be broken.
+// pruneBreakAttempts drops the state of hosts that are no longer breakable.
 func (s *Service) pruneBreakAttempts(dead []DeadHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +68,7 @@
 	}
 }
 
-// breakLease ends a dead host's lease if enough witnesses agree.
+// breakLease breaks a dead host's lease if enough witnesses agree.
 func (s *Service) breakLease(ctx context.Context, dead DeadHost) {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -87,7 +86,7 @@
 	s.Log.Warn("lease broken: the host was silent for too long", "peer", dead.Host, "epoch", dead.Record.Epoch, "revision", record.Revision)
 }
 
-// collectVotes asks the other witnesses for their votes.
+// collectVotes asks the other witnesses for their votes and reports whether enough agreed.
 func (s *Service) collectVotes(ctx context.Context, dead DeadHost) bool {
 	if dead.VotesNeeded > len(dead.Witnesses) {
 		s.Log.Info("lease not broken: too few witnesses are left", "peer", dead.Host, "witnesses", len(dead.Witnesses), "needed", dead.VotesNeeded)
@@ -116,10 +115,10 @@
 	return votes <= 0
 }
 
-// VoteParams asks a witness whether a lease should be broken.
+// VoteParams asks a witness to agree to break a host's lease.
 type VoteParams struct {
 	Host string `json:"host"`
-	// Position is that of the host's record, of which the lease is a part.
+	// Position is the position of the host's record, which holds the lease.
 	registry.Position
 }
 
--- a/internal/mesh/claims.go
+++ b/internal/mesh/claims.go
@@ -6,11 +6,11 @@
 	"github.com/cherrystage/cherrystage/internal/fleet"
 )
 
-// Claim is a runner that this host should own.
+// Claim is a runner that this host should claim.
 type Claim struct {
 	Address string
 	Name    string
-	// Revision is that of the record to replace, 0 where there is none.
+	// Revision is the revision of the owner record to replace, 0 if there is none.
 	Revision uint64
 	Record   OwnerRecord
 }
@@ -21,15 +21,15 @@
 	DataCentre string
 }
 
-// Claims gives the runners without an owner for which this host comes first
-// among the hosts in force, and those it owned in an earlier epoch. Hosts of the
-// runner's own data centre come before others: most of what an owner says and
-// hears is about requests that stay there.
+// Claims returns the runners without a valid owner for which this host ranks first among
+// the live hosts, including those that it owned in an earlier epoch. Hosts in the runner's
+// data centre rank before others, since most of an owner's traffic concerns requests that
+// stay there.
 func (s *State) Claims(runners []Runner) []Claim {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	// Claimed under another epoch than its record tells, a runner would be claimed again and
-	// again: nobody takes such a claim for one in force.
+	// No host accepts a claim under another epoch than the one in the host's record, so a
+	// runner claimed that way would be claimed again and again.
 	if own, ok := s.members[s.self]; s.epoch == 0 || !ok || own.Broken || own.Epoch != s.epoch {
 		return nil
 	}
@@ -49,7 +49,7 @@
 	return claims
 }
 
-// JoinsSettled says that no host has joined for a time.
+// JoinsSettled reports whether no host has joined for at least since.
 func (s *State) JoinsSettled(now time.Time, since time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/counting.go
+++ b/internal/mesh/counting.go
@@ -7,16 +7,15 @@
 )
 
 const (
-	// membershipSettle is how long after hosts joined or left this host begins to count
-	// what another one counted: until the others know of the change too, both count. A
-	// heartbeat that tells of it takes two intervals to reach everybody.
+	// membershipSettle is how long after hosts joined or left a new leader waits before it
+	// counts what another host counted: until all know of the change, both count. A
+	// heartbeat with the change takes two intervals to reach all hosts.
 	membershipSettle = time.Second
-	// maxCachedLeaders bounds the keys for which the first host is remembered.
+	// maxCachedLeaders bounds the keys whose leader is cached.
 	maxCachedLeaders = 1 << 14
 )
 
-// LeaderFor gives the host that comes first for a key, empty where none is known, and
-// where it can be reached.
+// LeaderFor returns the host that leads a key and its address, or "" if no host is known.
 func (s *State) LeaderFor(key string) (host, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,20 +35,20 @@
 	return first
 }
 
-// Leadership is the right of one host to do alone what a key names.
+// Leadership is a host's exclusive right to act for a key.
 type Leadership struct {
-	// Since is when at least no other host had it any more.
+	// Since is a time from which certainly no other host has led the key.
 	Since time.Time
-	// Epoch is that of the lease that it rests on.
+	// Epoch is the epoch of the lease on which the leadership depends.
 	Epoch int64
 }
 
-// Leads says whether this host alone may do what a key names: it comes first for the
-// key, and its lease is not over.
+// Leads reports whether this host leads a key: it ranks first for the key and its lease is
+// valid.
 //
-// A host that is suspended or cut off would otherwise go on beside its successor, and what
-// each grants would add up. It suffices because the lease of a host is broken, and another
-// one comes first, only after the host's own lease has been over for the order gap.
+// Without the lease, a host that was suspended or cut off would go on beside its
+// successor, and the two would grant the same budget twice. Another host takes over only
+// after the lease is broken, which is at least the order gap after it expired.
 func (s *State) Leads(key string, now time.Time) (Leadership, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,7 +62,8 @@
 	return Leadership{Since: since, Epoch: s.epoch}, true
 }
 
-// MembershipChangedAt gives when hosts last joined or left, zero where this host has seen no change.
+// MembershipChangedAt returns when hosts last joined or left, or the zero time if this
+// host has seen no change.
 func (s *State) MembershipChangedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/delay.go
+++ b/internal/mesh/delay.go
@@ -5,30 +5,32 @@
 	"time"
 )
 
-// delayWindow is for how long the fastest message of a host is what its later ones are
-// measured by: long enough to hold one that met no queue, short enough that clocks drift by
+// delayWindow is how long a host's fastest message serves as the baseline for its later
+// ones: long enough to include one that was not queued, short enough that clocks drift by
 // less than a millisecond.
 const delayWindow = 20 * time.Second
 
-// delays tells how long messages of other hosts waited on their way, by clocks that agree in
-// their pace alone: a message is as late as it took longer than the fastest one lately.
+// delays estimates how long messages from other hosts were queued on their way. Clocks
+// need not agree, only run at the same rate: a message's delay is its transit time beyond
+// that of the fastest recent message.
 //
-// What another host says is as old as its message. Taken as new, words that a host finds when
-// it wakes from a suspension, or that waited on a full link, keep it from asking the store. It
-// is safe for concurrent use.
+// What a message says is as old as the message. Heartbeats that a host reads after a
+// suspension, or that were queued on a full link, would otherwise pass for current and
+// keep the host from asking the store. It is safe for concurrent use.
 type delays struct {
 	mu     sync.Mutex
 	byHost map[string]*offsetWindow
 }
 
-// offsetWindow are the least differences of clocks, of this window and the one before.
+// offsetWindow holds the smallest differences between arrival and send time, in the
+// current window and the previous one.
 type offsetWindow struct {
 	since             time.Time
 	previous, current time.Duration
 }
 
-// estimate gives how long a message waited that a host sent by its own clock and that came now, 0
-// for one that does not say when it was sent.
+// estimate returns how long a message was queued that a host sent at sentMS by its own
+// clock and that arrived now. It returns 0 if sentMS is 0, that is, unknown.
 func (d *delays) estimate(host string, sentMS int64, now time.Time) time.Duration {
 	if sentMS == 0 {
 		return 0
@@ -51,7 +53,7 @@
 	return took - min(f.previous, f.current)
 }
 
-// forget drops what was kept of a host.
+// forget drops the state of a host.
 func (d *delays) forget(host string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/mesh/eras.go
+++ b/internal/mesh/eras.go
@@ -7,57 +7,60 @@
 )
 
 const (
-	// eraPropagation is how long after one host has learnt of the store's new era the others have:
-	// heartbeats out of turn reach all within a few intervals of 450 ms.
+	// eraPropagation is how long after the first host learns of a new era of the store all
+	// others know of it: out-of-turn heartbeats reach all hosts within a few intervals of
+	// 450 ms.
 	eraPropagation = time.Second
-	// endedLeaseRetention is for how long it is remembered that a lease was broken. A store that comes
-	// back from a copy has lost some seconds.
+	// endedLeaseRetention is how long a broken lease is remembered. A store that is
+	// restored from a copy has lost some seconds.
 	endedLeaseRetention = 10 * time.Minute
-	// revisionBits is how much of a fencing token is the revision of the claim: enough for ten
-	// years of 3,200 writes a second. With the era above it, tokens stay below 2^53, the most
-	// that every reader of JSON takes.
+	// revisionBits is the number of low bits of a fencing token that hold the revision of
+	// the claim: enough for ten years of 3,200 writes a second. With the era above them
+	// tokens stay below 2^53, the largest integer that every JSON reader accepts.
 	revisionBits = 40
 )
 
-// eraRecordName names the record that tells up to which era the rights of earlier ones are over.
+// eraRecordName is the name of the store's EraRecord.
 const eraRecordName = "era"
 
-// EraRecord lets a process that starts know whether hosts may still act by what the store has
-// lost.
+// EraRecord tells a starting process whether other hosts may still act on records that the
+// store has lost.
 type EraRecord struct {
-	// Settled is the last era in which all hosts have stopped what they did by an earlier one.
+	// Settled is the last era in which all hosts have stopped acting on an earlier one.
 	Settled registry.Era `json:"settled"`
 }
 
-// fencingToken gives the token of a claim. Claims of a later era have higher ones, although
-// the store gives revisions out again.
+// fencingToken returns the fencing token of a claim. Tokens of a later era are higher,
+// although the store issues the same revisions again.
 func fencingToken(era registry.Era, revision uint64) uint64 {
 	return uint64(era)<<revisionBits | revision
 }
 
-// eraTransition is how a host goes from one era of the store to the next.
+// eraTransition is the state of a host's transition to a new era of the store.
 //
-// A store that comes back from a copy has lost leases, ends of leases and claims. Two hosts
-// then own one runner: one by what the store says now, one by what it has lost. So nobody
-// orders by the word of a new era before those that act by the old one have stopped, but the
-// host that did already, whose lease has been valid all the while: no other can have taken its
-// runners over.
+// A store that is restored from a copy has lost some leases, broken leases and claims. A
+// runner may then have two owners: one in the store's records, and one whose claim the
+// store has lost. So no host gives orders by the records of a new era before the hosts
+// that act on the old era have stopped. The exception is a host that owned the runner
+// before and whose lease was valid throughout, since no other host can have taken that
+// runner over.
 type eraTransition struct {
 	era registry.Era
-	// settled is the last era of which a record says that it is settled.
+	// settled is the last era that an EraRecord declared settled.
 	settled registry.Era
-	// eraSince is when this host learnt of the era.
+	// eraSince is when this host learned of the era.
 	eraSince time.Time
-	// retained names the owner records of the runners that this host goes on ordering.
+	// retained holds the names of the owner records of the runners that this host keeps
+	// giving orders to.
 	retained map[string]bool
-	// previousLeaseEnd is up to when the lease of the era before was valid.
+	// previousLeaseEnd is when the lease ends that was valid when the era changed.
 	previousLeaseEnd time.Time
-	// unverified says that it has not been looked whether the own record is as it was, named
-	// which witnesses it named.
+	// unverified is set until this host has checked that the store still has its own
+	// record as it was; recordWitnesses are the witnesses that the record named.
 	unverified      bool
 	recordWitnesses []string
-	// endedLeases tells of the hosts whose lease was broken in which epoch, also where the store
-	// has lost that.
+	// endedLeases holds the broken leases by host, including those that the store has
+	// lost.
 	endedLeases map[string]endedLease
 }
 
@@ -66,8 +69,8 @@
 	at    time.Time
 }
 
-// BeginEra notes that the store's records are now of another era. It comes before the changes
-// that this brings.
+// BeginEra records that the store's records now belong to another era. It must be called
+// before the resulting changes are applied.
 func (s *State) BeginEra(era registry.Era, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,39 +93,41 @@
 	for _, peer := range s.peers {
 		peer.votedRevision = 0
 	}
-	// Hosts that joined or left in what was lost are seen a moment later.
+	// Hosts that joined or left in the lost part reappear a moment later.
 	s.lastJoin = now
 }
 
-// mayOrderInEra says whether this host may order a runner by an owner record of the present era;
-// the lock is held.
+// mayOrderInEra reports whether this host may give orders to a runner by an owner record
+// of the current era. The caller holds s.mu.
 func (s *State) mayOrderInEra(name string, now time.Time) bool {
 	return s.retained[name] || s.eraSettled(now)
 }
 
-// eraSettled says whether all hosts have stopped what they did by an earlier era; the lock is
-// held.
+// eraSettled reports whether all hosts have stopped acting on earlier eras. The caller
+// holds s.mu.
 func (s *State) eraSettled(now time.Time) bool {
 	return s.era <= s.settled || now.Sub(s.eraSince) >= s.timing.breakTimeout()+eraPropagation
 }
 
-// dropRetainedIfLapsed drops what this host kept if its lease was over before it is valid again from a
-// moment; the lock is held. Others may have taken its runners over in between.
+// dropRetainedIfLapsed drops the retained runners if the lease expired before from, when
+// it becomes valid again: another host may have taken them over in between. The caller
+// holds s.mu.
 func (s *State) dropRetainedIfLapsed(from time.Time) {
 	if s.retained != nil && !from.Before(s.validUntil()) {
 		s.retained = nil
 	}
 }
 
-// UnverifiedRecord says whether it has to be looked whether the store still has the own record, and
-// gives the epoch and the witnesses that the record should have.
+// UnverifiedRecord reports whether the store must be checked for this host's own record,
+// and returns the epoch and the witnesses that the record should have.
 func (s *State) UnverifiedRecord() (epoch int64, witnesses []string, unchecked bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch, s.recordWitnesses, s.unverified
 }
 
-// RecordVerified notes that the store has the own record as it was: promises of its witnesses count.
+// RecordVerified records that the store has this host's record unchanged, so that the
+// promises of its witnesses count.
 func (s *State) RecordVerified() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -130,8 +135,9 @@
 	s.witnesses = s.recordWitnesses
 }
 
-// NextEpoch gives the epoch for a new own record, whatever the store still knows of those
-// before.
+// NextEpoch returns the epoch for a new record of this host. It is at least its last epoch
+// and higher than any epoch whose lease was broken, including epochs that the store has
+// lost.
 func (s *State) NextEpoch(stored HostRecord) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -142,7 +148,8 @@
 	return next
 }
 
-// noteLeaseEnd notes that a lease was broken in an epoch; the lock is held.
+// noteLeaseEnd remembers that a host's lease was broken in an epoch. The caller holds
+// s.mu.
 func (s *State) noteLeaseEnd(host string, epoch int64, now time.Time) {
 	if s.endedLeases == nil {
 		s.endedLeases = map[string]endedLease{}
@@ -157,16 +164,16 @@
 	}
 }
 
-// leaseKnownEnded says that a lease was broken, though the store may have lost that; the lock is
-// held.
+// leaseKnownEnded reports whether the lease in m is known to have been broken, even if the
+// store has lost that. The caller holds s.mu.
 func (s *State) leaseKnownEnded(host string, m member) bool {
 	lease, ok := s.endedLeases[host]
 	return ok && lease.epoch >= m.Epoch
 }
 
-// EraToSettle says whether this host is the one that has to note that the present era is settled.
-// Without the record each process that starts would wait for as long as hosts that act by an
-// earlier era may go on.
+// EraToSettle returns the current era and whether this host should record it as settled.
+// Without the record each starting process would wait for as long as hosts may still act
+// on an earlier era.
 func (s *State) EraToSettle(now time.Time) (registry.Era, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -9,32 +9,32 @@
 	"github.com/pkg/errors"
 )
 
-// fetchTimeout bounds one call of a fetch: an announcement, or a piece of what is fetched.
-// A source that takes longer is frozen, cut off or much asked; another one goes on.
+// fetchTimeout bounds one call of a fetch, which returns an announcement or one piece. A
+// slower source is frozen, cut off or overloaded, and the fetch moves on to another.
 const fetchTimeout = 500 * time.Millisecond
 
-// FetchParams asks for the records of a kind: those that changed after a revision of an era,
-// or those of the parts whose digests differ from the asker's, or all.
+// FetchParams asks for records of a kind: those changed after a revision of an era, those
+// of the parts whose digests differ from Parts, or all.
 type FetchParams struct {
 	Kind  string       `json:"kind"`
 	Since uint64       `json:"since,omitempty"`
 	Era   registry.Era `json:"era,omitempty"`
 	Parts []uint64     `json:"parts,omitempty"`
-	// PartialID is the ID of the parcel of which the asker has some pieces, 0 without any.
+	// PartialID is the ID of the archive of which the caller has some pieces, 0 if none.
 	PartialID uint64 `json:"begun,omitempty"`
 }
 
-// FetchResult gives the records, or announces them where they are many.
+// FetchResult returns the records, or announces an archive of them if they are many.
 type FetchResult struct {
 	registry.Snapshot
 	Archive *Announcement `json:"parcel,omitempty"`
 }
 
-// fetchUntilCurrent fetches a kind of record until no host is known that has more, from one source
-// after the other.
+// fetchUntilCurrent fetches a kind of record from one source after the other until no
+// known host has a newer version.
 //
-// Tied to one source, a host whose source froze waited out a second, and then until it was
-// told again, before it asked another.
+// When a host was tied to one source and that froze, it waited out a second, and then
+// until it heard of the change again, before it asked another.
 func (s *Service) fetchUntilCurrent(kind string) {
 	var left partialArchive
 	for {
@@ -60,12 +60,12 @@
 	}
 }
 
-// slowFetch is how long a fetch takes, or how long it was known that there is more, where
-// a line about it is worth its bytes.
+// slowFetch is the duration of a fetch, or of being behind, from which a fetch is logged
+// at info level.
 const slowFetch = 100 * time.Millisecond
 
-// logFetch logs what became of a fetch: failures and what took long, and the rest where
-// everything is logged. Records change several times a second in a busy fleet.
+// logFetch logs the outcome of a fetch: failures and slow fetches at info level, others at
+// debug level. Records change several times a second in a busy fleet.
 func (s *Service) logFetch(kind, address string, before registry.Version, took time.Duration, err error) {
 	behind, _ := s.freshness.behind(kind)
 	line := []any{
@@ -85,10 +85,11 @@
 	s.Log.Debug("records fetched from a peer", line...)
 }
 
-// errIncomplete: the peer does not know all that changed, or more differs than that.
+// errIncomplete is returned if the peer's changes do not cover all that differs.
 var errIncomplete = errors.New("the changes that the peer knows are not all that differs")
 
-// fetchChanges fetches what changed since this host knew all.
+// fetchChanges fetches the changes since the last complete version. It returns
+// errIncomplete if they do not bring this host up to the peer's version.
 func (s *Service) fetchChanges(address, kind string, left *partialArchive) error {
 	replica := s.Kinds[kind]
 	before := replica.Version()
@@ -105,7 +106,7 @@
 	return nil
 }
 
-// fetchParts fetches the parts that differ.
+// fetchParts fetches the records of the parts that differ.
 func (s *Service) fetchParts(address, kind string, left *partialArchive) error {
 	replica := s.Kinds[kind]
 	parts, before := replica.Parts()
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// fetchSnapshot asks a host and fetches the pieces of what it announces.
+// fetchSnapshot fetches records from a host, piece by piece if it announces an archive.
 func (s *Service) fetchSnapshot(address string, params FetchParams, left *partialArchive) (registry.Snapshot, error) {
 	var result FetchResult
 	params.PartialID = left.archive.ID
@@ -154,14 +155,14 @@
 	return s.Pool.Call(ctx, address, method, params, result)
 }
 
-// partialArchive is what a fetch has of a parcel. It outlives a source that fails: what has
-// come over a thin link is not sent again.
+// partialArchive is the part of an archive fetched so far. It is kept when a source fails,
+// so that bytes already received over a slow link are not sent again.
 type partialArchive struct {
 	archive Archive
 	data    []byte
 }
 
-// start goes on with a parcel, or begins another one.
+// start resumes the announced archive, or begins anew if it is another one.
 func (u *partialArchive) start(announced Announcement) {
 	if u.archive != announced.Archive {
 		*u = partialArchive{archive: announced.Archive}
@@ -191,7 +192,8 @@
 	if params.Since == 0 {
 		snapshot = replica.DifferingParts(params.Parts)
 	} else {
-		// Where the changes are not all known the asker hears so and asks for parts.
+		// If the changes are not all known, the result says so and the caller asks for
+		// parts.
 		snapshot, _ = replica.ChangedSince(registry.Position{Era: params.Era, Revision: params.Since})
 	}
 	if !exceedsInline(snapshot.Records) {
--- a/internal/mesh/join.go
+++ b/internal/mesh/join.go
@@ -9,14 +9,15 @@
 )
 
 const (
-	// silenceBeforeQuery is how long nobody may tell a host anything before it asks. It is
-	// as long as two heartbeats and leaves half of a configuration's two seconds.
+	// silenceBeforeQuery is how long a host waits without contact before it queries peers:
+	// two heartbeats, which leaves half of the two seconds in which a configuration takes
+	// effect.
 	silenceBeforeQuery = 900 * time.Millisecond
-	// queryInterval is the least time between two such questions, some 0.5 KB each.
+	// queryInterval is the minimum time between two queries, of about 0.5 KB each.
 	queryInterval = 400 * time.Millisecond
 )
 
-// KnownResult tells what a host knows of each kind of record.
+// KnownResult holds a host's version of each kind of record.
 type KnownResult struct {
 	Known map[string]KnownVersion `json:"known"`
 }
@@ -25,13 +26,13 @@
 	return KnownResult{Known: s.freshness.known()}, nil
 }
 
-// queryPeers asks a host for what it knows while nobody tells this host anything.
+// queryPeers asks one host for its versions while no other host contacts this one.
 //
-// The failure it answers: a process starts while the store is down or turns its
-// host away. It knows no other host, nobody sends it heartbeats since its record
-// is not there, and it turned all callers away until the store came back, eight
-// seconds on a bad day. The settings name hosts to begin with, and what those know
-// is as good as the store's word: replicas never go back.
+// A process that starts while the store is down or refuses its host knows no other host
+// and gets no heartbeats, since its record does not exist. Without this query it rejected
+// all requests until the store came back, up to eight seconds later. Peers from the
+// settings are as good a source as the store, because replicas never go back to an older
+// version.
 func (s *Service) queryPeers(ctx context.Context) {
 	now := s.Now()
 	if now.Sub(s.started) < queryInterval || now.Sub(s.queriedAt) < queryInterval || s.freshness.silence() < silenceBeforeQuery {
@@ -45,8 +46,8 @@
 	if s.queries == 0 {
 		s.queries = rand.IntN(len(candidates))
 	}
-	// In turn: drawn anew each time, a host that is gone was asked three times in a
-	// row by one process in eight, which then did not serve for a second more.
+	// Candidates are asked in turn. With a random choice each time, one process in eight
+	// asked a dead host three times in a row and began to serve a second later.
 	address := candidates[s.queries%len(candidates)]
 	s.queries++
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
@@ -60,8 +61,8 @@
 	s.learn("", address, answer.Known, nil, sent)
 }
 
-// queryCandidates gives the other hosts that can be asked: those that are known, or
-// else those that the settings name.
+// queryCandidates returns the addresses of the other known hosts, or the seeds from the
+// settings if none is known.
 func (s *Service) queryCandidates() []string {
 	var known []string
 	for _, host := range s.State.Members() {
@@ -81,27 +82,28 @@
 }
 
 const (
-	// watcherRetryPause is the longest pause after a failed call to the store of a host
-	// that others rely on, or that hears no other host.
+	// watcherRetryPause is the longest pause after a failed store call on a host that
+	// watches for others or has no contact to other hosts.
 	watcherRetryPause = 500 * time.Millisecond
-	// followerRetryPause is that of a host that hears others, in a fleet of up to
-	// patientFleet hosts; in a larger one it grows with the fleet, so that as
-	// many ask in all: one outage would otherwise cost a large fleet most of a day's calls.
+	// followerRetryPause is the longest such pause on other hosts, in a fleet of up to
+	// followerPauseFleet hosts. In a larger fleet it grows in proportion, so that the
+	// total rate of calls stays the same: one outage would otherwise cost a large fleet
+	// most of a day's calls.
 	followerRetryPause = 3 * time.Second
 	followerPauseFleet = 20
-	// contactTimeout is how long a host counts as hearing others.
+	// contactTimeout is how long after the last message from another host this host counts
+	// as in contact.
 	contactTimeout = 1200 * time.Millisecond
-	// fallbackStep is the time between two turns to ask the store in place of hosts that
-	// watch. What one learns reaches the hosts that it tells, and those that they tell,
-	// within two steps.
+	// fallbackStep is the time between two turns of hosts that ask the store in place of
+	// the watchers. A new version reaches the hosts that its finder tells, and those that
+	// they tell, within two steps.
 	fallbackStep = 40 * time.Millisecond
-	// behindTimeout is how long a host that knows of more than it has leaves it to other
-	// hosts to give it that.
+	// behindTimeout is how long a host that knows of a newer version waits for other hosts
+	// to supply it before it asks the store.
 	behindTimeout = 400 * time.Millisecond
 )
 
-// MaxRetryPause gives the longest pause after a failed call to the store for a kind of
-// record.
+// MaxRetryPause returns the longest pause after a failed store call for a kind of record.
 func (s *Service) MaxRetryPause(kind string) time.Duration {
 	if s.State.IsWatcher(kind) || s.freshness.silence() > contactTimeout {
 		return watcherRetryPause
--- a/internal/mesh/membership.go
+++ b/internal/mesh/membership.go
@@ -8,25 +8,24 @@
 	"github.com/cherrystage/cherrystage/internal/fleet"
 )
 
-// membership is what follows from which hosts are in force. It is worked out once
-// for each change of the members, and is not safe for concurrent use.
+// membership is data derived from the set of live hosts. It is computed once per change of
+// the members and is not safe for concurrent use.
 //
-// The load it answers: every host looks at leases, owners and watches several times
-// a second, and each look sorted and hashed all hosts, some of them once for each
-// host. In a fleet of 100 that was four fifths of an idle host's processor time, in
-// bursts during which its callers waited.
+// Every host checks leases, owners and watchers several times a second. When each check
+// sorted and hashed all hosts, some of them once per host, that took four fifths of an
+// idle host's processor time in a fleet of 100, in bursts that delayed requests.
 type membership struct {
-	// hosts are those in force, sorted.
+	// hosts are the hosts whose lease is not broken, sorted.
 	hosts        []string
 	byDataCentre map[string][]string
-	// ranked are the hosts in the order in which they look after a kind of record.
+	// ranked holds the hosts by kind of record, in the order in which they watch it.
 	ranked map[string][]string
-	// leaders are the hosts that come first for keys that were asked for.
+	// leaders caches the leader of each key that was asked for.
 	leaders map[string]string
 }
 
-// currentMembership gives the present membership; the lock is held. Its slices are shared and
-// must not be changed.
+// currentMembership returns the current membership. Its slices are shared and must not be
+// modified. The caller holds s.mu.
 func (s *State) currentMembership() *membership {
 	if s.membership != nil {
 		return s.membership
@@ -46,7 +45,7 @@
 	return m
 }
 
-// hostsNear gives the hosts of a data centre, or all if it has none.
+// hostsNear returns the hosts of a data centre, or all hosts if it has none.
 func (m *membership) hostsNear(centre string) []string {
 	if near := m.byDataCentre[centre]; len(near) > 0 {
 		return near
@@ -54,18 +53,19 @@
 	return m.hosts
 }
 
-// without gives the hosts but one.
+// without returns all hosts but one.
 func (m *membership) without(host string) []string {
 	return slices.DeleteFunc(slices.Clone(m.hosts), func(other string) bool { return other == host })
 }
 
-// watchersPerKind is the number of hosts that watch a kind of record: one may be dead,
-// cut off or deaf without the others noticing a delay.
+// watchersPerKind is the number of hosts that watch a kind of record, so that one can be
+// dead, cut off or without answers from the store without delaying the others.
 const watchersPerKind = 2
 
-// fallbackTurn gives a host's turn to ask the store for a kind of record: 0 for those that watch,
-// 1 for as many after them, and each time for twice as many. Of n hosts the last turn is
-// the binary logarithm of n or less, and that of a host that is not in force is the last.
+// fallbackTurn returns a host's turn to ask the store for a kind of record: 0 for the
+// watchers, 1 for as many hosts after them, and twice as many for each further turn. With
+// n hosts the last turn is at most the binary logarithm of n. A host that is not live gets
+// the last turn.
 func (m *membership) fallbackTurn(kind, host string) int {
 	ranked := m.rankedFor(kind)
 	rank := slices.Index(ranked, host)
@@ -75,11 +75,12 @@
 	return bits.Len(uint(rank / watchersPerKind))
 }
 
-// lastFallbackTurn gives the last of the turns in which the hosts of a fleet ask the store in place
-// of those that watch; the first one comes at once.
+// lastFallbackTurn returns the last turn in a fleet of a given size. The first turn asks
+// without delay.
 func lastFallbackTurn(hosts int) int { return bits.Len(uint((hosts - 1) / watchersPerKind)) }
 
-// MaxFallbackDelay gives for how long the last host of a fleet waits for its turn to ask the store.
+// MaxFallbackDelay returns how long the last host of a fleet waits for its turn to ask the
+// store.
 func MaxFallbackDelay(hosts int) time.Duration { return fallbackDelay(lastFallbackTurn(hosts)) }
 
 func fallbackDelay(turn int) time.Duration { return time.Duration(turn-1) * fallbackStep }
@@ -89,7 +90,7 @@
 	return ranked[:min(len(ranked), watchersPerKind)]
 }
 
-// rankedFor gives the hosts in the order in which they look after a kind of record.
+// rankedFor returns the hosts in the order in which they watch a kind of record.
 func (m *membership) rankedFor(kind string) []string {
 	ranked, known := m.ranked[kind]
 	if !known {
--- a/internal/mesh/parcels.go
+++ b/internal/mesh/parcels.go
@@ -17,52 +17,52 @@
 )
 
 const (
-	// maxInlineBytes is the size of records up to which they are sent as they are. A message
-	// of this size takes 7 ms of a link of 10 Mbit/s.
+	// maxInlineBytes is the size up to which records are sent inline. A message of this
+	// size takes 7 ms on a 10 Mbit/s link.
 	maxInlineBytes = 8 << 10
-	// pieceBytes is the size of a piece, 18 ms of a link of 10 Mbit/s as it is sent: what
-	// waits behind it on the link, heartbeats among it, keeps its own time limit.
+	// pieceBytes is the size of a piece, which takes 18 ms on a 10 Mbit/s link as encoded.
+	// Messages queued behind it, such as heartbeats, still meet their timeouts.
 	pieceBytes = 16 << 10
-	// maxArchives, maxParcelBytes and parcelLife bound what is kept packed for hosts that
-	// fetch it: a parcel for each of those that hear of a change from this host, who may each
-	// lack something else.
+	// maxArchives, maxArchiveBytes and archiveRetention bound the cache. It needs an
+	// archive for each host that hears of a change from this one, since each may lack
+	// something else.
 	maxArchives      = 32
 	maxArchiveBytes  = 2 << 20
 	archiveRetention = 10 * time.Second
-	// maxUnpackedBytes bounds what a host makes of another's parcel.
+	// maxUnpackedBytes bounds the unpacked size of a received archive.
 	maxUnpackedBytes = 64 << 20
 )
 
-// Archive announces records that are fetched in pieces.
+// Archive identifies packed records that are fetched in pieces.
 type Archive struct {
-	// ID names the packed bytes: two hosts that hold the same records give the same bytes
-	// under the same ID, so that a fetch that one of them left unfinished goes on at the
-	// other.
+	// ID identifies the packed bytes. Hosts that hold the same records produce the same
+	// bytes under the same ID, so that a fetch interrupted at one host can resume at
+	// another.
 	ID uint64 `json:"id"`
-	// Bytes is the size of all pieces together.
+	// Bytes is the total size of all pieces.
 	Bytes int `json:"bytes"`
 }
 
-// Announcement is a parcel with its first piece, which is left out for a host that has begun
-// to fetch the parcel.
+// Announcement announces an archive with its first piece, which is omitted if the caller
+// already has a part of that archive.
 type Announcement struct {
 	Archive
 	First []byte `json:"first,omitempty"`
 }
 
-// PieceParams asks for a piece of a parcel.
+// PieceParams asks for a piece of an archive.
 type PieceParams struct {
 	ID     uint64 `json:"id"`
 	Offset int    `json:"offset"`
 }
 
-// PieceResult is a piece of a parcel.
+// PieceResult is a piece of an archive.
 type PieceResult struct {
 	Data []byte `json:"data"`
 }
 
-// archiveCache keeps packed records for the hosts that fetch them. It is safe for concurrent
-// use.
+// archiveCache keeps packed records for the hosts that fetch them. It is safe for
+// concurrent use.
 type archiveCache struct {
 	now func() time.Time
 
@@ -73,14 +73,14 @@
 type cachedArchive struct {
 	id   uint64
 	used time.Time
-	// size is that of data once it is packed, and is the parcels' to set.
+	// size is the length of data once it is packed. It is set under the cache's lock.
 	size int
 	once sync.Once
 	data []byte
 	err  error
 }
 
-// exceedsInline says whether records are too many to be sent as they are.
+// exceedsInline reports whether records are too large to be sent inline.
 func exceedsInline(records []registry.Record) bool {
 	bytes := 0
 	for _, record := range records {
@@ -89,7 +89,7 @@
 	return bytes > maxInlineBytes
 }
 
-// pack keeps records and announces them.
+// pack packs records and keeps the archive.
 func (p *archiveCache) pack(kind string, records []registry.Record) (Archive, error) {
 	slices.SortFunc(records, func(a, b registry.Record) int { return cmp.Compare(a.Name, b.Name) })
 	parcel := p.getOrAdd(archiveID(kind, records))
@@ -98,8 +98,8 @@
 	return Archive{ID: parcel.id, Bytes: len(parcel.data)}, parcel.err
 }
 
-// announce packs records for a host that has begun to fetch the parcel with an ID, 0 for one
-// that has not.
+// announce packs records and announces the archive, with the first piece unless the caller
+// has begun to fetch that archive. partialID is 0 if the caller has none.
 func (p *archiveCache) announce(kind string, records []registry.Record, begun uint64) (*Announcement, error) {
 	parcel, err := p.pack(kind, records)
 	if err != nil {
@@ -112,7 +112,7 @@
 	return announced, nil
 }
 
-// evict drops the parcels that were asked for longest ago, but not the one given.
+// evict drops the least recently used archives, but not the latest one.
 func (p *archiveCache) evict(latest *cachedArchive) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -134,7 +134,7 @@
 	}
 }
 
-// archiveID tells records apart by all that is packed of them.
+// archiveID returns a hash of everything that is packed of the records.
 func archiveID(kind string, records []registry.Record) uint64 {
 	digest := xxhash.New()
 	_, _ = fmt.Fprint(digest, kind)
@@ -145,7 +145,7 @@
 	return digest.Sum64()
 }
 
-// getOrAdd gives the parcel with an ID, a new one where there is none.
+// getOrAdd returns the archive with an ID and adds an empty one if there is none.
 func (p *archiveCache) getOrAdd(id uint64) *cachedArchive {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -157,7 +157,8 @@
 	return parcel
 }
 
-// lookup gives a parcel, and drops those that nobody has asked for lately; the lock is held.
+// lookup returns the archive with an ID, or nil, and drops expired archives. The caller
+// holds p.mu.
 func (p *archiveCache) lookup(id uint64) *cachedArchive {
 	now := p.now()
 	p.archives = slices.DeleteFunc(p.archives, func(kept *cachedArchive) bool { return now.Sub(kept.used) > archiveRetention })
@@ -170,7 +171,7 @@
 	return nil
 }
 
-// piece gives a piece of a parcel, and whether the parcel is kept.
+// piece returns a piece of an archive and whether the cache has it.
 func (p *archiveCache) piece(params PieceParams) ([]byte, bool) {
 	p.mu.Lock()
 	parcel := p.lookup(params.ID)
@@ -181,7 +182,7 @@
 	return parcel.data[params.Offset:min(len(parcel.data), params.Offset+pieceBytes)], true
 }
 
-// deflate packs records: configurations of many routes shrink to a tenth and less.
+// deflate packs records. Configurations with many routes shrink to a tenth or less.
 func deflate(records []registry.Record) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
--- a/internal/mesh/records.go
+++ b/internal/mesh/records.go
@@ -7,8 +7,8 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// Kind is the kind of this package's records in the store. Hosts and owners
-// share a kind, so that one watch tells of both.
+// Kind is the store's kind of this package's records. Host and owner records share it, so
+// that one watch covers both.
 const Kind = "cherrystage-fleet"
 
 const (
@@ -16,24 +16,24 @@
 	ownerPrefix = "runner."
 )
 
-// HostRecord makes a host known to the others, and is its lease.
+// HostRecord announces a host to the others and holds its lease.
 type HostRecord struct {
 	Address     string `json:"address"`
 	DataCentre  string `json:"data_centre"`
 	Incarnation string `json:"incarnation"`
-	// Epoch grows whenever the lease was broken. What the host owned under an
-	// older epoch is no longer its own.
+	// Epoch increases each time after the lease was broken. Runners claimed under an older
+	// epoch no longer belong to the host.
 	Epoch int64 `json:"epoch"`
-	// Renewals grows with each renewal in the store.
+	// Renewals counts the renewals of the lease in the store.
 	Renewals int64 `json:"renewals"`
-	// Witnesses are the hosts whose promises keep the lease, and of which a
-	// majority must agree to break it.
+	// Witnesses are the hosts whose promises keep the lease valid. A majority of them must
+	// agree to break it.
 	Witnesses []string `json:"witnesses,omitempty"`
-	// Broken says that peers ended the lease.
+	// Broken reports that other hosts broke the lease.
 	Broken bool `json:"broken,omitempty"`
 }
 
-// OwnerRecord says which host gives orders to the runner at an address.
+// OwnerRecord names the host that gives orders to the runner at an address.
 type OwnerRecord struct {
 	Host  string `json:"host"`
 	Epoch int64  `json:"epoch"`
@@ -41,26 +41,26 @@
 
 func hostRecordName(host string) string { return hostPrefix + host }
 
-// ownerRecordName is keyed by address: a runner that restarts keeps its owner, so
-// that no second host gives orders to the same runner at that moment.
+// ownerRecordName is keyed by address, so that a runner keeps its owner when it restarts
+// and no second host gives orders to it at that moment.
 func ownerRecordName(address string) string {
 	return ownerPrefix + strings.ReplaceAll(address, ":", "-")
 }
 
-// member is a host record with its place in the store.
+// member is a host record with its revision in the store.
 type member struct {
 	HostRecord
 	revision uint64
 }
 
-// owner is an owner record with its place in the store; the revision at which
-// it was claimed is the owner's fencing token.
+// owner is an owner record with its revision in the store. The revision of the claim is
+// part of the owner's fencing token.
 type owner struct {
 	OwnerRecord
 	revision uint64
 }
 
-// otherRecords gives the changes of records that are neither a host's nor an owner's.
+// otherRecords returns the changes of records that are neither host nor owner records.
 func otherRecords(changes []registry.Change) []registry.Change {
 	var other []registry.Change
 	for _, change := range changes {
@@ -80,8 +80,8 @@
 	return era, err == nil
 }
 
-// normalizeSpec brings a record of this kind into one form, whoever wrote it: hosts compare records
-// by their bytes.
+// normalizeSpec returns a record's JSON in a canonical form, because hosts compare records
+// byte by byte.
 func normalizeSpec(spec json.RawMessage) json.RawMessage {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(spec, &fields); err != nil {
--- a/internal/mesh/service.go
+++ b/internal/mesh/service.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// loopInterval is how often leases and owners are looked at.
+	// loopInterval is the interval of the main loop, which checks leases and owners.
 	loopInterval = 200 * time.Millisecond
 	// storeTimeout bounds a write to the store.
 	storeTimeout = time.Second
-	// startupSettle is how long a fresh host waits before it claims runners: all
-	// hosts of a deployment start within 300 ms of each other, and one that
-	// knows only itself would claim all runners.
+	// startupSettle is how long a new process waits before it claims runners. All hosts of
+	// a deployment start within 300 ms of each other, and one that knows no other host
+	// would claim all runners.
 	startupSettle = 1200 * time.Millisecond
-	// joinSettle is how long after a host joined runners are claimed: while hosts
-	// still join, several believe that they come first for a runner.
+	// joinSettle is how long claims wait after a host joined. While hosts are still
+	// joining, several of them rank first for a runner in their own view.
 	joinSettle = 600 * time.Millisecond
-	// settleEraPause is the pause after a try to note that an era is settled.
+	// settleEraPause is the pause after an attempt to record an era as settled.
 	settleEraPause = 2 * time.Second
 	// deadRecordRetention is how long the record of a dead host is kept.
 	deadRecordRetention = 60 * time.Second
@@ -43,15 +43,15 @@
 	methodKnown     = "mesh.known"
 )
 
-// StatusExchange is what hosts tell each other in heartbeats.
+// StatusExchange supplies and receives the status that heartbeats carry.
 type StatusExchange interface {
-	// Status gives what a peer should know.
+	// Status returns this host's status for its peers.
 	Status() any
-	// ReceiveStatus takes over what a peer told.
+	// ReceiveStatus handles the status of a peer.
 	ReceiveStatus(host string, status json.RawMessage)
 }
 
-// Service does the I/O of the mesh.
+// Service performs the I/O of the package: heartbeats, fetches and store writes.
 type Service struct {
 	Deps
 	fleet     *registry.Replica
@@ -67,22 +67,24 @@
 	senders       map[string]*heartbeatSender
 	breakAttempts map[string]*breakAttempt
 	wakeup        chan struct{}
-	// queriedAt is when a host was last asked out of turn, asks how often; they and
-	// storeAgain, until when the store is left alone after a failure, are Run's.
+	// queriedAt is when a peer was last queried, queries the number of queries. After a
+	// failed call the store is not called before storeRetryAt. Only Run's goroutine uses
+	// them.
 	queriedAt    time.Time
 	queries      int
 	storeRetryAt time.Time
 	storeBackoff time.Duration
-	// settleRetryAt is when it may be noted again that an era is settled. It is Run's.
+	// settleRetryAt is when an era may next be recorded as settled. Only Run's goroutine
+	// uses it.
 	settleRetryAt time.Time
 }
 
-// Deps are what a service works with.
+// Deps are the dependencies of a Service.
 type Deps struct {
 	Self       peer.Identity
 	Address    string
 	DataCentre string
-	// Seeds are addresses of hosts that a new process may ask first.
+	// Seeds are the addresses of peers that a new process may query first.
 	Seeds []string
 	State *State
 	Store registry.Store
@@ -90,16 +92,16 @@
 	Kinds    map[string]*registry.Replica
 	Pool     *peer.Pool
 	Statuses StatusExchange
-	// Runners gives the runners that need an owner.
+	// Runners returns the runners that need an owner.
 	Runners func() []Runner
-	// OtherChanges takes changes of records that are neither a host's nor an owner's. They share
-	// the kind, so that no further watch is needed for what seldom changes.
+	// OtherChanges receives changes of records that are neither host nor owner records.
+	// They share the kind because they change too seldom for a watch of their own.
 	OtherChanges func(changes []registry.Change)
 	Now          func() time.Time
 	Log          hclog.Logger
 }
 
-// NewService makes a service.
+// NewService returns a Service that does not run yet.
 func NewService(deps Deps) *Service {
 	s := &Service{Deps: deps, started: deps.Now(), senders: map[string]*heartbeatSender{}, breakAttempts: map[string]*breakAttempt{}, wakeup: make(chan struct{}, 1), archives: archiveCache{now: deps.Now}}
 	s.fleet = registry.NewReplica()
@@ -122,7 +124,7 @@
 	return s
 }
 
-// forgetRemovedHosts drops what was kept of hosts whose records are gone.
+// forgetRemovedHosts drops the delay estimates of hosts whose records were removed.
 func (s *Service) forgetRemovedHosts(changes []registry.Change) {
 	for _, change := range changes {
 		if host, ok := strings.CutPrefix(change.Name, hostPrefix); ok && change.Removed {
@@ -131,23 +133,22 @@
 	}
 }
 
-// ReplicationStatus tells, for the metrics, what the host knows of the store's records and how old
-// that may be.
+// ReplicationStatus holds the versions and ages of this host's records, for the metrics.
 type ReplicationStatus struct {
 	Kinds         map[string]KindStatus `json:"kinds"`
 	Fetches       int64                 `json:"fetches"`
 	FetchesFailed int64                 `json:"fetches_failed"`
 }
 
-// KindStatus is how old what is known of a kind of record may be, and for how long it has
-// been known that there is more.
+// KindStatus is the position and the greatest possible age of a kind of record, and how
+// long newer records have been known to exist.
 type KindStatus struct {
 	registry.Position
 	AgeMS    int64 `json:"age_ms"`
 	BehindMS int64 `json:"behind_ms"`
 }
 
-// ReplicationStatus gives what the host knows.
+// ReplicationStatus returns the state of this host's records.
 func (s *Service) ReplicationStatus() ReplicationStatus {
 	told := ReplicationStatus{Kinds: map[string]KindStatus{}, Fetches: s.fetches.Load(), FetchesFailed: s.fetchesFailed.Load()}
 	for kind, known := range s.freshness.known() {
@@ -157,7 +158,7 @@
 	return told
 }
 
-// Fleet is the replica of this package's records.
+// Fleet returns the replica of this package's records.
 func (s *Service) Fleet() *registry.Replica { return s.fleet }
 
 // Register adds the methods that peers call.
@@ -176,7 +177,7 @@
 	}
 }
 
-// Run keeps the lease, the owners and the heartbeats until the context ends.
+// Run maintains the lease, the owner records and the heartbeats until the context ends.
 func (s *Service) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		s.maintainLease(ctx)
@@ -197,8 +198,8 @@
 	}
 }
 
-// maintainLease writes the own record: at the start, after the lease was broken,
-// where promises are missing and where other witnesses are wanted.
+// maintainLease writes this host's record if it is not registered, if its lease was
+// broken, if promises are missing, or if the witnesses change.
 func (s *Service) maintainLease(ctx context.Context) {
 	if s.Now().Before(s.storeRetryAt) {
 		return
@@ -210,8 +211,8 @@
 		return
 	}
 	if s.Now().Sub(s.started) < startupSettle {
-		// The others are not known yet, and nothing is owned that needs a lease:
-		// witnesses chosen now would be chosen anew, a write each time.
+		// The other hosts are not known yet, and no owned runner needs a lease. Witnesses
+		// chosen now would soon change, at the cost of a write each time.
 		return
 	}
 	witnesses, others := s.State.ChooseWitnesses(s.Now())
@@ -222,7 +223,7 @@
 
 func (s *Service) register(ctx context.Context) {
 	if s.fleet.Revision() == 0 {
-		// Whether there is a record of an earlier life is not known yet.
+		// It is not known yet whether the store has a record of an earlier process.
 		return
 	}
 	name := hostRecordName(s.Self.Host)
@@ -233,8 +234,8 @@
 	}
 	own.Epoch, own.Broken = s.State.NextEpoch(own), false
 	own.Address, own.DataCentre, own.Incarnation = s.Address, s.DataCentre, s.Self.Incarnation
-	// A process that has just started knows nobody yet; the witnesses that its
-	// record names are as good as ever. So are those of a record that the store has lost.
+	// A process that has just started knows no hosts yet and keeps the witnesses of its
+	// record. The same goes for a record that the store has lost.
 	if _, wanted, lost := s.State.UnverifiedRecord(); lost && len(wanted) > 0 {
 		own.Witnesses = wanted
 	} else if witnesses, _ := s.State.ChooseWitnesses(s.Now()); len(witnesses) > 0 {
@@ -258,7 +259,7 @@
 	s.Log.Info("registered", "epoch", own.Epoch, "revision", record.Revision, "witnesses", len(own.Witnesses))
 }
 
-// ownRecordLost says whether the store came back without the own record as it was.
+// ownRecordLost reports whether the store came back without this host's current record.
 func (s *Service) ownRecordLost() bool {
 	epoch, witnesses, unchecked := s.State.UnverifiedRecord()
 	if !unchecked {
@@ -273,8 +274,8 @@
 	return false
 }
 
-// applyRecord notes a record that the store answered with, and says whether the answer is of the era
-// that this host goes by. By one of another era it may do nothing yet.
+// applyRecord applies a record from a store's answer, and reports whether the answer
+// belongs to this host's era. On a record of another era the host must not act yet.
 func (s *Service) applyRecord(record registry.Record) bool {
 	if s.fleet.Put(record) {
 		return true
@@ -284,7 +285,7 @@
 	return false
 }
 
-// settleEra notes in the store that an era is settled, once it is.
+// settleEra records in the store that the current era is settled, once it is.
 func (s *Service) settleEra(ctx context.Context) {
 	now := s.Now()
 	era, due := s.State.EraToSettle(now)
@@ -318,7 +319,7 @@
 	return s.Store.Update(ctx, Kind, name, own, revision)
 }
 
-// renew renews the lease in the store and names the witnesses.
+// renew renews the lease in the store with the given witnesses.
 func (s *Service) renew(ctx context.Context, witnesses []string) {
 	current, ok := s.fleet.Get(hostRecordName(s.Self.Host))
 	if !ok {
@@ -338,7 +339,7 @@
 	switch {
 	case err == nil:
 		if !s.applyRecord(record) {
-			// Which witnesses the record of that era names is not known here.
+			// It is not known which witnesses the record of the other era names.
 			s.State.RenewalUncertain()
 			s.backOffStore()
 			return
@@ -359,16 +360,16 @@
 	}
 }
 
-// backOffStore leaves the store alone for a time after a call of keepRecord failed.
-// A host without a lease called it five times a second for as long as an outage
-// lasted; it orders nothing meanwhile and loses at most the pause by it.
+// backOffStore suspends calls by maintainLease after one failed. A host without a lease
+// called the store five times a second for the length of an outage. It gives no orders
+// meanwhile, and loses at most the pause.
 func (s *Service) backOffStore() {
 	s.storeBackoff = min(max(loopInterval, 2*s.storeBackoff), watcherRetryPause)
 	s.storeRetryAt = s.Now().Add(s.storeBackoff)
 }
 
-// rereadOwnRecord finds out which own record is in force: that of an earlier renewal
-// whose answer was lost, or one that ended the lease.
+// rereadOwnRecord reads this host's record to see whether an earlier renewal whose answer
+// was lost was written, or whether the lease was broken.
 func (s *Service) rereadOwnRecord(ctx context.Context) {
 	sent := s.Now()
 	era := s.fleet.Position().Era
@@ -391,12 +392,12 @@
 		s.Log.Warn("lease lost", "broken", m.Broken, "epoch", m.Epoch)
 		return
 	}
-	// A write that is still under way will find another revision than it wants
-	// once this one is renewed, so the witnesses read here hold from then on.
+	// A write that is still in flight will fail on its revision once this record is
+	// renewed, so the witnesses read here hold from then on.
 	s.Log.Debug("own record read", "revision", record.Revision, "read_ms", s.Now().Sub(sent).Milliseconds())
 }
 
-// failOver ends the leases of dead peers and claims runners without an owner.
+// failOver breaks the leases of dead peers and claims runners without an owner.
 func (s *Service) failOver(ctx context.Context) {
 	now := s.Now()
 	breakable := s.State.Breakable(now)
@@ -412,9 +413,8 @@
 		return
 	}
 	if !s.freshness.confirmedSince(Kind, s.started.Add(joinSettle)) {
-		// What was listed at the start lacks the hosts that started a moment later.
-		// Two hosts would claim each runner, and one of them read the record to see why
-		// it could not.
+		// The first listing lacks hosts that started a moment later. Two hosts would claim
+		// each runner, and one of them would read the record to see why it failed.
 		return
 	}
 	for _, claim := range s.State.Claims(s.Runners()) {
@@ -441,7 +441,8 @@
 	s.Log.Info("runner claimed", "address", claim.Address, "token", fencingToken(record.Era, record.Revision), "epoch", claim.Record.Epoch)
 }
 
-// refreshAfterConflict reads a record again after a conflict; the watch may be behind.
+// refreshAfterConflict reads a record again after a conflict or a lost answer, because the
+// watch may be behind.
 func (s *Service) refreshAfterConflict(ctx context.Context, name string, cause error) {
 	if !registry.IsConflict(cause) && !errors.Is(cause, objectapi.ErrAnswerLost) {
 		return
--- a/internal/mesh/spread.go
+++ b/internal/mesh/spread.go
@@ -8,53 +8,53 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// KnownVersion is what a host knows of a kind of record.
+// KnownVersion is a host's version of a kind of record.
 type KnownVersion struct {
 	registry.Version
-	// AgeMS is how long ago the store said that this is all.
+	// AgeMS is how long ago, in milliseconds, the store confirmed the version as current.
 	AgeMS int64 `json:"age_ms"`
 }
 
-// unconfirmedAge is the age of what the store never confirmed.
+// unconfirmedAge is the age of a version that the store never confirmed.
 const unconfirmedAge = time.Hour
 
-// freshness keeps how fresh the replicas are. Few hosts watch the store; the others
-// hear from them, or from who heard, that they have everything. A host that
-// hears nothing asks the store itself, so hosts that are cut off from the
-// others miss nothing. It is safe for concurrent use.
+// freshness tracks how current the replicas are. Few hosts watch the store. The others
+// learn from them, directly or through further hosts, that their records are complete. A
+// host without contact asks the store itself, so that it misses nothing while cut off from
+// the others. It is safe for concurrent use.
 type freshness struct {
 	now func() time.Time
 
 	mu    sync.Mutex
 	kinds map[string]*kindFreshness
-	// lastContact is when another host last told what it knows.
+	// lastContact is when another host last sent its versions.
 	lastContact time.Time
 }
 
-// kindFreshness is how fresh one replica is, and who has more.
+// kindFreshness tracks how current one replica is and which hosts have newer records.
 type kindFreshness struct {
 	replica *registry.Replica
-	// asOf is a moment up to which the replica has everything, by the store's word.
+	// asOf is the time up to which, according to the store, the replica is complete.
 	asOf time.Time
-	// staleListAt is when the replica was listed from a copy of the store.
+	// staleListAt is when the replica was listed from a stale copy of the store.
 	staleListAt time.Time
-	// sources are hosts that told of more than the replica has, the last one last;
-	// fetching says that they are being asked.
+	// sources are hosts that announced newer records, the latest last. fetching is set
+	// while they are being asked.
 	sources  []source
 	fetching bool
-	// missing is the position that the replica was first told of and does not have, since
-	// lackingSince.
+	// missing is the first announced position that the replica does not have, known since
+	// missingSince.
 	missing      registry.Position
 	missingSince time.Time
 }
 
-// source is a host that has more than this one.
+// source is a host with newer records.
 type source struct {
 	address string
 	at      registry.Position
 }
 
-// maxSources is how many hosts that have more of a kind of record are remembered.
+// maxSources bounds the sources kept for a kind of record.
 const maxSources = 4
 
 func newFreshness(replicas map[string]*registry.Replica, now func() time.Time) *freshness {
@@ -65,7 +65,7 @@
 	return s
 }
 
-// confirm notes that a replica has everything up to a moment.
+// confirm records that a replica is complete up to asOf.
 func (s *freshness) confirm(kind string, asOf time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +84,8 @@
 	s.kinds[kind].staleListAt = s.now()
 }
 
-// ageForFallback is the age by which a host turns to the store itself: a listing from a
-// copy counts as new, for the hosts that watch tell what it lacks.
+// ageForFallback returns the age that decides when a host asks the store itself. A stale
+// listing counts as current, since the watching hosts announce what it lacks.
 func (s *freshness) ageForFallback(kind string) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -110,7 +110,7 @@
 	return now.Sub(k.asOf)
 }
 
-// behind says whether there is more than this host has, and for how long it has known.
+// behind reports whether newer records are known to exist, and for how long.
 func (s *freshness) behind(kind string) (since time.Duration, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -123,14 +123,15 @@
 
 func (k *kindFreshness) isBehind() bool { return k.replica.Position().Before(k.missing) }
 
-// silence gives how long no other host has told anything.
+// silence returns the time since another host last sent anything.
 func (s *freshness) silence() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.now().Sub(s.lastContact)
 }
 
-// confirmedSince says whether a kind of record was confirmed as of a moment or later.
+// confirmedSince reports whether the store confirmed a kind of record as of a time after
+// moment.
 func (s *freshness) confirmedSince(kind string, moment time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -147,15 +148,15 @@
 	return known
 }
 
-// minAgeGain is by how much what a host knows has to be younger to be worth telling. It
-// is a tenth of the age from which a host asks the store itself.
+// minAgeGain is how much younger a confirmation must be to be worth sending. It is a tenth
+// of the age at which a host asks the store itself.
 const minAgeGain = 150 * time.Millisecond
 
-// newsFor gives what a peer lacks of what this host knows: kinds of which it knows
-// less, and those of which it knows the same for longer.
+// newsFor returns the versions that a peer lacks: kinds of which this host has newer
+// records, and kinds with the same records but a younger confirmation.
 //
-// Of what heartbeats say in a fleet at rest nearly all is known; told each time, it is the
-// larger part of what goes between data centres.
+// In an idle fleet nearly everything is known already; sent each time, it would make up
+// most of the bytes between data centres.
 func (s *freshness) newsFor(theirs map[string]KnownVersion) map[string]KnownVersion {
 	lacking := map[string]KnownVersion{}
 	for kind, own := range s.known() {
@@ -169,7 +170,7 @@
 	return lacking
 }
 
-// expectEra notes that the store answered in an era of which the replica knows nothing yet.
+// expectEra records that the store answered in an era later than the replica's.
 func (s *freshness) expectEra(kind string, era registry.Era) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -179,15 +180,15 @@
 	}
 }
 
-// noteContact notes that another host answered or asked.
+// noteContact records that another host answered or called.
 func (s *freshness) noteContact() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lastContact = s.now()
 }
 
-// learn takes over what the peer at an address knew at a moment, and gives the kinds that
-// are now to be fetched.
+// learn merges the versions that the peer at an address had at a moment, and returns the
+// kinds to fetch.
 func (s *freshness) learn(address string, theirs map[string]KnownVersion, moment time.Time) []string {
 	s.adoptPositions(theirs)
 	s.mu.Lock()
@@ -214,8 +215,8 @@
 	return fetch
 }
 
-// adoptPositions moves replicas that hold what a peer does to the peer's position, where that is of
-// another era or they have not had the store's own word.
+// adoptPositions moves replicas with the same records as a peer's to the peer's position,
+// if it belongs to another era or the store has not confirmed them yet.
 func (s *freshness) adoptPositions(theirs map[string]KnownVersion) {
 	for kind, known := range theirs {
 		k := s.kinds[kind]
@@ -228,7 +229,7 @@
 	}
 }
 
-// addSource remembers who has more.
+// addSource remembers a host with newer records.
 func (k *kindFreshness) addSource(by source, now time.Time) {
 	if !k.isBehind() {
 		k.missing, k.missingSince = by.at, now
@@ -240,8 +241,8 @@
 	k.sources = append(k.sources, by)
 }
 
-// nextSource gives the host that last told of more than this one has, and forgets it: it is
-// asked again once it tells so again. Without any the fetching has ended.
+// nextSource removes and returns the host that last announced newer records; it is asked
+// again once it announces them again. If there is none, the fetch ends.
 func (s *freshness) nextSource(kind string) (address string, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/state.go
+++ b/internal/mesh/state.go
@@ -1,11 +1,11 @@
-// Package mesh is how hosts act together: who they are, and which of them
+// Package mesh coordinates the hosts of a fleet: which hosts are live, and which of them
 // gives orders to which runner.
 //
-// Each host names a few others its witnesses. It may give orders while a
-// majority of them has lately promised not to let its lease be broken; a
-// promise is the answer to a heartbeat. Where promises are missing, the lease is
-// renewed in the store instead. So the store is needed only where hosts do not
-// hear each other, and a host's cost does not grow with the fleet.
+// Each host names a few others as its witnesses. It may give orders while a majority of
+// them recently promised not to break its lease; a promise is the answer to a heartbeat.
+// If promises are missing, the host renews the lease in the store instead. So the store is
+// needed only when hosts cannot reach each other, and a host's cost does not grow with the
+// fleet.
 package mesh
 
 import (
@@ -17,43 +17,43 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// Timing sets the leases.
+// Timing holds the durations of leases.
 type Timing struct {
 	// Lease is how long a promise or a renewal lets a host give orders.
 	Lease time.Duration
-	// OrderGap is the time that must lie between the orders of two hosts to one
-	// runner. It is the deployment's.
+	// OrderGap is the minimum time between the orders of two hosts to one runner. The
+	// deployment sets it.
 	OrderGap time.Duration
-	// Margin is kept on both sides for the way of an order and for clocks that
-	// run at slightly different rates.
+	// Margin allows for the transit time of an order and for clocks that run at slightly
+	// different rates. It is applied on both sides.
 	Margin time.Duration
 }
 
-// Usual timing. A lease of 1.5 s survives four lost heartbeats of 300 ms, and
-// ends early enough that a takeover takes about 5 s with a gap of 3 s.
+// Default timing. A lease of 1.5 s survives four lost heartbeats of 300 ms, and ends early
+// enough that a takeover takes about 5 s with a gap of 3 s.
 const (
 	DefaultLease  = 1500 * time.Millisecond
 	DefaultMargin = 200 * time.Millisecond
 )
 
-// breakTimeout is how long a host must have been silent before its lease is broken:
-// it has then stopped giving orders for the length of the gap.
+// breakTimeout returns how long a host must be silent before its lease is broken. By then
+// it has not given orders for the order gap.
 func (t Timing) breakTimeout() time.Duration { return t.Lease + t.OrderGap + t.Margin }
 
 const (
-	// maxWitnesses is the number of a host's witnesses: with five, two may be
-	// gone at once without the store being needed.
+	// maxWitnesses is the number of a host's witnesses. With five, two can fail at once
+	// before the store is needed.
 	maxWitnesses = 5
-	// witnessTimeout is how long a witness may leave heartbeats unanswered
-	// before another takes its place.
+	// witnessTimeout is how long a witness may leave heartbeats unanswered before it is
+	// replaced.
 	witnessTimeout = 2 * time.Second
-	// minRechooseInterval is the least time between two choices of witnesses, each of which
-	// costs a write to the store.
+	// minRechooseInterval is the minimum time between two changes of the witnesses, each
+	// of which costs a write to the store.
 	minRechooseInterval = 2 * time.Second
 )
 
-// State is the pure part: it takes the time as an argument and does no I/O. It
-// is safe for concurrent use.
+// State holds a host's view of the fleet and decides on leases and ownership. It does no
+// I/O and takes the current time as an argument. It is safe for concurrent use.
 type State struct {
 	self   string
 	timing Timing
@@ -62,41 +62,44 @@
 	members map[string]member
 	owners  map[string]owner
 	peers   map[string]*peerState
-	// started is when this process began: it has heard nobody before.
+	// started is when this process started, before it heard from any other.
 	started time.Time
-	// epoch is this process's; 0 until it is registered. lastEpoch is the last one it had.
+	// epoch is the epoch of this process, 0 until it is registered. lastEpoch is its last
+	// non-zero value.
 	epoch     int64
 	lastEpoch int64
 	eraTransition
-	// renewedAt is when the last successful write of the own record was sent.
+	// renewedAt is the send time of the last successful write of this host's record.
 	renewedAt time.Time
-	// witnesses are those of the own record; none while it is in doubt which
-	// record is in force.
+	// witnesses are the witnesses that this host's record names, nil while it is uncertain
+	// which record is in force.
 	witnesses []string
 	chosenAt  time.Time
-	// lastJoin is when a host was first seen last.
+	// lastJoin is when an unknown host was last seen.
 	lastJoin time.Time
-	// membershipChanged is when hosts last joined or left. What is learnt when nobody was known
-	// yet is no change.
+	// membershipChanged is when hosts last joined or left. The first hosts learned after
+	// the start are not a change.
 	membershipChanged time.Time
-	// membership is worked out from members when it is next asked for.
+	// membership is derived from members on demand, nil if outdated.
 	membership *membership
 }
 
-// peerState is what is known of one peer beside its record.
+// peerState is what is known of a peer besides its record.
 type peerState struct {
-	// heardAt is when its last heartbeat arrived here.
+	// heardAt is when the peer's last heartbeat arrived.
 	heardAt time.Time
-	// promisedAt is when the last heartbeat that it answered was sent.
+	// promisedAt is the send time of the last heartbeat that the peer answered with a
+	// promise.
 	promisedAt time.Time
-	// revision is that of its record, first seen at changed.
+	// revision is the revision of the peer's record, first seen at changedAt.
 	revision  uint64
 	changedAt time.Time
-	// votedRevision is the revision of its record whose end this host has agreed to.
+	// votedRevision is the revision of the peer's record whose lease this host has agreed
+	// to break.
 	votedRevision uint64
 }
 
-// NewState makes the state of a host that knows nobody.
+// NewState returns the state of a host that knows no others.
 func NewState(self string, timing Timing, now time.Time) *State {
 	return &State{
 		self:    self,
@@ -108,7 +111,7 @@
 	}
 }
 
-// Apply takes changed records over.
+// Apply applies changed records.
 func (s *State) Apply(changes []registry.Change, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -140,8 +143,7 @@
 	}
 }
 
-// removeRecord drops a record by its name alone: who learns that a record is gone may not
-// know what it said.
+// removeRecord drops a record by name alone, since a removal may not carry its content.
 func (s *State) removeRecord(name string) {
 	delete(s.owners, name)
 	if host, ok := strings.CutPrefix(name, hostPrefix); ok {
@@ -167,7 +169,8 @@
 	if m.Broken {
 		s.noteLeaseEnd(host, m.Epoch, now)
 	}
-	// The end of an earlier epoch stands there where the store has lost that this one began.
+	// A record of a broken earlier epoch can reappear if the store has lost the current
+	// epoch.
 	if host == s.self && m.Broken && m.Epoch >= s.epoch {
 		s.epoch = 0
 	}
@@ -182,7 +185,7 @@
 	return peer
 }
 
-// Registered notes the own record as it was written at a time.
+// Registered records a successful write of this host's record that was sent at a time.
 func (s *State) Registered(epoch int64, witnesses []string, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,15 +196,15 @@
 	s.unverified = false
 }
 
-// RenewalUncertain notes that a write of the own record got no answer: the witnesses may
-// be the old or the new ones, so no promise counts until the record is read.
+// RenewalUncertain records that a write of this host's record got no answer. Either the
+// old or the new witnesses are in force, so no promise counts until the record is read.
 func (s *State) RenewalUncertain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.witnesses = nil
 }
 
-// LeaseLost notes that the own lease was found broken.
+// LeaseLost records that this host's lease was found broken or missing.
 func (s *State) LeaseLost(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -211,14 +214,14 @@
 	s.epoch = 0
 }
 
-// Epoch gives the own epoch, 0 before the host is registered.
+// Epoch returns this host's epoch, 0 before it is registered.
 func (s *State) Epoch() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch
 }
 
-// AddressOf gives where a host can be reached.
+// AddressOf returns the address of a host and whether the host is known.
 func (s *State) AddressOf(host string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,22 +229,22 @@
 	return m.Address, ok
 }
 
-// Members gives the hosts whose lease is not broken, sorted.
+// Members returns the hosts whose lease is not broken, sorted.
 func (s *State) Members() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.Clone(s.currentMembership().hosts)
 }
 
-// Size gives the number of hosts, this one included.
+// Size returns the number of live hosts, including this one.
 func (s *State) Size() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return max(1, len(s.currentMembership().hosts))
 }
 
-// ValidUntil gives the time up to which no other host can give orders to this
-// host's runners.
+// ValidUntil returns the time until which no other host can give orders to this host's
+// runners.
 func (s *State) ValidUntil() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -263,14 +266,14 @@
 	return valid
 }
 
-// MayOrder says whether this host may send an order to the runner at an
-// address, and with which fencing token.
+// MayOrder reports whether this host may send an order to the runner at an address, and
+// returns the fencing token for it.
 //
-// Without the check a host that was suspended, or cut off from all others,
-// would go on giving orders beside its successor: two hosts would load and
-// unload adapters on one runner by different plans. It suffices because the
-// successor waits out lease, gap and margin from the last sign of this host, and
-// as long once the store has come back without some of what hosts act by.
+// Without this check a host that was suspended or cut off would go on giving orders beside
+// its successor, and the two would load and unload adapters on one runner by different
+// plans. The check suffices because the successor waits for lease, gap and margin after
+// the last sign of this host, and again as long after the store came back without some of
+// the records that hosts act on.
 func (s *State) MayOrder(address string, now time.Time) (token uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -281,7 +284,8 @@
 	return fencingToken(s.era, o.revision), now.Add(s.timing.Margin).Before(s.validUntil())
 }
 
-// OwnerOf gives the host that owns the runner at an address, dead or alive.
+// OwnerOf returns the host that owns the runner at an address, whether or not it can be
+// reached.
 func (s *State) OwnerOf(address string) (string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -292,22 +296,22 @@
 	return o.Host, true
 }
 
-// ownerInForce says whether an owner record is in force.
+// ownerInForce reports whether an owner record is valid: its host's lease is not broken
+// and has the same epoch.
 func (s *State) ownerInForce(o owner) bool {
 	m, ok := s.members[o.Host]
 	return ok && !m.Broken && m.Epoch == o.Epoch
 }
 
-// FallbackTurn gives when this host's turn comes to ask the store for a kind of record: 0 if it is
-// one of those that always watch it.
+// FallbackTurn returns this host's turn to ask the store for a kind of record, 0 if it is
+// a watcher.
 func (s *State) FallbackTurn(kind string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.currentMembership().fallbackTurn(kind, s.self)
 }
 
-// IsWatcher says whether this host is one of those that always watch a kind of
-// record for the others.
+// IsWatcher reports whether this host watches a kind of record for the others.
 func (s *State) IsWatcher(kind string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/witnesses.go
+++ b/internal/mesh/witnesses.go
@@ -8,14 +8,14 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// ReceiveHeartbeat notes a peer's heartbeat and says whether this host promises to keep
-// the peer's lease.
+// ReceiveHeartbeat records a peer's heartbeat and reports whether this host promises to
+// keep the peer's lease.
 //
-// A host whose own lease is over does not promise: its lease may be broken
-// without its knowledge, and a broken witness counts as one that agrees to break.
-// One that has agreed to break this lease does not promise either, until a newer
-// record shows that the lease was kept. Nor does one that knows another era of the
-// store: there the peer's record may name other witnesses, who break its lease.
+// A host whose own lease has expired does not promise: its lease may be broken without its
+// knowledge, and a broken witness counts as a vote to break. Neither does a host that has
+// agreed to break this lease, until a newer record shows that the lease was kept, nor one
+// in another era of the store: there the peer's record may name other witnesses, who may
+// break its lease.
 func (s *State) ReceiveHeartbeat(host string, era registry.Era, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -25,7 +25,7 @@
 	return !hasVoted && era == s.era && now.Before(s.validUntil())
 }
 
-// PromiseReceived notes a peer's promise in answer to a heartbeat sent at a time.
+// PromiseReceived records a peer's promise in answer to a heartbeat sent at a time.
 func (s *State) PromiseReceived(host string, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,7 +41,7 @@
 	Address string
 }
 
-// Witnesses gives the hosts that heartbeats go to.
+// Witnesses returns the hosts that receive this host's heartbeats.
 func (s *State) Witnesses() []Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,8 +54,8 @@
 	return peers
 }
 
-// majorityPromised gives the time from which a majority of the witnesses has
-// promised; zero without witnesses.
+// majorityPromised returns the time from which a majority of the witnesses has promised,
+// or the zero time without witnesses.
 func (s *State) majorityPromised() time.Time {
 	if len(s.witnesses) == 0 {
 		return time.Time{}
@@ -70,8 +70,8 @@
 
 func majority(of int) int { return of/2 + 1 }
 
-// NeedsRenewal says whether the lease should be renewed in the store, since the
-// promises of a majority are missing.
+// NeedsRenewal reports whether the lease should be renewed in the store because a majority
+// of promises is missing.
 func (s *State) NeedsRenewal(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,15 +82,15 @@
 	return now.Sub(s.majorityPromised()) > 3*third/2 && now.Sub(s.renewedAt) > third
 }
 
-// nearWitnesses is how many of the witnesses are of the host's own data centre, if
-// others can be had. It is less than a majority, so that no lease hangs on one data
-// centre and the hosts of one that is lost can be broken by the others. Each of them
-// saves the bytes of its heartbeats between data centres: drawn from all, four of five
-// were elsewhere.
+// nearWitnesses is the number of witnesses from the host's own data centre if enough
+// others exist. It is less than a majority, so that no lease depends on one data centre
+// and the hosts of a lost data centre can be declared dead by others. Near witnesses save
+// traffic between data centres: with a random choice four of five witnesses were
+// elsewhere.
 const nearWitnesses = 2
 
-// ChooseWitnesses gives the witnesses that the own record should name, and whether they
-// are others than those it names.
+// ChooseWitnesses returns the witnesses that this host's record should name, and whether
+// they differ from those that it names.
 func (s *State) ChooseWitnesses(now time.Time) ([]string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -105,7 +105,7 @@
 	return wanted, true
 }
 
-// selectWitnesses keeps the witnesses that answer and fills up with others.
+// selectWitnesses keeps the witnesses that answer and adds others up to maxWitnesses.
 func (s *State) selectWitnesses(now time.Time) []string {
 	var wanted []string
 	for _, host := range s.witnesses {
@@ -131,8 +131,7 @@
 			near++
 		}
 	}
-	// Hosts that were silent as witnesses come last, before them those near that are
-	// too many.
+	// Silent witnesses come last, preceded by near hosts beyond nearWitnesses.
 	order := make(map[string]int, len(others))
 	for _, host := range others {
 		switch {
@@ -152,5 +151,6 @@
 	return wanted
 }
 
-// isSilentWitness says that a host is a witness that did not answer lately.
+// isSilentWitness reports whether a host that selectWitnesses did not keep is a witness,
+// that is, one that did not answer recently.
 func (s *State) isSilentWitness(host string) bool { return slices.Contains(s.witnesses, host) }
