--- a/internal/mesh/beats.go
+++ b/internal/mesh/beats.go
@@ -130,7 +130,7 @@
 func (s *Service) sendHeartbeat(ctx context.Context, host string) error {
 	address, ok := s.State.AddressOf(host)
 	if !ok {
-		return errors.Errorf("the address of %s is not known", host)
+		return errors.Errorf("no address known for host %s", host)
 	}
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -151,7 +151,7 @@
 func (s *Service) status() json.RawMessage {
 	encoded, err := json.Marshal(s.Statuses.Status())
 	if err != nil {
-		s.Log.Error("status not encoded", "error", err.Error())
+		s.Log.Error("encoding status failed", "error", err.Error())
 		return nil
 	}
 	return encoded
--- a/internal/mesh/breaktry.go
+++ b/internal/mesh/breaktry.go
@@ -57,12 +57,12 @@
 func (s *Service) pruneBreakAttempts(dead []DeadHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	still := make(map[string]bool, len(dead))
+	breakable := make(map[string]bool, len(dead))
 	for _, b := range dead {
-		still[b.Host] = true
+		breakable[b.Host] = true
 	}
 	for host, try := range s.breakAttempts {
-		if !still[host] && !try.running {
+		if !breakable[host] && !try.running {
 			delete(s.breakAttempts, host)
 		}
 	}
@@ -78,12 +78,12 @@
 	dead.Record.Broken = true
 	record, err := s.Store.Update(ctx, Kind, hostRecordName(dead.Host), dead.Record, dead.Revision)
 	if err != nil {
-		s.Log.Info("lease not broken", "peer", dead.Host, "revision", dead.Revision, "error", err.Error())
+		s.Log.Info("breaking lease failed", "peer", dead.Host, "revision", dead.Revision, "error", err.Error())
 		s.refreshAfterConflict(ctx, hostRecordName(dead.Host), err)
 		return
 	}
 	s.applyRecord(record)
-	s.Log.Warn("lease broken: the host was silent for too long", "peer", dead.Host, "epoch", dead.Record.Epoch, "revision", record.Revision)
+	s.Log.Warn("lease broken: no heartbeats or renewals from the host", "peer", dead.Host, "epoch", dead.Record.Epoch, "revision", record.Revision)
 }
 
 // collectVotes asks the other witnesses for their votes and reports whether enough agreed.
@@ -129,6 +129,6 @@
 
 func (s *Service) handleVote(_ context.Context, from peer.Identity, params VoteParams) (VoteResult, error) {
 	agreed := s.State.Vote(params.Host, params.Position, s.Now())
-	s.Log.Info("vote on a lease", "peer", params.Host, "asked_by", from.Host, "agreed", agreed)
+	s.Log.Info("voted on breaking a lease", "peer", params.Host, "asked_by", from.Host, "agreed", agreed)
 	return VoteResult{Agreed: agreed}, nil
 }
--- a/internal/mesh/breaktry_test.go
+++ b/internal/mesh/breaktry_test.go
@@ -17,7 +17,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// memoryStore keeps records and checks revisions. It knows no watches.
+// memoryStore keeps records in memory and checks revisions. It does not support watches.
 type memoryStore struct {
 	registry.Store
 	mu       sync.Mutex
@@ -63,8 +63,9 @@
 	return nil
 }
 
-// survivor is the service of the one host that is left of a fleet, whose other hosts
-// take connections and say nothing. Each host is a witness of the next five.
+// survivor returns the service of the only live host of a fleet. The other hosts accept
+// connections and never answer. Each host is a witness of the next five. asked returns the
+// number of connection attempts.
 func survivor(t *testing.T, ctx context.Context, size int) (s *Service, store *memoryStore, asked func() int) {
 	t.Helper()
 	store = &memoryStore{records: map[string]registry.Record{}}
@@ -82,7 +83,7 @@
 		return nil, ctx.Err()
 	}
 	self := peer.Identity{Host: names[0], Incarnation: "one"}
-	state := NewState(names[0], usual, time.Now())
+	state := NewState(names[0], testTiming, time.Now())
 	s = NewService(Deps{
 		Self: self, Address: "h00:1", State: state, Store: store, Kinds: map[string]*registry.Replica{},
 		Pool: peer.NewPool(self, nil, silent, hclog.NewNullLogger()), Statuses: noStatus{}, Runners: func() []Runner { return nil },
@@ -114,10 +115,10 @@
 func (noStatus) Status() any                           { return struct{}{} }
 func (noStatus) ReceiveStatus(string, json.RawMessage) {}
 
-// All hosts of a fleet but one fall silent for good. The one that is left is a witness
-// of five of them, and too few of their other witnesses answer to end their leases.
-// While it asks it goes on renewing its own, so its runners keep an owner and its callers
-// their adapters; and it asks seldom, since nothing changes from one try to the next.
+// All other hosts of a fleet fall silent for good. The survivor is a witness of five of
+// them, and too few of their other witnesses answer to break their leases. While it asks
+// for votes it must go on renewing its own lease, so that its runners keep an owner, and
+// it must back off, since nothing changes between attempts.
 func TestSurvivorKeepsItsLease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -127,7 +128,7 @@
 			defer close(done)
 			s.Run(ctx)
 		}()
-		time.Sleep(usual.breakTimeout() + 3*time.Second)
+		time.Sleep(testTiming.breakTimeout() + 3*time.Second)
 		before := asked()
 		lapsed := 0
 		const samples = 600
@@ -146,9 +147,9 @@
 	})
 }
 
-// An operator removes the records of the hosts that are lost for good. Their witnesses
-// count as gone, so the host that is left may claim all their runners, and callers get
-// cold adapters again.
+// An operator removes the records of hosts that are lost for good. Their witnesses count
+// as gone, so that the remaining host may claim their runners and callers get adapters
+// loaded again.
 func TestRecordsOfLostHostsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, _, _ := survivor(t, t.Context(), 30)
--- a/internal/mesh/counting_test.go
+++ b/internal/mesh/counting_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// keyOf gives a key for which a host comes first.
-func keyOf(t *testing.T, hosts map[string]*State, host string) string {
+// keyLedBy returns a key that a host leads.
+func keyLedBy(t *testing.T, hosts map[string]*State, host string) string {
 	t.Helper()
 	for i := range 1000 {
 		key := "quota.w." + string(rune('0'+i%10)) + string(rune('a'+i/10%26))
@@ -21,16 +21,16 @@
 	return ""
 }
 
-// A host that counts for the fleet is cut off. It must stop granting before another host
-// may take its place, or both grant what there is once.
-func TestRightEndsBeforeTakeover(t *testing.T) {
+// The leader of a key is cut off. Its leadership must end before another host can take
+// over, or both grant the same budget.
+func TestLeadershipEndsBeforeTakeover(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c")
-	key := keyOf(t, hosts, "a")
-	beatAll(hosts, epoch)
+	key := keyLedBy(t, hosts, "a")
+	exchangeHeartbeats(hosts, testStart)
 	var lastRight, firstBreak time.Duration
 	for passed := 10 * time.Millisecond; passed < 20*time.Second; passed += 10 * time.Millisecond {
-		now := epoch.Add(passed)
-		beatAll(hosts, now, "a")
+		now := testStart.Add(passed)
+		exchangeHeartbeats(hosts, now, "a")
 		if _, ok := hosts["a"].Leads(key, now); ok {
 			lastRight = passed
 		}
@@ -39,36 +39,36 @@
 		}
 	}
 	must.Positive(t, lastRight)
-	must.GreaterEq(t, usual.OrderGap, firstBreak-lastRight)
+	must.GreaterEq(t, testTiming.OrderGap, firstBreak-lastRight)
 }
 
-// Only the host that comes first for a key has the right, on every host's view.
-func TestOneHostHasTheRight(t *testing.T) {
+// All hosts agree on the one leader of a key.
+func TestOneLeaderPerKey(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c", "d", "e")
-	beatAll(hosts, epoch)
+	exchangeHeartbeats(hosts, testStart)
 	for _, first := range []string{"a", "b", "c", "d", "e"} {
-		key := keyOf(t, hosts, first)
+		key := keyLedBy(t, hosts, first)
 		for name, host := range hosts {
-			_, ok := host.Leads(key, epoch.Add(time.Millisecond))
+			_, ok := host.Leads(key, testStart.Add(time.Millisecond))
 			must.Eq(t, name == first, ok)
 		}
 	}
 }
 
-// A process that starts learns of all hosts at once: that is no change, and it counts from
-// its start on. Once a host joins or is lost it counts from a moment later on, when the
-// others know as well.
-func TestCountingBeginsOnceHostsKnow(t *testing.T) {
+// A starting process learns of all hosts at once. That is no change, so it counts from its
+// start. After a host joined or left it counts from membershipSettle later, when the other
+// hosts know of the change too.
+func TestLeadershipBeginsAfterMembershipSettles(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c")
-	key := keyOf(t, hosts, "a")
-	beatAll(hosts, epoch)
-	right, ok := hosts["a"].Leads(key, epoch)
+	key := keyLedBy(t, hosts, "a")
+	exchangeHeartbeats(hosts, testStart)
+	right, ok := hosts["a"].Leads(key, testStart)
 	must.True(t, ok)
-	must.Eq(t, epoch, right.Since)
+	must.Eq(t, testStart, right.Since)
 
-	later := epoch.Add(time.Second)
+	later := testStart.Add(time.Second)
 	hosts["a"].Apply([]registry.Change{change(t, hostRecordName("c"), HostRecord{Address: "c:1", Epoch: 1, Broken: true}, 100)}, later)
-	beatAll(hosts, later)
+	exchangeHeartbeats(hosts, later)
 	right, ok = hosts["a"].Leads(key, later)
 	must.True(t, ok)
 	must.Eq(t, later.Add(membershipSettle), right.Since)
--- a/internal/mesh/delay_test.go
+++ b/internal/mesh/delay_test.go
@@ -11,9 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// Two hosts' clocks differ by hours. Messages take 1 to 3 ms, some wait on a full link: what
-// each waited is found to within the 2 ms, also after the sender started anew with another clock.
-func TestWaitOfMessagesBetweenClocksThatDiffer(t *testing.T) {
+// Two hosts' clocks differ by hours. Transit takes 1 to 3 ms, and some messages are queued
+// on a full link. The estimate must be within that jitter of 2 ms, also after the sender
+// restarts with another clock.
+func TestDelayEstimateWithUnsynchronizedClocks(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	var d delays
 	now := time.Unix(5000, 0)
@@ -35,12 +36,12 @@
 	must.MapEmpty(t, d.byHost)
 }
 
-// A host wakes from a suspension of three seconds and finds a heartbeat that came at its
-// begin: its sender had confirmed what both know just then. The host does not take that for
-// new: something may have changed in the three seconds, and it asks the store.
-func TestOldHeartbeatIsNotNews(t *testing.T) {
+// A host resumes after a suspension of three seconds and reads a heartbeat that arrived
+// when it began. The heartbeat confirms the host's records as of then, not as of now:
+// something may have changed in between, so the host must ask the store.
+func TestDelayedHeartbeatIsNotCurrent(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := fleetOf(5, func() time.Time { return now })[0]
+	s := newServices(5, func() time.Time { return now })[0]
 	s.Statuses = noStatus{}
 	replica := s.Kinds["k"]
 	replica.Listed([]registry.Record{{Name: "a", Revision: 1, Spec: json.RawMessage("1")}}, registry.Position{Revision: 1})
--- a/internal/mesh/eras.go
+++ b/internal/mesh/eras.go
@@ -120,7 +120,7 @@
 
 // UnverifiedRecord reports whether the store must be checked for this host's own record,
 // and returns the epoch and the witnesses that the record should have.
-func (s *State) UnverifiedRecord() (epoch int64, witnesses []string, unchecked bool) {
+func (s *State) UnverifiedRecord() (epoch int64, witnesses []string, needsCheck bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.epoch, s.recordWitnesses, s.unverified
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -36,25 +36,25 @@
 // When a host was tied to one source and that froze, it waited out a second, and then
 // until it heard of the change again, before it asked another.
 func (s *Service) fetchUntilCurrent(kind string) {
-	var left partialArchive
+	var partial partialArchive
 	for {
 		source, ok := s.freshness.nextSource(kind)
 		if !ok {
 			return
 		}
-		s.fetchFrom(source, kind, &left)
+		s.fetchFrom(source, kind, &partial)
 	}
 }
 
-func (s *Service) fetchFrom(address, kind string, left *partialArchive) {
+func (s *Service) fetchFrom(address, kind string, partial *partialArchive) {
 	replica := s.Kinds[kind]
 	before := replica.Version()
-	begun := s.Now()
-	err := s.fetchChanges(address, kind, left)
+	start := s.Now()
+	err := s.fetchChanges(address, kind, partial)
 	if errors.Is(err, errIncomplete) {
-		err = s.fetchParts(address, kind, left)
+		err = s.fetchParts(address, kind, partial)
 	}
-	s.logFetch(kind, address, before, s.Now().Sub(begun), err)
+	s.logFetch(kind, address, before, s.Now().Sub(start), err)
 	if before.Before(replica.Position()) {
 		s.HeartbeatNow()
 	}
@@ -68,35 +68,35 @@
 // debug level. Records change several times a second in a busy fleet.
 func (s *Service) logFetch(kind, address string, before registry.Version, took time.Duration, err error) {
 	behind, _ := s.freshness.behind(kind)
-	line := []any{
+	fields := []any{
 		"kind", kind, "address", address, "took_ms", took.Milliseconds(), "behind_ms", behind.Milliseconds(),
 		"from_revision", before.Revision, "revision", s.Kinds[kind].Revision(), "age_ms", s.freshness.age(kind).Milliseconds(),
 	}
 	s.fetches.Add(1)
 	if err != nil {
 		s.fetchesFailed.Add(1)
-		s.Log.Info("records not fetched from a peer", append(line, "error", err.Error())...)
+		s.Log.Info("fetching records from a peer failed", append(fields, "error", err.Error())...)
 		return
 	}
 	if took >= slowFetch || behind >= slowFetch {
-		s.Log.Info("records fetched from a peer", line...)
+		s.Log.Info("records fetched from a peer", fields...)
 		return
 	}
-	s.Log.Debug("records fetched from a peer", line...)
+	s.Log.Debug("records fetched from a peer", fields...)
 }
 
 // errIncomplete is returned if the peer's changes do not cover all that differs.
-var errIncomplete = errors.New("the changes that the peer knows are not all that differs")
+var errIncomplete = errors.New("the peer's changes do not cover all differences")
 
 // fetchChanges fetches the changes since the last complete version. It returns
 // errIncomplete if they do not bring this host up to the peer's version.
-func (s *Service) fetchChanges(address, kind string, left *partialArchive) error {
+func (s *Service) fetchChanges(address, kind string, partial *partialArchive) error {
 	replica := s.Kinds[kind]
 	before := replica.Version()
 	if before.Revision == 0 {
 		return errIncomplete
 	}
-	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Since: before.Revision, Era: before.Era}, left)
+	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Since: before.Revision, Era: before.Era}, partial)
 	if err != nil {
 		return err
 	}
@@ -107,10 +107,10 @@
 }
 
 // fetchParts fetches the records of the parts that differ.
-func (s *Service) fetchParts(address, kind string, left *partialArchive) error {
+func (s *Service) fetchParts(address, kind string, partial *partialArchive) error {
 	replica := s.Kinds[kind]
 	parts, before := replica.Parts()
-	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Parts: parts}, left)
+	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Parts: parts}, partial)
 	if err != nil {
 		return err
 	}
@@ -121,30 +121,30 @@
 }
 
 // fetchSnapshot fetches records from a host, piece by piece if it announces an archive.
-func (s *Service) fetchSnapshot(address string, params FetchParams, left *partialArchive) (registry.Snapshot, error) {
+func (s *Service) fetchSnapshot(address string, params FetchParams, partial *partialArchive) (registry.Snapshot, error) {
 	var result FetchResult
-	params.PartialID = left.archive.ID
+	params.PartialID = partial.archive.ID
 	if err := s.callSource(address, methodFetch, params, &result); err != nil {
 		return registry.Snapshot{}, err
 	}
 	if result.Archive == nil {
 		return result.Snapshot, nil
 	}
-	left.start(*result.Archive)
-	if len(left.data) == 0 {
-		left.data = result.Archive.First
+	partial.start(*result.Archive)
+	if len(partial.data) == 0 {
+		partial.data = result.Archive.First
 	}
-	for !left.complete() {
+	for !partial.complete() {
 		var piece PieceResult
-		if err := s.callSource(address, methodPiece, left.nextPiece(), &piece); err != nil {
+		if err := s.callSource(address, methodPiece, partial.nextPiece(), &piece); err != nil {
 			return registry.Snapshot{}, err
 		}
-		if err := left.add(piece.Data); err != nil {
+		if err := partial.add(piece.Data); err != nil {
 			return registry.Snapshot{}, err
 		}
 	}
-	records, err := inflate(left.data)
-	*left = partialArchive{}
+	records, err := inflate(partial.data)
+	*partial = partialArchive{}
 	result.Snapshot.Records = records
 	return result.Snapshot, err
 }
@@ -177,7 +177,7 @@
 
 func (u *partialArchive) add(data []byte) error {
 	if len(data) == 0 {
-		return errors.New("the peer gave an empty piece")
+		return errors.New("the peer returned an empty piece")
 	}
 	u.data = append(u.data, data...)
 	return nil
@@ -186,7 +186,7 @@
 func (s *Service) handleFetch(_ context.Context, _ peer.Identity, params FetchParams) (FetchResult, error) {
 	replica := s.Kinds[params.Kind]
 	if replica == nil {
-		return FetchResult{}, peer.Refuse(errors.Errorf("no records of kind %q are kept", params.Kind))
+		return FetchResult{}, peer.Refuse(errors.Errorf("unknown kind of record %q", params.Kind))
 	}
 	var snapshot registry.Snapshot
 	if params.Since == 0 {
@@ -199,18 +199,18 @@
 	if !exceedsInline(snapshot.Records) {
 		return FetchResult{Snapshot: snapshot}, nil
 	}
-	parcel, err := s.archives.announce(params.Kind, snapshot.Records, params.PartialID)
+	archive, err := s.archives.announce(params.Kind, snapshot.Records, params.PartialID)
 	if err != nil {
 		return FetchResult{}, peer.Refuse(err)
 	}
 	snapshot.Records = nil
-	return FetchResult{Snapshot: snapshot, Archive: parcel}, nil
+	return FetchResult{Snapshot: snapshot, Archive: archive}, nil
 }
 
 func (s *Service) handlePiece(_ context.Context, _ peer.Identity, params PieceParams) (PieceResult, error) {
 	data, ok := s.archives.piece(params)
 	if !ok {
-		return PieceResult{}, peer.Refuse(errors.New("no such piece is kept"))
+		return PieceResult{}, peer.Refuse(errors.New("the archive has expired or does not have this piece"))
 	}
 	return PieceResult{Data: data}, nil
 }
--- a/internal/mesh/fetch_test.go
+++ b/internal/mesh/fetch_test.go
@@ -19,7 +19,7 @@
 	"pgregory.net/rapid"
 )
 
-// largeRecord is a record that packing hardly makes smaller.
+// largeRecord returns a record that hardly compresses.
 func largeRecord(revision uint64, bytes int) registry.Record {
 	rng := rand.New(rand.NewPCG(revision, 1))
 	text := make([]byte, bytes)
@@ -33,20 +33,20 @@
 	return registry.Record{Name: "main", Revision: revision, Spec: spec}
 }
 
-// meshes are services that reach each other over a network in memory.
-type meshes struct {
+// cluster holds services that reach each other over an in-memory network.
+type cluster struct {
 	net  *standin.Network
 	read map[string]*atomic.Int64
 	all  map[string]*Service
 	ends []func()
 }
 
-// inMeshes runs a test in virtual time with the services of some hosts that know one record
-// "main" of kind "k" as of revision 1.
-func inMeshes(t *testing.T, run func(m *meshes), hosts ...string) {
+// withCluster runs a test in virtual time with the services of some hosts, which have one
+// record "main" of kind "k" as of revision 1.
+func withCluster(t *testing.T, run func(m *cluster), hosts ...string) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		m := &meshes{net: standin.NewNetwork(), read: map[string]*atomic.Int64{}, all: map[string]*Service{}}
+		m := &cluster{net: standin.NewNetwork(), read: map[string]*atomic.Int64{}, all: map[string]*Service{}}
 		for _, host := range hosts {
 			m.start(t, host)
 		}
@@ -59,7 +59,7 @@
 	})
 }
 
-func (m *meshes) start(t *testing.T, host string) {
+func (m *cluster) start(t *testing.T, host string) {
 	self := peer.Identity{Host: host, Incarnation: "one"}
 	read := &atomic.Int64{}
 	dial := func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -67,12 +67,12 @@
 		if err != nil {
 			return nil, err
 		}
-		return &counted{Conn: conn, read: read}, nil
+		return &countingConn{Conn: conn, read: read}, nil
 	}
 	replica := registry.NewReplica()
 	replica.Listed([]registry.Record{{Name: "main", Revision: 1, Spec: json.RawMessage("1")}}, registry.Position{Revision: 1})
 	s := NewService(Deps{
-		Self: self, Address: host + ":1", State: NewState(host, usual, time.Now()), Kinds: map[string]*registry.Replica{"k": replica},
+		Self: self, Address: host + ":1", State: NewState(host, testTiming, time.Now()), Kinds: map[string]*registry.Replica{"k": replica},
 		Pool: peer.NewPool(self, nil, dial, hclog.NewNullLogger()), Statuses: noStatus{}, Now: time.Now, Log: hclog.NewNullLogger(),
 	})
 	mux := peer.NewMux()
@@ -85,48 +85,49 @@
 	m.all[host], m.read[host] = s, read
 }
 
-// counted counts what is read of a connection.
-type counted struct {
+// countingConn counts the bytes read from a connection.
+type countingConn struct {
 	net.Conn
 	read *atomic.Int64
 }
 
-func (c *counted) Read(into []byte) (int, error) {
+func (c *countingConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	c.read.Add(int64(n))
 	return n, err
 }
 
-// change gives hosts the second version of the record.
-func (m *meshes) change(bytes int, hosts ...string) {
+// update gives hosts the second version of the record.
+func (m *cluster) update(bytes int, hosts ...string) {
 	for _, host := range hosts {
 		m.all[host].Kinds["k"].Changed([]registry.Change{{Record: largeRecord(2, bytes)}}, registry.Position{Revision: 2})
 	}
 }
 
-// tell has a host hear what another one knows.
-func (m *meshes) tell(to, from string) {
+// announce lets a host learn the versions of another.
+func (m *cluster) announce(to, from string) {
 	m.all[to].learn(from, from+":1", m.all[from].freshness.known(), nil, time.Now())
 }
 
-func (m *meshes) revision(host string) uint64 { return m.all[host].Kinds["k"].Revision() }
+func (m *cluster) revision(host string) uint64 { return m.all[host].Kinds["k"].Revision() }
 
-// A host fetches 300 KB over a thin link. Half way its source loses power, and no new
-// connection reaches it. The fetch goes on at another host that had told of the record too,
-// and fetches the other half. Begun anew, it would take the link for the whole once more.
-func TestFetchGoesOnAtAnotherSource(t *testing.T) {
+// A host fetches 300 KB over a slow link. Half way its source loses power and accepts no
+// new connection. The fetch must resume at another host that announced the record, and
+// transfer only the other half. Restarted, it would send the whole record over the link
+// again.
+func TestFetchResumesAtAnotherSource(t *testing.T) {
 	const size = 300_000
-	inMeshes(t, func(m *meshes) {
+	withCluster(t, func(m *cluster) {
 		m.net.Links.Limit("asker", 10)
-		m.change(size, "first", "second")
-		m.tell("asker", "second")
-		m.tell("asker", "first")
+		m.update(size, "first", "second")
+		m.announce("asker", "second")
+		m.announce("asker", "first")
 		time.Sleep(120 * time.Millisecond)
 		must.Eq(t, 1, m.revision("asker"))
 		m.net.Cut("asker", "first")
 		m.net.Cut("asker", "second")
 		m.net.Mend("asker", "second")
-		m.tell("asker", "second")
+		m.announce("asker", "second")
 		time.Sleep(time.Second)
 		must.Eq(t, 2, m.revision("asker"))
 		// Six bits of each byte, carried in four bytes for three.
@@ -135,38 +136,40 @@
 	}, "asker", "first", "second")
 }
 
-// Three hosts tell of a record, and the links of two let nothing through. Each is left after
-// half a second, and the third is asked without waiting until it tells again.
-func TestSilentSourceIsLeft(t *testing.T) {
-	inMeshes(t, func(m *meshes) {
-		m.change(100_000, "stuck", "other", "full")
+// Three hosts announce a record, and the links of two pass nothing. Each of them must be
+// abandoned after half a second and the third asked without waiting for another
+// announcement.
+func TestSilentSourceIsAbandoned(t *testing.T) {
+	withCluster(t, func(m *cluster) {
+		m.update(100_000, "stuck", "other", "full")
 		for _, host := range []string{"stuck", "full"} {
 			m.net.Links.Limit(host, 0.0001)
 		}
-		m.tell("asker", "stuck")
+		m.announce("asker", "stuck")
 		time.Sleep(50 * time.Millisecond)
-		m.tell("asker", "other")
-		m.tell("asker", "full")
+		m.announce("asker", "other")
+		m.announce("asker", "full")
 		time.Sleep(1200 * time.Millisecond)
 		must.Eq(t, 2, m.revision("asker"))
 	}, "asker", "stuck", "other", "full")
 }
 
-// Twelve hosts fetch a megabyte from one over links of 10 Mbit/s, which takes its link ten
-// seconds. None gets anything within the limit of a call, and all get it in the end, with no
-// more bytes than twelve times what it is. Fetched in one call, nobody would ever get it.
-func TestLargeRecordThroughOneThinLink(t *testing.T) {
+// Twelve hosts fetch a megabyte from one host whose link of 10 Mbit/s needs ten seconds
+// for it all. No call can transfer the whole record within its timeout, yet all hosts must
+// get it, with no more bytes than twelve times its size. In one call, no host would ever
+// get it.
+func TestLargeRecordOverASlowLink(t *testing.T) {
 	hosts := []string{"source"}
 	for i := range 12 {
 		hosts = append(hosts, fmt.Sprintf("h%d", i))
 	}
-	inMeshes(t, func(m *meshes) {
+	withCluster(t, func(m *cluster) {
 		m.net.Links.Limit("source", 10)
 		const size = 1_000_000
-		m.change(size, "source")
+		m.update(size, "source")
 		for end := time.Now().Add(14 * time.Second); time.Now().Before(end); time.Sleep(largeFleetInterval) {
 			for _, host := range hosts[1:] {
-				m.tell(host, "source")
+				m.announce(host, "source")
 			}
 		}
 		total := int64(0)
@@ -178,15 +181,15 @@
 	}, hosts...)
 }
 
-// Twelve hosts that each lack something else fetch it from one over a thin link at the same
-// time. Each gets it: what is kept packed for one does not push out what another has begun
-// to fetch, again and again.
-func TestHostsThatLackDifferentRecords(t *testing.T) {
+// Twelve hosts that each lack different records fetch them at the same time from one host
+// over a slow link. All must succeed: the archive for one host must not evict, again and
+// again, the one that another host is fetching.
+func TestConcurrentFetchesOfDifferentRecords(t *testing.T) {
 	hosts := []string{"source"}
 	for i := range 12 {
 		hosts = append(hosts, fmt.Sprintf("h%d", i))
 	}
-	inMeshes(t, func(m *meshes) {
+	withCluster(t, func(m *cluster) {
 		m.net.Links.Limit("source", 10)
 		for i, host := range hosts[1:] {
 			m.all[host].Kinds["k"].Changed([]registry.Change{{Record: registry.Record{Name: fmt.Sprint("own-", i), Revision: uint64(i + 2), Spec: json.RawMessage("1")}}}, registry.Position{Revision: uint64(i + 2)})
@@ -194,7 +197,7 @@
 		}
 		m.all["source"].Kinds["k"].Changed([]registry.Change{{Record: largeRecord(20, 60_000)}}, registry.Position{Revision: 20})
 		for _, host := range hosts[1:] {
-			m.tell(host, "source")
+			m.announce(host, "source")
 		}
 		time.Sleep(3 * time.Second)
 		for _, host := range hosts[1:] {
@@ -203,8 +206,8 @@
 	}, hosts...)
 }
 
-// Whatever the records are, what a host unpacks is what another one packed; two that hold
-// the same give the same bytes under the same ID, and others another ID.
+// Unpacking restores what was packed. The same records give the same bytes under the same
+// ID on any host, and other records another ID.
 func TestPackedRecords(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []registry.Record
@@ -219,13 +222,13 @@
 		same, err := other.pack("k", records)
 		must.NoError(t, err)
 		must.Eq(t, parcel, same)
-		left := partialArchive{archive: parcel}
-		for !left.complete() {
-			data, ok := one.piece(left.nextPiece())
+		partial := partialArchive{archive: parcel}
+		for !partial.complete() {
+			data, ok := one.piece(partial.nextPiece())
 			must.True(t, ok)
-			must.NoError(t, left.add(data))
+			must.NoError(t, partial.add(data))
 		}
-		unpacked, err := inflate(left.data)
+		unpacked, err := inflate(partial.data)
 		must.NoError(t, err)
 		must.Eq(t, len(records), len(unpacked))
 		for i, record := range unpacked {
@@ -237,8 +240,8 @@
 	})
 }
 
-// What is kept packed stays bounded, and hosts that ask for what is no longer kept are told.
-func TestParcelsAreForgotten(t *testing.T) {
+// The cache stays bounded, and requests for evicted archives are refused.
+func TestArchiveCacheIsBounded(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := archiveCache{now: func() time.Time { return now }}
 	first, err := p.pack("k", []registry.Record{largeRecord(1, 100)})
@@ -270,7 +273,7 @@
 	f.Add(packed)
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// Whatever a peer sends, unpacking it ends.
+		// Unpacking must terminate on any input.
 		_, _ = inflate(data)
 	})
 }
--- a/internal/mesh/join.go
+++ b/internal/mesh/join.go
@@ -55,7 +55,7 @@
 	sent := s.Now()
 	var answer KnownResult
 	if err := s.Pool.Call(ctx, address, methodKnown, struct{}{}, &answer); err != nil {
-		s.Log.Debug("host asked for what it knows does not answer", "address", address, "error", err.Error())
+		s.Log.Debug("querying peer failed", "address", address, "error", err.Error())
 		return
 	}
 	s.learn("", address, answer.Known, nil, sent)
--- a/internal/mesh/join_test.go
+++ b/internal/mesh/join_test.go
@@ -11,16 +11,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// fleetOf makes the services of so many hosts, which know each other and have
-// just heard each other.
-func fleetOf(size int, now func() time.Time) []*Service {
+// newServices returns the services of hosts that know each other and were just in contact.
+func newServices(size int, now func() time.Time) []*Service {
 	var names []string
 	for i := range size {
 		names = append(names, fmt.Sprintf("h%d", i))
 	}
 	var records []registry.Change
 	for i, name := range names {
-		records = append(records, change(panics{}, hostRecordName(name), HostRecord{Epoch: 1, Address: name + ":1"}, uint64(i+1)))
+		records = append(records, change(panicker{}, hostRecordName(name), HostRecord{Epoch: 1, Address: name + ":1"}, uint64(i+1)))
 	}
 	services := make([]*Service, 0, size)
 	for _, name := range names {
@@ -37,14 +36,14 @@
 	return services
 }
 
-type panics struct{}
+type panicker struct{}
 
-func (panics) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
-func (panics) Helper()                           {}
+func (panicker) Fatalf(format string, args ...any) { panic(fmt.Sprintf(format, args...)) }
+func (panicker) Helper()                           {}
 
-// due counts the hosts that call the store themselves within a time after what
-// they know was confirmed.
-func due(services []*Service, after time.Duration) int {
+// countDue counts the hosts, other than watchers, that ask the store themselves within a
+// time after their records were confirmed.
+func countDue(services []*Service, after time.Duration) int {
 	count := 0
 	for _, s := range services {
 		if !s.State.IsWatcher("k") && s.WatchDelay("k", time.Second) <= after {
@@ -54,40 +53,40 @@
 	return count
 }
 
-// The two watching hosts of a large fleet die. The others do not all turn to the
-// store at the same moment: two do at once and each time twice as many a moment later, so
-// that those who get an answer can tell the rest. Whatever they tell, the last one has asked
-// after the last turn.
-func TestLargeFleetTurnsToTheStoreInTurns(t *testing.T) {
+// Both watchers of a large fleet die. The others must not all ask the store at the same
+// moment: two ask at once and twice as many in each further turn, so that those with an
+// answer can inform the rest. Whatever they send, the last host has asked after the last
+// turn.
+func TestFallbackInTurns(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, size := range []int{3, 9, 24, 65, 195, 460} {
-		services := fleetOf(size, func() time.Time { return now })
-		must.Eq(t, 0, due(services, time.Second-time.Millisecond))
+		services := newServices(size, func() time.Time { return now })
+		must.Eq(t, 0, countDue(services, time.Second-time.Millisecond))
 		asked := 0
 		for turn := range lastFallbackTurn(size) {
 			asked = min(size-watchersPerKind, asked+watchersPerKind<<turn)
-			must.Eq(t, asked, due(services, time.Second+time.Duration(turn)*fallbackStep), must.Sprintf("%d hosts, turn %d", size, turn))
+			must.Eq(t, asked, countDue(services, time.Second+time.Duration(turn)*fallbackStep), must.Sprintf("%d hosts, turn %d", size, turn))
 		}
 		must.Eq(t, size-watchersPerKind, asked)
 	}
 }
 
-// A host that hears no other is on its own: it asks the store as soon as what it
-// knows is too old.
-func TestDueAlone(t *testing.T) {
+// A host without contact asks the store as soon as its records are too old.
+func TestWatchDelayWithoutContact(t *testing.T) {
 	now := time.Unix(1000, 0)
-	services := fleetOf(88, func() time.Time { return now })
+	services := newServices(88, func() time.Time { return now })
 	now = now.Add(contactTimeout + time.Millisecond)
-	must.Eq(t, 86, due(services, 0))
+	must.Eq(t, 86, countDue(services, 0))
 	must.Eq(t, watcherRetryPause, services[0].MaxRetryPause("k"))
 }
 
-// Others told a host of a change and do not give it to it, since they freeze or their links
-// are full. It asks the store itself after a while, and before if its knowledge is too old.
+// Other hosts announced a change to a host and do not deliver it, because they are frozen
+// or their links are full. The host must ask the store after behindTimeout, or earlier if
+// its records are too old.
 func TestHostThatIsBehindAsksTheStore(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := fleetOf(88, func() time.Time { return now })[0]
-	for _, other := range fleetOf(88, func() time.Time { return now }) {
+	s := newServices(88, func() time.Time { return now })[0]
+	for _, other := range newServices(88, func() time.Time { return now }) {
 		if other.State.FallbackTurn("k") > 1 {
 			s = other
 		}
@@ -101,15 +100,15 @@
 	must.Positive(t, s.WatchDelay("k", time.Second))
 }
 
-// The longest pause after a failure grows with the fleet, so that the calls of all
-// hosts together do not.
-func TestPatienceGrowsWithTheFleet(t *testing.T) {
+// The longest pause after a failure grows with the fleet, so that the total rate of calls
+// does not.
+func TestRetryPauseGrowsWithTheFleet(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, test := range []struct {
 		hosts int
 		want  time.Duration
 	}{{7, 3 * time.Second}, {20, 3 * time.Second}, {88, 13200 * time.Millisecond}} {
-		for _, s := range fleetOf(test.hosts, func() time.Time { return now }) {
+		for _, s := range newServices(test.hosts, func() time.Time { return now }) {
 			if s.State.IsWatcher("k") {
 				must.Eq(t, watcherRetryPause, s.MaxRetryPause("k"))
 				continue
--- a/internal/mesh/membership_test.go
+++ b/internal/mesh/membership_test.go
@@ -10,27 +10,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// inLargeFleet gives the state of one host of a fleet of so many in five data
-// centres, long after the last record was written, with each host's heartbeats heard.
-func inLargeFleet(t fataler, size int) (*State, time.Time) {
+// newLargeFleet returns the state of one host of a fleet in five data centres, long after
+// the last record was written and with all heartbeats received.
+func newLargeFleet(t testingT, size int) (*State, time.Time) {
 	t.Helper()
 	names := make([]string, 0, size)
 	for i := range size {
 		names = append(names, fmt.Sprintf("host-%03d", i))
 	}
-	s := NewState(names[0], usual, epoch)
+	s := NewState(names[0], testTiming, testStart)
 	for i, name := range names {
 		witnesses := make([]string, 0, maxWitnesses)
 		for w := range maxWitnesses {
 			witnesses = append(witnesses, names[(i+1+7*w)%size])
 		}
 		record := HostRecord{Address: name + ":1", DataCentre: fmt.Sprintf("hall-%d", i%5), Epoch: 1, Witnesses: witnesses}
-		s.applyChange(change(t, hostRecordName(name), record, uint64(i+1)), epoch)
+		s.applyChange(change(t, hostRecordName(name), record, uint64(i+1)), testStart)
 		if i == 0 {
-			s.Registered(1, witnesses, epoch)
+			s.Registered(1, witnesses, testStart)
 		}
 	}
-	now := epoch.Add(time.Minute)
+	now := testStart.Add(time.Minute)
 	for _, name := range names {
 		s.ReceiveHeartbeat(name, 0, now)
 		s.PromiseReceived(name, now)
@@ -38,30 +38,29 @@
 	return s, now
 }
 
-// Callers of a large fleet wait while their host's processor is at its duties. Each
-// host looks at leases, owners and watches several times a second; a look that sorts
-// and hashes all hosts, or does so once for each host, took 20 ms of a small host's
-// core at 195 hosts. Nothing has changed between two looks, so they take next to
-// nothing, whatever the fleet's size.
-func TestDutiesOfALargeFleetAreCheap(t *testing.T) {
-	s, now := inLargeFleet(t, 460)
-	look := func() {
+// Each host checks leases, owners and watchers several times a second. Sorting and hashing
+// all hosts in each check, or even once per host, took 20 ms of a small host's core at 195
+// hosts and delayed requests. Without changes a check must cost next to nothing, whatever
+// the size of the fleet.
+func TestChecksOfALargeFleetAreCheap(t *testing.T) {
+	s, now := newLargeFleet(t, 460)
+	check := func() {
 		must.SliceEmpty(t, s.Breakable(now))
 		must.SliceEmpty(t, s.RemovableRecords(now, deadRecordRetention))
 		s.IsWatcher("config")
 		must.Eq(t, 460, s.Size())
-		_, others := s.ChooseWitnesses(now)
-		must.False(t, others)
+		_, changed := s.ChooseWitnesses(now)
+		must.False(t, changed)
 	}
-	look()
-	must.LessEq(t, 60, testing.AllocsPerRun(20, look), must.Sprint("allocations of one look at 460 hosts"))
+	check()
+	must.LessEq(t, 60, testing.AllocsPerRun(20, check), must.Sprint("allocations of one check at 460 hosts"))
 }
 
-// A host joins, moves to another data centre, is broken and removed. What is worked
-// out from the members follows each step: with a membership of before, two hosts
-// would own a runner, or none.
+// A host joins, moves to another data centre, has its lease broken and is removed. The
+// derived membership must follow each step: with an outdated one a runner would have two
+// owners, or none.
 func TestMembershipFollowsTheRecords(t *testing.T) {
-	s, now := inLargeFleet(t, 3)
+	s, now := newLargeFleet(t, 3)
 	set := func(record HostRecord, revision uint64) {
 		s.Apply([]registry.Change{change(t, hostRecordName("host-009"), record, revision)}, now)
 	}
@@ -82,11 +81,11 @@
 	must.Eq(t, 3, s.Size())
 }
 
-// BenchmarkDuties is one look of a host of 195 at the leases that may be broken, taken
-// five times a second: 6.25 ms when all hosts were sorted and hashed for each host,
-// 0.055 ms since only those without living witnesses are.
-func BenchmarkDuties(b *testing.B) {
-	s, now := inLargeFleet(b, 195)
+// BenchmarkBreakable measures one check for breakable leases in a fleet of 195 hosts,
+// which runs five times a second. It took 6.25 ms when it sorted and hashed all hosts once
+// per host, and 0.055 ms since only hosts without live witnesses need that.
+func BenchmarkBreakable(b *testing.B) {
+	s, now := newLargeFleet(b, 195)
 	for b.Loop() {
 		s.Breakable(now)
 	}
--- a/internal/mesh/parcels.go
+++ b/internal/mesh/parcels.go
@@ -92,22 +92,22 @@
 // pack packs records and keeps the archive.
 func (p *archiveCache) pack(kind string, records []registry.Record) (Archive, error) {
 	slices.SortFunc(records, func(a, b registry.Record) int { return cmp.Compare(a.Name, b.Name) })
-	parcel := p.getOrAdd(archiveID(kind, records))
-	parcel.once.Do(func() { parcel.data, parcel.err = deflate(records) })
-	p.evict(parcel)
-	return Archive{ID: parcel.id, Bytes: len(parcel.data)}, parcel.err
+	archive := p.getOrAdd(archiveID(kind, records))
+	archive.once.Do(func() { archive.data, archive.err = deflate(records) })
+	p.evict(archive)
+	return Archive{ID: archive.id, Bytes: len(archive.data)}, archive.err
 }
 
 // announce packs records and announces the archive, with the first piece unless the caller
 // has begun to fetch that archive. partialID is 0 if the caller has none.
-func (p *archiveCache) announce(kind string, records []registry.Record, begun uint64) (*Announcement, error) {
-	parcel, err := p.pack(kind, records)
+func (p *archiveCache) announce(kind string, records []registry.Record, partialID uint64) (*Announcement, error) {
+	archive, err := p.pack(kind, records)
 	if err != nil {
 		return nil, err
 	}
-	announced := &Announcement{Archive: parcel}
-	if parcel.ID != begun {
-		announced.First, _ = p.piece(PieceParams{ID: parcel.ID})
+	announced := &Announcement{Archive: archive}
+	if archive.ID != partialID {
+		announced.First, _ = p.piece(PieceParams{ID: archive.ID})
 	}
 	return announced, nil
 }
@@ -149,12 +149,12 @@
 func (p *archiveCache) getOrAdd(id uint64) *cachedArchive {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if parcel := p.lookup(id); parcel != nil {
-		return parcel
+	if archive := p.lookup(id); archive != nil {
+		return archive
 	}
-	parcel := &cachedArchive{id: id, used: p.now()}
-	p.archives = append(p.archives, parcel)
-	return parcel
+	archive := &cachedArchive{id: id, used: p.now()}
+	p.archives = append(p.archives, archive)
+	return archive
 }
 
 // lookup returns the archive with an ID, or nil, and drops expired archives. The caller
@@ -174,12 +174,12 @@
 // piece returns a piece of an archive and whether the cache has it.
 func (p *archiveCache) piece(params PieceParams) ([]byte, bool) {
 	p.mu.Lock()
-	parcel := p.lookup(params.ID)
+	archive := p.lookup(params.ID)
 	p.mu.Unlock()
-	if parcel == nil || params.Offset < 0 || params.Offset > len(parcel.data) {
+	if archive == nil || params.Offset < 0 || params.Offset > len(archive.data) {
 		return nil, false
 	}
-	return parcel.data[params.Offset:min(len(parcel.data), params.Offset+pieceBytes)], true
+	return archive.data[params.Offset:min(len(archive.data), params.Offset+pieceBytes)], true
 }
 
 // deflate packs records. Configurations with many routes shrink to a tenth or less.
--- a/internal/mesh/service.go
+++ b/internal/mesh/service.go
@@ -150,12 +150,12 @@
 
 // ReplicationStatus returns the state of this host's records.
 func (s *Service) ReplicationStatus() ReplicationStatus {
-	told := ReplicationStatus{Kinds: map[string]KindStatus{}, Fetches: s.fetches.Load(), FetchesFailed: s.fetchesFailed.Load()}
+	status := ReplicationStatus{Kinds: map[string]KindStatus{}, Fetches: s.fetches.Load(), FetchesFailed: s.fetchesFailed.Load()}
 	for kind, known := range s.freshness.known() {
 		behind, _ := s.freshness.behind(kind)
-		told.Kinds[kind] = KindStatus{Position: known.Position, AgeMS: known.AgeMS, BehindMS: behind.Milliseconds()}
+		status.Kinds[kind] = KindStatus{Position: known.Position, AgeMS: known.AgeMS, BehindMS: behind.Milliseconds()}
 	}
-	return told
+	return status
 }
 
 // Fleet returns the replica of this package's records.
@@ -215,8 +215,8 @@
 		// chosen now would soon change, at the cost of a write each time.
 		return
 	}
-	witnesses, others := s.State.ChooseWitnesses(s.Now())
-	if others || s.State.NeedsRenewal(s.Now()) {
+	witnesses, changed := s.State.ChooseWitnesses(s.Now())
+	if changed || s.State.NeedsRenewal(s.Now()) {
 		s.renew(ctx, witnesses)
 	}
 }
@@ -261,8 +261,8 @@
 
 // ownRecordLost reports whether the store came back without this host's current record.
 func (s *Service) ownRecordLost() bool {
-	epoch, witnesses, unchecked := s.State.UnverifiedRecord()
-	if !unchecked {
+	epoch, witnesses, needsCheck := s.State.UnverifiedRecord()
+	if !needsCheck {
 		return false
 	}
 	record, _ := s.fleet.Get(hostRecordName(s.Self.Host))
@@ -280,7 +280,7 @@
 	if s.fleet.Put(record) {
 		return true
 	}
-	s.Log.Info("record of another era", "record", record.Name, "era", record.Era, "known_era", s.fleet.Position().Era, "revision", record.Revision)
+	s.Log.Info("ignored record of another era", "record", record.Name, "era", record.Era, "known_era", s.fleet.Position().Era, "revision", record.Revision)
 	s.freshness.expectEra(Kind, record.Era)
 	return false
 }
@@ -304,12 +304,12 @@
 		record, err = s.Store.Update(ctx, Kind, eraRecordName, EraRecord{Settled: era}, current.Revision)
 	}
 	if err != nil {
-		s.Log.Info("era not noted as settled", "era", era, "error", err.Error())
+		s.Log.Info("recording era as settled failed", "era", era, "error", err.Error())
 		s.refreshAfterConflict(ctx, eraRecordName, err)
 		return
 	}
 	s.applyRecord(record)
-	s.Log.Info("era settled: nobody acts by an earlier one", "era", era, "revision", record.Revision)
+	s.Log.Info("era settled: no host acts on an earlier one", "era", era, "revision", record.Revision)
 }
 
 func (s *Service) writeOwnRecord(ctx context.Context, name string, own HostRecord, revision uint64) (registry.Record, error) {
@@ -351,11 +351,11 @@
 		s.rereadOwnRecord(ctx)
 	case errors.Is(err, objectapi.ErrAnswerLost):
 		s.State.RenewalUncertain()
-		s.Log.Info("lease renewed or not: no answer", "error", err.Error())
+		s.Log.Info("lease renewal uncertain: no answer from the store", "error", err.Error())
 		s.backOffStore()
 		s.rereadOwnRecord(ctx)
 	default:
-		s.Log.Debug("lease not renewed", "error", err.Error())
+		s.Log.Debug("lease renewal failed", "error", err.Error())
 		s.backOffStore()
 	}
 }
@@ -380,7 +380,7 @@
 		return
 	}
 	if err != nil {
-		s.Log.Debug("own record not read", "error", err.Error())
+		s.Log.Debug("reading own record failed", "error", err.Error())
 		return
 	}
 	if !s.applyRecord(record) {
@@ -433,7 +433,7 @@
 		record, err = s.Store.Update(ctx, Kind, claim.Name, claim.Record, claim.Revision)
 	}
 	if err != nil {
-		s.Log.Info("runner not claimed", "address", claim.Address, "error", err.Error())
+		s.Log.Info("claiming runner failed", "address", claim.Address, "error", err.Error())
 		s.refreshAfterConflict(ctx, claim.Name, err)
 		return
 	}
@@ -455,7 +455,7 @@
 	case registry.IsNotFound(err):
 		s.fleet.Drop(name, era)
 	default:
-		s.Log.Debug("record not read", "record", name, "error", err.Error())
+		s.Log.Debug("reading record failed", "record", name, "error", err.Error())
 	}
 }
 
@@ -463,7 +463,7 @@
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := s.Store.Delete(ctx, Kind, hostRecordName(dead.Host), dead.Revision); err != nil {
-		s.Log.Debug("record of a dead host not removed", "peer", dead.Host, "error", err.Error())
+		s.Log.Debug("removing record of a dead host failed", "peer", dead.Host, "error", err.Error())
 		return
 	}
 	s.Log.Info("record of a dead host removed", "peer", dead.Host)
--- a/internal/mesh/spread_test.go
+++ b/internal/mesh/spread_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A host answers a heartbeat with what the sender lacks and nothing else: records of
-// which it knows less, and the word that what both know was complete a moment ago,
-// without which the sender would turn to the store.
-func TestAnswersTellWhatIsLacking(t *testing.T) {
+// The answer to a heartbeat contains only what the sender lacks: newer records, and a
+// younger confirmation of records that both have, without which the sender would ask the
+// store.
+func TestAnswersContainOnlyNews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	listed := func(revision uint64, names ...string) *registry.Replica {
@@ -40,14 +40,14 @@
 	must.Eq(t, []string{"more"}, peer.learn("own:1", lacking, now))
 	must.Eq(t, 0, peer.age("same"))
 
-	must.MapLen(t, 3, own.newsFor(nil), must.Sprint("to a host that tells of nothing, everything"))
+	must.MapLen(t, 3, own.newsFor(nil), must.Sprint("a host that announces nothing gets everything"))
 }
 
-// Answers without news still say that the other host is there: a host that took them
-// for silence would turn to the store and to the hosts of its settings.
-func TestAnswersWithoutNewsAreHeard(t *testing.T) {
+// An answer without news still counts as contact. Taken for silence, it would make the
+// host turn to the store and to the seeds.
+func TestAnswersWithoutNewsCountAsContact(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := fleetOf(3, func() time.Time { return now })[0]
+	s := newServices(3, func() time.Time { return now })[0]
 	now = now.Add(time.Minute)
 	must.Greater(t, contactTimeout, s.freshness.silence())
 	s.learn("h1", "h1:1", nil, nil, now)
--- a/internal/mesh/state_test.go
+++ b/internal/mesh/state_test.go
@@ -13,19 +13,19 @@
 )
 
 var (
-	epoch = time.Unix(1000, 0)
-	usual = Timing{Lease: DefaultLease, OrderGap: 3 * time.Second, Margin: DefaultMargin}
+	testStart  = time.Unix(1000, 0)
+	testTiming = Timing{Lease: DefaultLease, OrderGap: 3 * time.Second, Margin: DefaultMargin}
 )
 
 const runnerAddress = "10.0.0.9:80"
 
-// fataler is what tests and property tests have in common.
-type fataler interface {
+// testingT is the common part of *testing.T, *testing.B and *rapid.T.
+type testingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
 
-func change(t fataler, name string, spec any, revision uint64) registry.Change {
+func change(t testingT, name string, spec any, revision uint64) registry.Change {
 	t.Helper()
 	raw, err := json.Marshal(spec)
 	if err != nil {
@@ -34,9 +34,9 @@
 	return registry.Change{Record: registry.Record{Name: name, Revision: revision, Spec: raw}}
 }
 
-// newHosts gives the states of hosts that know each other, each with all others
-// as witnesses, up to five. Host a owns the runner.
-func newHosts(t fataler, names ...string) map[string]*State {
+// newHosts returns the states of hosts that know each other. Each has up to five of the
+// others as witnesses. Host a owns the runner.
+func newHosts(t testingT, names ...string) map[string]*State {
 	t.Helper()
 	var changes []registry.Change
 	for i, name := range names {
@@ -45,9 +45,9 @@
 	changes = append(changes, change(t, ownerRecordName(runnerAddress), OwnerRecord{Host: "a", Epoch: 1}, 90))
 	hosts := map[string]*State{}
 	for _, name := range names {
-		s := NewState(name, usual, epoch)
-		s.Apply(changes, epoch)
-		s.Registered(1, others(names, name), epoch)
+		s := NewState(name, testTiming, testStart)
+		s.Apply(changes, testStart)
+		s.Registered(1, others(names, name), testStart)
 		hosts[name] = s
 	}
 	return hosts
@@ -58,48 +58,48 @@
 	return rest[:min(len(rest), maxWitnesses)]
 }
 
-// beat plays a heartbeat and its answer.
-func beat(from, to *State, now time.Time) {
+// exchangeHeartbeat delivers a heartbeat and its answer.
+func exchangeHeartbeat(from, to *State, now time.Time) {
 	if to.ReceiveHeartbeat(from.self, 0, now) {
 		from.PromiseReceived(to.self, now)
 	}
 }
 
-// beatAll plays heartbeats among hosts.
-func beatAll(hosts map[string]*State, now time.Time, except ...string) {
+// exchangeHeartbeats delivers heartbeats between all hosts.
+func exchangeHeartbeats(hosts map[string]*State, now time.Time, except ...string) {
 	for _, from := range hosts {
 		for _, to := range hosts {
 			if from != to && !slices.Contains(except, from.self) && !slices.Contains(except, to.self) {
-				beat(from, to, now)
+				exchangeHeartbeat(from, to, now)
 			}
 		}
 	}
 }
 
-// The store is away for a minute and one of six hosts is dead. The promises of
-// a majority keep the others giving orders, so callers whose adapter is cold are
-// served.
+// The store is down for a minute and one of six hosts is dead. With the promises of a
+// majority the others go on giving orders, so that requests for adapters that are not
+// loaded are served.
 func TestPromisesReplaceTheStore(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c", "d", "e", "f")
 	for passed := time.Duration(0); passed < time.Minute; passed += heartbeatInterval {
-		now := epoch.Add(passed)
-		beatAll(hosts, now, "f")
+		now := testStart.Add(passed)
+		exchangeHeartbeats(hosts, now, "f")
 		token, ok := hosts["a"].MayOrder(runnerAddress, now)
 		must.True(t, ok, must.Sprintf("after %s", passed))
 		must.Eq(t, 90, token)
 	}
 }
 
-// The owner is cut off from its peers and from the store. It must stop giving
-// orders before they can take over, or two hosts load and unload adapters on one
-// runner within the gap that the deployment sets.
+// The owner is cut off from its peers and the store. It must stop giving orders before a
+// peer can take over, or two hosts load and unload adapters on one runner within the order
+// gap.
 func TestOwnerStopsBeforeTakeover(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c")
-	beatAll(hosts, epoch)
+	exchangeHeartbeats(hosts, testStart)
 	var lastOrder, firstBreak time.Duration
 	for passed := 10 * time.Millisecond; passed < 20*time.Second; passed += 10 * time.Millisecond {
-		now := epoch.Add(passed)
-		beatAll(hosts, now, "a")
+		now := testStart.Add(passed)
+		exchangeHeartbeats(hosts, now, "a")
 		if _, ok := hosts["a"].MayOrder(runnerAddress, now); ok {
 			lastOrder = passed
 		}
@@ -109,10 +109,10 @@
 	}
 	must.Positive(t, firstBreak)
 	must.Less(t, 7*time.Second, firstBreak)
-	must.GreaterEq(t, usual.OrderGap, firstBreak-lastOrder)
+	must.GreaterEq(t, testTiming.OrderGap, firstBreak-lastOrder)
 }
 
-// breaks says whether a host gets the votes to end the lease of a.
+// breaks reports whether a host gets the votes to break the lease of host a.
 func breaks(hosts map[string]*State, by string, now time.Time) bool {
 	for _, b := range hosts[by].Breakable(now) {
 		if b.Host != "a" {
@@ -129,52 +129,51 @@
 	return false
 }
 
-// A process that was suspended for ten seconds wakes up. Its lease is over by a
-// clock that counted the suspension, so the order that it was about to give
-// stays unsent.
+// A process resumes after a suspension of ten seconds. Its lease has expired by a clock
+// that includes the suspension, so it must not send the order that it was about to give.
 func TestSuspendedOwnerDoesNotOrder(t *testing.T) {
 	hosts := newHosts(t, "a", "b")
-	beatAll(hosts, epoch)
-	_, ok := hosts["a"].MayOrder(runnerAddress, epoch.Add(100*time.Millisecond))
+	exchangeHeartbeats(hosts, testStart)
+	_, ok := hosts["a"].MayOrder(runnerAddress, testStart.Add(100*time.Millisecond))
 	must.True(t, ok)
-	_, ok = hosts["a"].MayOrder(runnerAddress, epoch.Add(10*time.Second))
+	_, ok = hosts["a"].MayOrder(runnerAddress, testStart.Add(10*time.Second))
 	must.False(t, ok)
 }
 
-// The owner restarts and its record is renewed: it goes on at once, since no
-// other host has given orders meanwhile. Had it to wait out the gap, every
-// restart would leave its runners without loads for seconds.
+// The owner restarts and renews its record. It continues at once, since no other host has
+// given orders meanwhile. If it had to wait for the gap, each restart would leave its
+// runners without loads for seconds.
 func TestRestartKeepsRunners(t *testing.T) {
 	hosts := newHosts(t, "a", "b")
 	b := hosts["b"]
-	b.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Address: "a:1", Epoch: 1, Renewals: 1, Witnesses: []string{"b"}}, 99)}, epoch.Add(3*time.Second))
-	must.SliceEmpty(t, b.Breakable(epoch.Add(6*time.Second)))
+	b.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Address: "a:1", Epoch: 1, Renewals: 1, Witnesses: []string{"b"}}, 99)}, testStart.Add(3*time.Second))
+	must.SliceEmpty(t, b.Breakable(testStart.Add(6*time.Second)))
 	host, ok := b.OwnerOf(runnerAddress)
 	must.True(t, ok)
 	must.Eq(t, "a", host)
 }
 
-// One witness cannot hear the owner, the others can. They do not vote for the
-// end of its lease.
+// One witness cannot hear the owner and the others can. They must not vote to break its
+// lease.
 func TestMajorityKeepsLease(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c", "d")
 	for passed := time.Duration(0); passed < 30*time.Second; passed += heartbeatInterval {
-		now := epoch.Add(passed)
+		now := testStart.Add(passed)
 		for _, to := range []string{"c", "d"} {
-			beat(hosts["a"], hosts[to], now)
+			exchangeHeartbeat(hosts["a"], hosts[to], now)
 		}
-		beatAll(hosts, now, "a")
+		exchangeHeartbeats(hosts, now, "a")
 		must.False(t, breaks(hosts, "b", now))
 	}
 }
 
-// After its lease was broken the owner finds its record so. It may not order
-// under its old epoch, even if a promise comes in late.
+// The owner finds its lease broken. It must not give orders under the old epoch, even if a
+// promise arrives late.
 func TestBrokenLeaseEndsOwnership(t *testing.T) {
 	hosts := newHosts(t, "a", "b")
 	a, b := hosts["a"], hosts["b"]
 	broken := []registry.Change{change(t, hostRecordName("a"), HostRecord{Address: "a:1", Epoch: 1, Broken: true}, 100)}
-	now := epoch.Add(6 * time.Second)
+	now := testStart.Add(6 * time.Second)
 	a.Apply(broken, now)
 	b.Apply(broken, now)
 	a.PromiseReceived("b", now)
@@ -185,12 +184,12 @@
 	must.Eq(t, 90, claims[0].Revision)
 }
 
-// A witness has voted for the end of a lease and the vote failed. It must not
-// promise again for the same record, or the next vote would count it on both
-// sides; it does so once the record shows that the lease was kept.
+// A witness voted to break a lease and the vote failed. It must not promise again for the
+// same record, or the next vote would count it on both sides. It promises again once the
+// record shows that the lease was kept.
 func TestVoterDoesNotPromise(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c")
-	now := epoch.Add(usual.breakTimeout() + time.Second)
+	now := testStart.Add(testTiming.breakTimeout() + time.Second)
 	b := hosts["b"]
 	b.Registered(1, []string{"a", "c"}, now)
 	must.True(t, b.Vote("a", registry.Position{Revision: 1}, now))
@@ -199,37 +198,36 @@
 	must.True(t, b.ReceiveHeartbeat("a", 0, now))
 }
 
-// A host whose own lease is over promises nothing: its lease may have been
-// broken without its knowledge, and a broken witness counts as one that agrees.
+// A host whose own lease has expired must not promise: its lease may have been broken
+// without its knowledge, and a broken witness counts as a vote to break.
 func TestExpiredWitnessDoesNotPromise(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c")
-	must.True(t, hosts["b"].ReceiveHeartbeat("a", 0, epoch.Add(time.Second)))
-	must.False(t, hosts["b"].ReceiveHeartbeat("a", 0, epoch.Add(2*usual.Lease)))
+	must.True(t, hosts["b"].ReceiveHeartbeat("a", 0, testStart.Add(time.Second)))
+	must.False(t, hosts["b"].ReceiveHeartbeat("a", 0, testStart.Add(2*testTiming.Lease)))
 }
 
-// An owner and all its witnesses are gone for good. Another host ends their
-// leases once they are broken or were silent, and claims the runner.
+// An owner and all its witnesses are gone for good. Another host breaks its lease once
+// theirs are broken or were silent for long enough, and claims the runner.
 func TestAllWitnessesGone(t *testing.T) {
-	now := epoch.Add(20 * time.Second)
-	survivor := NewState("z", usual, epoch)
+	now := testStart.Add(20 * time.Second)
+	survivor := NewState("z", testTiming, testStart)
 	survivor.Apply([]registry.Change{
 		change(t, hostRecordName("a"), HostRecord{Epoch: 1, Witnesses: []string{"b", "c"}}, 1),
 		change(t, hostRecordName("b"), HostRecord{Epoch: 1, Broken: true}, 2),
 		change(t, hostRecordName("c"), HostRecord{Epoch: 1, Broken: true}, 3),
 		change(t, hostRecordName("z"), HostRecord{Epoch: 1}, 4),
 		change(t, ownerRecordName(runnerAddress), OwnerRecord{Host: "a", Epoch: 1}, 5),
-	}, epoch)
+	}, testStart)
 	survivor.Registered(1, nil, now)
-	must.SliceEmpty(t, survivor.Breakable(epoch.Add(2*time.Second)))
+	must.SliceEmpty(t, survivor.Breakable(testStart.Add(2*time.Second)))
 	found := survivor.Breakable(now)
 	must.Len(t, 1, found)
 	must.Eq(t, "a", found[0].Host)
 	must.LessEq(t, 0, found[0].VotesNeeded)
 }
 
-// Hosts lose heartbeats, renewals and the store at random, and are suspended.
-// Whatever happens, a takeover never comes within the gap after an order of the
-// host before.
+// Hosts lose heartbeats, renewals and the store at random, and are suspended. A takeover
+// must never come within the gap after an order of the previous owner.
 func TestNoTwoHostsWithinTheGap(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(t *rapid.T) {
@@ -237,7 +235,7 @@
 		hosts := newHosts(t, names...)
 		revision := uint64(100)
 		renewals := int64(0)
-		lastOrder := epoch
+		lastOrder := testStart
 		cutFrom := rapid.IntRange(1, 100).Draw(t, "cut from")
 		// Short draws are the likely ones, and a takeover needs 94 steps of silence.
 		cutUntil := cutFrom + rapid.SampledFrom([]int{0, 60, 90, 120, 200, 300}).Draw(t, "cut for")
@@ -248,7 +246,7 @@
 		}
 		a := hosts["a"]
 		for step := 1; step < 400; step++ {
-			now := epoch.Add(time.Duration(step) * 50 * time.Millisecond)
+			now := testStart.Add(time.Duration(step) * 50 * time.Millisecond)
 			for _, name := range names[1:] {
 				hosts[name].Registered(1, nil, now)
 			}
@@ -281,7 +279,7 @@
 					continue
 				}
 				taken++
-				if gap := now.Sub(lastOrder); gap < usual.OrderGap {
+				if gap := now.Sub(lastOrder); gap < testTiming.OrderGap {
 					t.Fatalf("takeover %s after an order", gap)
 				}
 				return
@@ -292,20 +290,20 @@
 	must.Positive(t, taken, must.Sprint("no run came to a takeover"))
 }
 
-// The store comes back without a host's newest record: it tells of an earlier epoch than the
-// host's own. A claim under the own one counts for nobody; written, it would be written again
-// at once, without an end.
+// The store comes back without a host's latest record and has one of an earlier epoch. No
+// host accepts a claim under the host's own epoch, and if written, it would be written
+// again and again.
 func TestNoClaimUnderAnEpochThatTheStoreDoesNotKnow(t *testing.T) {
 	a := newHosts(t, "a")["a"]
 	runners := []Runner{{Address: "10.0.0.10:80"}}
 	must.Len(t, 1, a.Claims(runners))
-	a.Registered(2, nil, epoch)
+	a.Registered(2, nil, testStart)
 	must.SliceEmpty(t, a.Claims(runners))
 }
 
-// All hosts of a deployment start together and each knows the runners before
-// it knows the others. The order in which they claim must not depend on who
-// asks, or runners change hands at once.
+// All hosts of a deployment start together, and each knows the runners before it knows the
+// other hosts. The ranking for claims must not depend on the host that computes it, or
+// runners change owners at once.
 func TestClaimsAgree(t *testing.T) {
 	var changes []registry.Change
 	for i := range 7 {
@@ -313,9 +311,9 @@
 	}
 	claimed := map[string]int{}
 	for i := range 7 {
-		s := NewState(fmt.Sprintf("h%d", i), usual, epoch)
-		s.Apply(changes, epoch)
-		s.Registered(1, nil, epoch)
+		s := NewState(fmt.Sprintf("h%d", i), testTiming, testStart)
+		s.Apply(changes, testStart)
+		s.Registered(1, nil, testStart)
 		for _, claim := range s.Claims([]Runner{{Address: "r1:1"}, {Address: "r2:1"}, {Address: "r3:1"}, {Address: "r4:1"}}) {
 			claimed[claim.Address]++
 		}
@@ -326,25 +324,25 @@
 	must.MapLen(t, 4, claimed)
 }
 
-// A runner's owner is a host of its own data centre as long as one is in force.
-func TestOwnerIsNear(t *testing.T) {
-	s := NewState("a", usual, epoch)
+// A runner's owner is a host in its data centre as long as one is live.
+func TestOwnerIsInTheRunnersDataCentre(t *testing.T) {
+	s := NewState("a", testTiming, testStart)
 	hosts := []registry.Change{
 		change(t, hostRecordName("a"), HostRecord{Epoch: 1, DataCentre: "here"}, 1),
 		change(t, hostRecordName("b"), HostRecord{Epoch: 1, DataCentre: "there"}, 2),
 	}
-	s.Apply(hosts, epoch)
-	s.Registered(1, nil, epoch)
+	s.Apply(hosts, testStart)
+	s.Registered(1, nil, testStart)
 	runners := []Runner{{Address: "r1:1", DataCentre: "here"}, {Address: "r2:1", DataCentre: "there"}}
 	claims := s.Claims(runners)
 	must.Len(t, 1, claims)
 	must.Eq(t, "r1:1", claims[0].Address)
-	s.Apply([]registry.Change{change(t, hostRecordName("b"), HostRecord{Epoch: 1, DataCentre: "there", Broken: true}, 3)}, epoch)
+	s.Apply([]registry.Change{change(t, hostRecordName("b"), HostRecord{Epoch: 1, DataCentre: "there", Broken: true}, 3)}, testStart)
 	must.Len(t, 2, s.Claims(runners))
 }
 
-// Of four hundred hosts two watch each kind of record; the others cost the
-// store nothing while they hear from them.
+// In a fleet of four hundred hosts two watch each kind of record. The others cost the
+// store nothing while they are in contact.
 func TestFewHostsWatch(t *testing.T) {
 	var changes []registry.Change
 	for i := range 400 {
@@ -352,8 +350,8 @@
 	}
 	count := 0
 	for i := range 400 {
-		s := NewState(fmt.Sprintf("h%d", i), usual, epoch)
-		s.Apply(changes, epoch)
+		s := NewState(fmt.Sprintf("h%d", i), testTiming, testStart)
+		s.Apply(changes, testStart)
 		if s.IsWatcher("config") {
 			count++
 		}
@@ -361,34 +359,33 @@
 	must.Eq(t, watchersPerKind, count)
 }
 
-// The witnesses of a host: those that answer stay, silent ones make way once
-// there are others, and the choice changes no more often than the store allows.
+// Witnesses that answer stay, and silent ones are replaced if there are others. The choice
+// changes no more often than the limit on store writes allows.
 func TestChooseWitnesses(t *testing.T) {
-	s := NewState("a", usual, epoch)
+	s := NewState("a", testTiming, testStart)
 	for i := range 9 {
-		s.Apply([]registry.Change{change(t, hostRecordName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1))}, epoch)
+		s.Apply([]registry.Change{change(t, hostRecordName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1))}, testStart)
 	}
-	chosen, others := s.ChooseWitnesses(epoch)
-	must.True(t, others)
+	chosen, changed := s.ChooseWitnesses(testStart)
+	must.True(t, changed)
 	must.Len(t, maxWitnesses, chosen)
-	s.Registered(1, chosen, epoch)
-	now := epoch.Add(10 * time.Second)
+	s.Registered(1, chosen, testStart)
+	now := testStart.Add(10 * time.Second)
 	for _, host := range chosen[1:] {
 		s.PromiseReceived(host, now)
 	}
-	next, others := s.ChooseWitnesses(now)
-	must.True(t, others)
+	next, changed := s.ChooseWitnesses(now)
+	must.True(t, changed)
 	must.SliceNotContains(t, next, chosen[0])
 	must.SliceContainsSubset(t, next, chosen[1:])
 	s.Registered(1, next, now)
-	_, others = s.ChooseWitnesses(now.Add(minRechooseInterval / 2))
-	must.False(t, others)
+	_, changed = s.ChooseWitnesses(now.Add(minRechooseInterval / 2))
+	must.False(t, changed)
 }
 
-// A data centre is lost with all its hosts, and the store's word on each of them may
-// only be changed by a majority of its witnesses. No host has a majority of them in
-// its own data centre, so the others can end the leases and callers elsewhere get its
-// runners back. Of the five, two are near: their heartbeats cross no data centre.
+// A whole data centre is lost. Its hosts' leases can only be broken by a majority of their
+// witnesses, so no host may have a majority of them in its own data centre. Of the five,
+// two are near, since their heartbeats do not cross data centres.
 func TestWitnessesOfADataCentreThatIsLost(t *testing.T) {
 	var changes []registry.Change
 	for i := range 60 {
@@ -396,10 +393,10 @@
 		changes = append(changes, change(t, hostRecordName(fmt.Sprintf("h%02d", i)), record, uint64(i+1)))
 	}
 	for i := range 60 {
-		s := NewState(fmt.Sprintf("h%02d", i), usual, epoch)
-		s.Apply(changes, epoch)
-		s.Registered(1, nil, epoch)
-		witnesses, _ := s.ChooseWitnesses(epoch)
+		s := NewState(fmt.Sprintf("h%02d", i), testTiming, testStart)
+		s.Apply(changes, testStart)
+		s.Registered(1, nil, testStart)
+		witnesses, _ := s.ChooseWitnesses(testStart)
 		must.Len(t, maxWitnesses, witnesses)
 		near := 0
 		for _, witness := range witnesses {
@@ -411,17 +408,17 @@
 	}
 }
 
-// Two data centres of three hosts each. Where too few hosts lie elsewhere, those near
-// fill up the witnesses: a lease without witnesses would hang on the store.
+// A data centre of five hosts and one of a single host. With too few hosts elsewhere, near
+// hosts must fill up the witnesses: a lease without witnesses would depend on the store.
 func TestWitnessesOfASmallFleet(t *testing.T) {
 	var changes []registry.Change
 	for i := range 6 {
 		record := HostRecord{Epoch: 1, DataCentre: fmt.Sprintf("hall-%d", i/5)}
 		changes = append(changes, change(t, hostRecordName(fmt.Sprintf("h%d", i)), record, uint64(i+1)))
 	}
-	s := NewState("h0", usual, epoch)
-	s.Apply(changes, epoch)
-	s.Registered(1, nil, epoch)
-	witnesses, _ := s.ChooseWitnesses(epoch)
+	s := NewState("h0", testTiming, testStart)
+	s.Apply(changes, testStart)
+	s.Registered(1, nil, testStart)
+	witnesses, _ := s.ChooseWitnesses(testStart)
 	must.Eq(t, []string{"h1", "h2", "h3", "h4", "h5"}, witnesses)
 }
