--- a/internal/registry/follow_test.go
+++ b/internal/registry/follow_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// downStore refuses every call and counts them.
+// downStore fails every call and counts them.
 type downStore struct {
 	Store
 	calls int
@@ -45,19 +45,19 @@
 	return store.calls
 }
 
-// The store is down for ten seconds. The hosts that watch for the others, and
-// those that know nothing yet, ask twice a second; the others ask seldom, since
-// every call is priced and they are told of the store's return.
-func TestFollowersPatience(t *testing.T) {
-	must.Between(t, 18, callsWhileDown(t, retryMost, 7), 26)
+// The store is down for ten seconds. Watching hosts and hosts without records ask twice a
+// second. The others ask seldom, since every call has a price and other hosts tell them of
+// the store's return.
+func TestRetryPauseInAnOutage(t *testing.T) {
+	must.Between(t, 18, callsWhileDown(t, defaultMaxRetryPause, 7), 26)
 	must.Between(t, 18, callsWhileDown(t, 2*time.Second, 0), 26)
 	must.LessEq(t, 10, callsWhileDown(t, 2*time.Second, 7))
 	must.LessEq(t, 8, callsWhileDown(t, 9*time.Second, 7))
 }
 
-// A host leaves an outage to the others. Then it hears no other host any more. It
-// asks the store itself at once, and does not wait for the end of its long pause.
-func TestPatienceEndsWithSilence(t *testing.T) {
+// A host leaves an outage to the others and then loses contact with them. It must ask the
+// store at once instead of waiting for the end of its long pause.
+func TestLongPauseEndsWithoutContact(t *testing.T) {
 	store := &downStore{}
 	quiet := 0
 	synctest.Test(t, func(t *testing.T) {
@@ -71,7 +71,7 @@
 					quiet = store.calls
 					return time.Minute
 				}
-				return retryMost
+				return defaultMaxRetryPause
 			},
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -82,48 +82,47 @@
 	must.GreaterEq(t, quiet+15, store.calls)
 }
 
-// copyStore has a copy that is behind, of an earlier era, or away.
-type copyStore struct {
+// staleStore has a copy that is behind, of an earlier era, or down.
+type staleStore struct {
 	Store
 	copied Listing
 	away   bool
 	lists  int
-	// watched are the revisions from which it was watched.
+	// watched lists the revisions from which watches began.
 	watched []uint64
 }
 
-func (c *copyStore) List(context.Context, string) (Listing, error) {
+func (c *staleStore) List(context.Context, string) (Listing, error) {
 	c.lists++
 	return Listing{Records: []Record{record("a", 1), record("b", 9)}, Position: Position{Era: 1, Revision: 10}}, nil
 }
 
-func (c *copyStore) ListStale(context.Context, string) (Listing, error) {
+func (c *staleStore) ListStale(context.Context, string) (Listing, error) {
 	if c.away {
 		return Listing{}, &objectapi.Error{Op: "list", Cause: objectapi.ErrUnavailable}
 	}
 	return c.copied, nil
 }
 
-func (c *copyStore) Watch(_ context.Context, _ string, since uint64, wait time.Duration) (Changes, error) {
+func (c *staleStore) Watch(_ context.Context, _ string, since uint64, wait time.Duration) (Changes, error) {
 	c.watched = append(c.watched, since)
 	time.Sleep(wait)
 	return Changes{Position: Position{Era: 1, Revision: since}}, nil
 }
 
-// A host starts and takes its first listing from a copy. What the copy lacks, and what it
-// holds though the store has lost it, comes and goes with the first listing of the store
-// itself; no watch begins where the copy ends. Where the copy is away or knows nothing, the
-// store itself is listed at once.
+// A host starts with a listing from a stale copy. The first listing of the store itself
+// must add what the copy lacks and remove what the store has lost, and no watch may begin
+// at the copy's position. If the copy is down or empty, the store must be listed at once.
 func TestFirstListingFromACopy(t *testing.T) {
 	for _, test := range []struct {
 		name   string
-		store  copyStore
+		store  staleStore
 		copied int
 	}{
-		{name: "behind", store: copyStore{copied: Listing{Records: []Record{record("a", 1)}, Position: Position{Era: 1, Revision: 5}}}, copied: 1},
-		{name: "of an earlier era", store: copyStore{copied: Listing{Records: []Record{record("a", 1), record("b", 40), record("lost", 45)}, Position: Position{Era: 1, Revision: 50}}}, copied: 1},
-		{name: "away", store: copyStore{away: true}},
-		{name: "knows nothing", store: copyStore{}},
+		{name: "behind", store: staleStore{copied: Listing{Records: []Record{record("a", 1)}, Position: Position{Era: 1, Revision: 5}}}, copied: 1},
+		{name: "of an earlier era", store: staleStore{copied: Listing{Records: []Record{record("a", 1), record("b", 40), record("lost", 45)}, Position: Position{Era: 1, Revision: 50}}}, copied: 1},
+		{name: "away", store: staleStore{away: true}},
+		{name: "knows nothing", store: staleStore{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -151,7 +150,7 @@
 	}
 }
 
-// oneWatch answers one watch and then none.
+// oneWatch answers one watch and no further ones.
 type oneWatch struct {
 	Store
 	answer Changes
@@ -174,7 +173,7 @@
 	return Listing{Position: at(9), Age: o.answer.Age}, nil
 }
 
-// slowSink takes half a second to take a change, as a host with little of a core does.
+// slowSink takes half a second to apply changes, like a host with a small share of a core.
 type slowSink struct{ *Replica }
 
 func (s slowSink) Changed(changes []Change, at Position) {
@@ -182,10 +181,10 @@
 	s.Replica.Changed(changes, at)
 }
 
-// What a host knows counts as confirmed once it goes by it, as of the moment at which the
-// store began to answer, and at the latest at which it had to. Counted from the end, a large
-// answer over a thin link, a slow reader and a host that was suspended each told others that
-// nothing was newer, when something was.
+// Records count as confirmed once they are applied, as of the time when the store began to
+// answer, or at the latest when the watch's wait ended. Counted from the end of the
+// answer, a large answer over a slow link, a slow reader and a suspended host would each
+// tell others that nothing newer existed when it did.
 func TestConfirmedAsOfTheAnswer(t *testing.T) {
 	news := []Change{{Record: record("a", 9)}}
 	for _, test := range []struct {
@@ -219,9 +218,10 @@
 	}
 }
 
-// A listing waits two seconds at a store that hundreds of hosts ask at once, and takes one
-// more for its pages. It is as old as its first page: counted from when it was asked, hosts
-// that start together would wait for another word of the store before they claim runners.
+// A listing takes two seconds to begin at a store that hundreds of hosts ask at once, and
+// another second for its pages. It counts as of its first page. Counted from the request,
+// hosts that start together would wait for another answer of the store before they claim
+// runners.
 func TestListingIsAsOldAsItsFirstPage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		begun := time.Now()
@@ -235,11 +235,10 @@
 	})
 }
 
-// The store was away, and a host of a large fleet waits ten seconds until it asks again.
-// After two the store is back, the hosts that watch hear from it and say so. The host goes
-// on as ever: should those hosts die now, it asks once what it knows is too old. Waiting its
-// pause out, it would be deaf for eight seconds more.
-func TestPauseEndsOnceOthersHearFromTheStore(t *testing.T) {
+// After an outage a host of a large fleet is in a pause of ten seconds or more. After two
+// the watching hosts reach the store and say so. The pause must end then: if those hosts
+// die, this one must ask as soon as its records are too old, not eight seconds later.
+func TestPauseEndsOnceOthersReachTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &downStore{}
 		replica := NewReplica()
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -1,19 +1,19 @@
 package registry
 
-// maxRemovals bounds the removals that are remembered. A peer that lacks older ones
-// fetches the parts that differ.
+// maxRemovals bounds the remembered removals. A peer that lacks older ones fetches the
+// parts that differ.
 const maxRemovals = 4096
 
-// history tells what changed in a replica after a revision. It is not safe for concurrent
-// use.
+// history records what changed in a replica after which revision. It is not safe for
+// concurrent use.
 type history struct {
 	// changedAt is a revision by which each record had its present content.
 	changedAt map[string]uint64
-	// removals are in the order in which this replica learnt of them, all of those
-	// after from.
+	// removals are all removals after from, in the order in which this replica learned of
+	// them.
 	removals []removal
 	from     uint64
-	begun    bool
+	started  bool
 }
 
 type removal struct {
@@ -23,16 +23,16 @@
 
 func newHistory() history { return history{changedAt: map[string]uint64{}} }
 
-// begin notes the first list of all records: what was removed before is not known.
+// begin starts the history at the first full listing. Removals before it are unknown.
 func (h *history) begin(revision uint64) {
-	if !h.begun {
-		h.begun, h.from = true, revision
+	if !h.started {
+		h.started, h.from = true, revision
 	}
 }
 
-func (h *history) changed(name string, revision uint64) { h.changedAt[name] = revision }
+func (h *history) noteChange(name string, revision uint64) { h.changedAt[name] = revision }
 
-func (h *history) removed(name string, revision uint64) {
+func (h *history) noteRemoval(name string, revision uint64) {
 	delete(h.changedAt, name)
 	if len(h.removals) >= maxRemovals {
 		h.from = max(h.from, h.removals[0].revision)
@@ -41,10 +41,10 @@
 	h.removals = append(h.removals, removal{name: name, revision: revision})
 }
 
-// reaches says whether all removals after a revision are known.
-func (h *history) reaches(revision uint64) bool { return h.begun && revision >= h.from }
+// covers reports whether all removals after a revision are known.
+func (h *history) covers(revision uint64) bool { return h.started && revision >= h.from }
 
-// removedSince gives the names that were removed after a revision.
+// removedSince returns the names that were removed after a revision.
 func (h *history) removedSince(revision uint64) []string {
 	var names []string
 	for _, r := range h.removals {
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// pull has a host fetch from a peer as hosts do: the changes first, the parts where these
-// are not all. It gives the bytes of the answers.
+// pull fetches from a peer as hosts do: the changes first, then the parts if the changes
+// are incomplete. It returns the size of the answers in bytes.
 func pull(t must.T, from, into *Replica) (bytes int) {
 	before := into.Version()
 	size := func(snapshot Snapshot) int {
@@ -30,8 +30,8 @@
 	return bytes + size(snapshot)
 }
 
-// A host lacks a change, a new record and a removal. It gets these three and no more, and
-// holds what its peer does.
+// A host lacks a change, a new record and a removal. It must get just these three and then
+// hold the peer's records.
 func TestChangesSinceARevision(t *testing.T) {
 	a, b := NewReplica(), NewReplica()
 	list := []Record{record("a", 1), record("b", 2), record("c", 3)}
@@ -46,9 +46,9 @@
 	must.Eq(t, a.Version(), b.Version())
 }
 
-// A record was changed and changed back between two fetches, so that it is not among the
-// changes. The host sees by the digest that it still differs.
-func TestChangeThatWasTakenBackIsNoticed(t *testing.T) {
+// A record is changed and changed back between two fetches, so that it is not among the
+// changes. The digest must show that it still differs.
+func TestRevertedChangeIsNoticed(t *testing.T) {
 	strip := func(spec json.RawMessage) json.RawMessage { return spec }
 	a, b := NewContentReplica(strip), NewContentReplica(strip)
 	state := func(revision uint64, spec string) Record {
@@ -64,8 +64,8 @@
 	must.Eq(t, a.Version(), b.Version())
 }
 
-// A peer began with a list that is younger than what a host knows. It cannot tell what was
-// removed before, and says so.
+// A peer's first listing is newer than a host's records. The peer does not know what was
+// removed before, and must say so.
 func TestChangesBeforeTheFirstList(t *testing.T) {
 	a, b := NewReplica(), NewReplica()
 	b.Listed([]Record{record("a", 1), record("gone", 2)}, at(2))
@@ -76,8 +76,8 @@
 	must.Eq(t, a.Version().Digest, b.Version().Digest)
 }
 
-// A host that wrote a record itself knows more than its peer. That is no difference to
-// fetch parts for.
+// A host that wrote a record itself is ahead of its peer. That must not cause a fetch of
+// parts.
 func TestOwnWriteIsNoReasonToFetchParts(t *testing.T) {
 	a, b := NewReplica(), NewReplica()
 	a.Listed([]Record{record("a", 1)}, at(1))
@@ -91,9 +91,9 @@
 	must.True(t, kept)
 }
 
-// Whatever happens to the store, and whichever of three hosts hears of it first: who
-// fetches from one that is ahead holds what that one does.
-func TestHostsThatFetchHoldTheSame(t *testing.T) {
+// Whatever changes in the store, and whichever of three hosts learns of it first: a host
+// that fetches from one that is ahead then holds the same records.
+func TestFetchingHostsConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := map[string]uint64{}
 		var events []Change
@@ -141,9 +141,9 @@
 	})
 }
 
-// The runners of 300 hosts are claimed, thirty at a time, and each host hears of it as it
-// goes on. Each claim reaches a host about once: all that it fetches is at most twice the
-// list. Fetched by parts, the list came again with each fetch.
+// The runners of 300 hosts are claimed, thirty at a time, while each host follows the
+// claims. Each claim must reach a host about once, so that all fetches together are at
+// most twice the list. Fetched by parts, nearly the whole list came again with each fetch.
 func TestClaimsReachAHostOnce(t *testing.T) {
 	const runners, batch = 3000, 30
 	claims := func(first, count int) (changes []Change) {
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -9,72 +9,73 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Snapshot is a replica's content as peers pass it on.
+// Snapshot is the content of a replica, or a part of it, as sent to peers.
 type Snapshot struct {
 	Position
 	Records []Record `json:"records"`
-	// Parts names the parts whose records these are; nil stands for all. None and
-	// all must differ on the wire too: a host that lacks nothing would otherwise
-	// drop all that it has.
+	// Parts lists the parts to which the records belong; nil stands for all. An empty list
+	// and nil must differ on the wire: a host that lacks nothing would otherwise drop all
+	// its records.
 	Parts []int `json:"parts"`
-	// Since is the revision after which the records changed, where these are differences
-	// and Parts is nil; Removed are the names that were removed since.
+	// Since is the revision after which the records changed, if the snapshot holds
+	// differences; Parts is then nil. Removed lists the names removed since.
 	Since   uint64   `json:"since,omitempty"`
 	Removed []string `json:"removed,omitempty"`
-	// Digest is that of the replica from which the differences are.
+	// Digest is the digest of the replica from which the differences were taken.
 	Digest uint64 `json:"digest,omitempty"`
 }
 
-// partCount is the number of parts into which records are dealt out by their name,
-// each with a digest of its own. A peer that does not know what changed since its
-// revision gets the records of the parts that differ, and not the whole list.
+// partCount is the number of parts into which records are divided by a hash of their name,
+// each with its own digest. A peer without a usable revision fetches the parts that differ
+// instead of the whole list.
 const partCount = 64
 
 func partOf(name string) int { return int(xxhash.Sum64String(name) % partCount) }
 
-// Replica is this host's copy of one kind of record. It never goes back to an
-// earlier position of the store: an overtaken answer, a stale peer or a replaced one
-// would otherwise bring back what was already changed. All its records are of one era;
-// a later one replaces all of them, whatever their revisions. It is safe for concurrent
-// use.
+// Replica is this host's copy of one kind of record. It never goes back to an earlier
+// position of the store, as a late answer or an outdated peer would otherwise undo
+// changes. All its records belong to one era, and a later era replaces all of them,
+// whatever their revisions. It is safe for concurrent use.
 type Replica struct {
-	// OnChange is called after each change, outside the lock and in the order of the
-	// changes, with what changed; whole says that all records were replaced. It must not
-	// change the replica.
+	// OnChange is called after each change, without the lock and in the order of the
+	// changes, with the changed records. whole reports that all records were replaced. It
+	// must not modify the replica.
 	OnChange func(changed []Change, whole bool)
-	// OnEra is called before OnChange when the replica moves to another era; it may be nil.
+	// OnEra is called before OnChange when the replica moves to another era. It may be
+	// nil.
 	OnEra func(era Era)
-	// Strip leaves out of a record what this layer does not use, and brings it into one
-	// form; it may be nil. A record that differs in nothing else has not changed: peers do
-	// not fetch it from each other. What peers give is stripped already.
+	// Strip removes what this layer does not use from a record and brings it into a
+	// canonical form. It may be nil. A record that differs only in the removed fields
+	// counts as unchanged, and peers do not fetch it. Records from peers are already
+	// stripped.
 	//
-	// Runners' entries change with each adapter that comes or goes. Taken whole, all
-	// hosts would fetch from each other what none of them uses, without an end.
+	// Runner records change with each adapter that is loaded or unloaded. Without Strip
+	// all hosts would keep fetching from each other what none of them uses.
 	Strip func(spec json.RawMessage) json.RawMessage
 
-	// byRevision says that a record's revision is part of what it says: two of one content
-	// differ if it does.
-	byRevision bool
+	// digestRevisions makes a record's revision part of its digest, so that records of
+	// equal content and different revisions differ.
+	digestRevisions bool
 
-	// telling orders calls of OnEra and OnChange. It is taken before mu.
-	telling sync.Mutex
-	mu      sync.Mutex
-	at      Position
-	// fed says that there was a listing or a copy of one.
-	fed     bool
-	digest  uint64
-	parts   [partCount]uint64
-	records map[string]Record
-	history history
+	// notifyMu serializes calls of OnEra and OnChange. It is acquired before mu.
+	notifyMu sync.Mutex
+	mu       sync.Mutex
+	position Position
+	// populated is set after the first listing, stale or not.
+	populated bool
+	digest    uint64
+	parts     [partCount]uint64
+	records   map[string]Record
+	history   history
 }
 
-// NewReplica makes an empty replica of records whose revisions matter.
+// NewReplica returns an empty replica of records whose revisions matter.
 func NewReplica() *Replica {
-	return &Replica{byRevision: true, records: map[string]Record{}, history: newHistory()}
+	return &Replica{digestRevisions: true, records: map[string]Record{}, history: newHistory()}
 }
 
-// NewContentReplica makes an empty replica of records that say the same whatever their
-// revisions.
+// NewContentReplica returns an empty replica of records that are equal if their content
+// is, whatever their revisions.
 func NewContentReplica(strip func(spec json.RawMessage) json.RawMessage) *Replica {
 	return &Replica{Strip: strip, records: map[string]Record{}, history: newHistory()}
 }
@@ -83,40 +84,40 @@
 func (r *Replica) Position() Position {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.at
+	return r.position
 }
 
-// Revision gives the revision of the replica's position, 0 before the store's own word.
+// Revision returns the revision of the replica's position, 0 before the store has
+// confirmed one.
 func (r *Replica) Revision() uint64 { return r.Position().Revision }
 
-// Version tells what a replica holds: two replicas with one digest hold the
-// same records, also where the store's revision has moved on for other kinds, or in
-// another era.
+// Version identifies the content of a replica. Replicas with the same digest hold the same
+// records, even if their positions differ because of changes of other kinds or another
+// era.
 type Version struct {
 	Position
 	Digest uint64 `json:"digest"`
 }
 
-// Version gives the replica's version.
+// Version returns the replica's version.
 func (r *Replica) Version() Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.version()
 }
 
-// version is Version; the lock is held.
-func (r *Replica) version() Version { return Version{Position: r.at, Digest: r.digest} }
+// version is Version for callers that hold r.mu.
+func (r *Replica) version() Version { return Version{Position: r.position, Digest: r.digest} }
 
-// digestOf sums up what makes a record differ from another. It is a sum of its content:
-// one of its revision alone would take a record that the store has lost for the one that
-// was given its revision since.
-func (r *Replica) digestOf(record Record) uint64 {
+// recordDigest returns a hash of a record's content. A hash of its revision alone would
+// confuse a record that the store has lost with a later one that got the same revision.
+func (r *Replica) recordDigest(record Record) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(record.Name)
 	_, _ = digest.WriteString("\x00")
 	_, _ = digest.Write(record.Spec)
-	if r.byRevision {
+	if r.digestRevisions {
 		var revision [8]byte
 		binary.LittleEndian.PutUint64(revision[:], record.Revision)
 		_, _ = digest.Write(revision[:])
@@ -124,7 +125,7 @@
 	return digest.Sum64()
 }
 
-// strip gives a record as it is kept.
+// strip returns the record as it is stored.
 func (r *Replica) strip(record Record) Record {
 	if r.Strip != nil {
 		record.Spec = r.Strip(record.Spec)
@@ -132,38 +133,38 @@
 	return record
 }
 
-// same says that a record is known already; the lock is held.
-func (r *Replica) same(record Record) bool {
+// isKnown reports whether the replica holds an equal record. The caller holds r.mu.
+func (r *Replica) isKnown(record Record) bool {
 	known, ok := r.records[record.Name]
-	return ok && r.digestOf(known) == r.digestOf(record)
+	return ok && r.recordDigest(known) == r.recordDigest(record)
 }
 
-// set and unset keep the digest in step with the records; the lock is held.
+// set and unset update the digests along with the records. The caller holds r.mu.
 func (r *Replica) set(record Record) {
-	if !r.same(record) {
-		r.history.changed(record.Name, record.Revision)
+	if !r.isKnown(record) {
+		r.history.noteChange(record.Name, record.Revision)
 	}
 	r.unset(record.Name)
 	r.records[record.Name] = record
-	r.mark(record)
+	r.toggleDigest(record)
 }
 
-// drop takes out a record that was removed by a revision; the lock is held.
-func (r *Replica) drop(name string, revision uint64) {
+// remove drops a record that was removed by a revision. The caller holds r.mu.
+func (r *Replica) remove(name string, revision uint64) {
 	r.unset(name)
-	r.history.removed(name, revision)
+	r.history.noteRemoval(name, revision)
 }
 
-// mark takes a record into the digests, or out of them.
-func (r *Replica) mark(record Record) {
-	digest := r.digestOf(record)
+// toggleDigest adds a record to the digests, or removes it from them.
+func (r *Replica) toggleDigest(record Record) {
+	digest := r.recordDigest(record)
 	r.digest ^= digest
 	r.parts[partOf(record.Name)] ^= digest
 }
 
 func (r *Replica) unset(name string) {
 	if record, ok := r.records[name]; ok {
-		r.mark(record)
+		r.toggleDigest(record)
 		delete(r.records, name)
 	}
 }
@@ -175,18 +176,18 @@
 		stripped[i] = r.strip(record)
 	}
 	return r.update(func() ([]Change, bool, bool) {
-		if at.Before(r.at) {
-			// What is known is newer than a listing of the same era.
-			return nil, false, at.Era == r.at.Era
+		if at.Before(r.position) {
+			// The replica is newer than a listing of the same era.
+			return nil, false, at.Era == r.position.Era
 		}
 		return r.replaceParts(stripped, at, allParts), true, true
 	})
 }
 
-// ListedStale implements Sink. A copy counts for nothing beside the store's own word.
+// ListedStale implements Sink. It has no effect once the store has confirmed a position.
 func (r *Replica) ListedStale(records []Record) {
 	r.update(func() ([]Change, bool, bool) {
-		if r.at.Revision > 0 {
+		if r.position.Revision > 0 {
 			return nil, false, false
 		}
 		var changes []Change
@@ -195,20 +196,20 @@
 			r.set(record)
 			changes = append(changes, Change{Record: record})
 		}
-		r.fed = true
+		r.populated = true
 		return changes, true, true
 	})
 }
 
-// update makes a change and tells of it. The change gives what it changed, whether whole
-// parts were replaced, and what update returns.
+// update runs a change and calls OnEra and OnChange. The change returns the changed
+// records, whether whole parts were replaced, and the result of update.
 func (r *Replica) update(change func() (changes []Change, whole, ok bool)) bool {
-	r.telling.Lock()
-	defer r.telling.Unlock()
+	r.notifyMu.Lock()
+	defer r.notifyMu.Unlock()
 	r.mu.Lock()
-	before := r.at.Era
+	before := r.position.Era
 	changes, whole, ok := change()
-	now := r.at.Era
+	now := r.position.Era
 	r.mu.Unlock()
 	if now != before && r.OnEra != nil {
 		r.OnEra(now)
@@ -221,55 +222,56 @@
 
 func allParts(int) bool { return true }
 
-// replaceParts replaces all records of some parts as of a position; the lock is held.
+// replaceParts replaces all records of some parts as of a position. The caller holds r.mu.
 //
-// What this host has written itself may be newer than a listing that was begun before,
-// or than what a peer knows. Replaced by it, the host would take its own lease or claim
-// for gone, and write it a second time. What it wrote in an earlier era is gone.
+// Records that this host wrote itself may be newer than a listing begun before, or than
+// those of a peer. If they were replaced, the host would take its own lease or claim for
+// lost and write it again. Records written in an earlier era are replaced.
 func (r *Replica) replaceParts(records []Record, at Position, replaced func(part int) bool) []Change {
 	listed := make(map[string]bool, len(records))
 	var changes []Change
 	for _, record := range records {
 		listed[record.Name] = true
-		if r.newer(r.records[record.Name], at) {
+		if r.writtenAfter(r.records[record.Name], at) {
 			continue
 		}
-		if !r.same(record) {
+		if !r.isKnown(record) {
 			changes = append(changes, Change{Record: record})
 		}
 		r.set(record)
 	}
 	for name, record := range r.records {
-		if !listed[name] && replaced(partOf(name)) && !r.newer(record, at) {
+		if !listed[name] && replaced(partOf(name)) && !r.writtenAfter(record, at) {
 			changes = append(changes, Change{Record: record, Removed: true})
-			r.drop(name, at.Revision)
+			r.remove(name, at.Revision)
 		}
 	}
-	r.moveTo(at)
+	r.setPosition(at)
 	return changes
 }
 
-// newer says that a record was written after a position; the lock is held. Of one that comes
-// from a copy, or was written in another era, this is not known.
-func (r *Replica) newer(record Record, at Position) bool {
-	return r.at.Revision > 0 && r.at.Era == at.Era && record.Revision > at.Revision
+// writtenAfter reports whether a record was written after a position. It returns false if
+// that is unknown, for a record from a stale copy or another era. The caller holds r.mu.
+func (r *Replica) writtenAfter(record Record, at Position) bool {
+	return r.position.Revision > 0 && r.position.Era == at.Era && record.Revision > at.Revision
 }
 
-// moveTo notes that the replica holds all that the store does at a position; the lock is held.
-func (r *Replica) moveTo(at Position) {
-	if at.Era != r.at.Era || r.at.Revision == 0 {
+// setPosition records that the replica is complete up to a position. The caller holds
+// r.mu.
+func (r *Replica) setPosition(at Position) {
+	if at.Era != r.position.Era || r.position.Revision == 0 {
 		r.beginEra(at)
 	}
 	r.history.begin(at.Revision)
-	r.at, r.fed = at, true
+	r.position, r.populated = at, true
 }
 
-// beginEra forgets what revisions of another era said; the lock is held. What stays has been
-// there by the position at the latest: kept at its former revision, a record would count as
-// newer than the next change to it.
+// beginEra drops what depends on revisions of another era. The caller holds r.mu.
+// Remaining records existed at the new position at the latest: with its former revision a
+// record would seem newer than the next change to it.
 func (r *Replica) beginEra(at Position) {
 	r.history = newHistory()
-	if r.byRevision {
+	if r.digestRevisions {
 		// These are compared with a peer's, revisions included, or replaced.
 		return
 	}
@@ -279,35 +281,36 @@
 	}
 }
 
-// AdoptPosition takes over the position of a peer that holds the same records, if the store's own
-// word or its era is news. All hosts would otherwise fetch all records when the era changes.
+// AdoptPosition takes over the position of a peer that holds the same records, if it
+// belongs to another era or the replica has none. Otherwise all hosts would fetch all
+// records when the era changes.
 func (r *Replica) AdoptPosition(theirs Version) bool {
 	return r.update(func() ([]Change, bool, bool) {
-		news := theirs.Era != r.at.Era || r.at.Revision == 0
-		if !r.fed || !news || r.digest != theirs.Digest || !r.at.Before(theirs.Position) {
+		news := theirs.Era != r.position.Era || r.position.Revision == 0
+		if !r.populated || !news || r.digest != theirs.Digest || !r.position.Before(theirs.Position) {
 			return nil, false, false
 		}
-		r.moveTo(theirs.Position)
+		r.setPosition(theirs.Position)
 		return nil, false, true
 	})
 }
 
-// Parts gives the digests of the parts, and the version that they belong to.
+// Parts returns the digests of the parts and the version to which they belong.
 func (r *Replica) Parts() ([]uint64, Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.parts[:]), r.version()
 }
 
-// DifferingParts gives the records of the parts that differ from a peer's, or all where
-// the peer tells of none.
+// DifferingParts returns the records of the parts that differ from a peer's digests, or
+// all records if theirs does not hold a digest for each part.
 func (r *Replica) DifferingParts(theirs []uint64) Snapshot {
 	if len(theirs) != partCount {
 		return r.Snapshot()
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	snapshot := Snapshot{Position: r.at, Records: []Record{}, Parts: []int{}}
+	snapshot := Snapshot{Position: r.position, Records: []Record{}, Parts: []int{}}
 	for part, digest := range r.parts {
 		if digest != theirs[part] {
 			snapshot.Parts = append(snapshot.Parts, part)
@@ -321,35 +324,35 @@
 	return snapshot
 }
 
-// MergeParts takes over what a peer gave for the digests of a version. If the replica
-// has changed since, the other parts may no longer be the peer's: nothing is taken,
-// and the next heartbeat tells of the difference again.
+// MergeParts applies the parts that a peer sent for the digests of version base. If the
+// replica has changed since, the other parts may no longer equal the peer's: nothing is
+// applied, and the next heartbeat shows the difference again.
 func (r *Replica) MergeParts(snapshot Snapshot, base Version) {
 	if snapshot.Parts == nil {
 		r.Listed(snapshot.Records, snapshot.Position)
 		return
 	}
 	r.update(func() ([]Change, bool, bool) {
-		if r.movedOn(snapshot, base) {
+		if r.isOutdated(snapshot, base) {
 			return nil, false, false
 		}
 		return r.replaceParts(snapshot.Records, snapshot.Position, func(part int) bool { return slices.Contains(snapshot.Parts, part) }), true, true
 	})
 }
 
-// ChangedSince gives what changed after a position that a peer knows all of, unless this
-// replica does not reach back so far, or is of another era.
+// ChangedSince returns the changes after a position up to which a peer is complete. It
+// returns false if the history does not reach back that far or the position belongs to
+// another era.
 //
-// While the runners of a fleet are claimed every part of the list differs at each fetch:
-// by parts alone a host fetched the whole list, whose length is that of the fleet, as often
-// as anything changed.
+// While the runners of a fleet are claimed, every part differs at each fetch. With parts
+// alone a host fetched the whole list, which grows with the fleet, at each change.
 func (r *Replica) ChangedSince(since Position) (Snapshot, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if since.Revision == 0 || since.Era != r.at.Era || !r.history.reaches(since.Revision) {
-		return Snapshot{Position: r.at}, false
+	if since.Revision == 0 || since.Era != r.position.Era || !r.history.covers(since.Revision) {
+		return Snapshot{Position: r.position}, false
 	}
-	snapshot := Snapshot{Position: r.at, Since: since.Revision, Digest: r.digest}
+	snapshot := Snapshot{Position: r.position, Since: since.Revision, Digest: r.digest}
 	for name, record := range r.records {
 		if r.history.changedAt[name] > since.Revision {
 			snapshot.Records = append(snapshot.Records, record)
@@ -363,37 +366,39 @@
 	return snapshot, true
 }
 
-// MergeChanges takes over a peer's differences to a version, and says whether the replica
-// holds what the peer does then. What changed back in between is not among the
-// differences; the digests tell, and the parts that differ have to be fetched.
+// MergeChanges applies a peer's changes since version base, and reports whether the
+// replica then holds the peer's records. A record that was changed and changed back in
+// between is not among the changes; the digests then differ, and the caller must fetch the
+// parts that differ.
 func (r *Replica) MergeChanges(snapshot Snapshot, base Version) (complete bool) {
 	return r.update(func() ([]Change, bool, bool) {
-		if r.movedOn(snapshot, base) {
+		if r.isOutdated(snapshot, base) {
 			return nil, false, true
 		}
-		if snapshot.Era != r.at.Era {
+		if snapshot.Era != r.position.Era {
 			return nil, false, false
 		}
-		changes := r.apply(snapshot)
-		r.moveTo(snapshot.Position)
-		return changes, false, r.digest == snapshot.Digest || r.ahead(snapshot.Revision)
+		changes := r.applySnapshot(snapshot)
+		r.setPosition(snapshot.Position)
+		return changes, false, r.digest == snapshot.Digest || r.hasRecordAfter(snapshot.Revision)
 	})
 }
 
-// movedOn says that a peer's answer to a version comes too late: the replica has changed
-// since, and what the peer left out may no longer be the same; the lock is held.
-func (r *Replica) movedOn(snapshot Snapshot, base Version) bool {
-	return snapshot.Before(r.at) || base != r.version()
+// isOutdated reports whether the replica has changed since a peer was asked with version
+// base. What the peer left out may then no longer be equal. The caller holds r.mu.
+func (r *Replica) isOutdated(snapshot Snapshot, base Version) bool {
+	return snapshot.Before(r.position) || base != r.version()
 }
 
-// apply takes differences over and gives what they changed; the lock is held.
-func (r *Replica) apply(snapshot Snapshot) []Change {
+// applySnapshot applies a peer's changes and returns those that took effect. The caller
+// holds r.mu.
+func (r *Replica) applySnapshot(snapshot Snapshot) []Change {
 	var changes []Change
 	for _, record := range snapshot.Records {
 		if record.Revision <= r.records[record.Name].Revision {
 			continue
 		}
-		if !r.same(record) {
+		if !r.isKnown(record) {
 			changes = append(changes, Change{Record: record})
 		}
 		r.set(record)
@@ -401,14 +406,15 @@
 	for _, name := range snapshot.Removed {
 		if record, ok := r.records[name]; ok && record.Revision <= snapshot.Revision {
 			changes = append(changes, Change{Record: record, Removed: true})
-			r.drop(name, snapshot.Revision)
+			r.remove(name, snapshot.Revision)
 		}
 	}
 	return changes
 }
 
-// ahead says that this host has written a record after a revision; the lock is held.
-func (r *Replica) ahead(revision uint64) bool {
+// hasRecordAfter reports whether this host has written a record after a revision. The
+// caller holds r.mu.
+func (r *Replica) hasRecordAfter(revision uint64) bool {
 	for _, record := range r.records {
 		if record.Revision > revision {
 			return true
@@ -417,33 +423,32 @@
 	return false
 }
 
-// Changed implements Sink. Changes of another era than the replica's say nothing about what
-// it holds.
+// Changed implements Sink. Changes of another era than the replica's are ignored.
 func (r *Replica) Changed(changes []Change, at Position) {
 	r.update(func() ([]Change, bool, bool) {
-		if at.Era != r.at.Era {
+		if at.Era != r.position.Era {
 			return nil, false, false
 		}
 		var applied []Change
 		for _, change := range changes {
-			if overtaken(change, r.records[change.Name].Revision) {
+			if isSuperseded(change, r.records[change.Name].Revision) {
 				continue
 			}
-			applied = append(applied, r.change(change, at)...)
+			applied = append(applied, r.applyChange(change, at)...)
 		}
-		r.at.Revision = max(r.at.Revision, at.Revision)
+		r.position.Revision = max(r.position.Revision, at.Revision)
 		return applied, false, true
 	})
 }
 
-// change applies one change and gives it if it changed something; the lock is held.
-func (r *Replica) change(change Change, at Position) []Change {
+// applyChange applies a change and returns it if it took effect. The caller holds r.mu.
+func (r *Replica) applyChange(change Change, at Position) []Change {
 	if change.Removed {
-		r.drop(change.Name, max(at.Revision, r.at.Revision))
+		r.remove(change.Name, max(at.Revision, r.position.Revision))
 		return []Change{change}
 	}
 	change.Record = r.strip(change.Record)
-	known := r.same(change.Record)
+	known := r.isKnown(change.Record)
 	r.set(change.Record)
 	if known {
 		return nil
@@ -451,16 +456,16 @@
 	return []Change{change}
 }
 
-// overtaken says that a change is older than what is known. A listing may have
+// isSuperseded reports whether a change is older than the known record. A listing may have
 // brought a record that was removed and created again since the watch began.
-func overtaken(change Change, known uint64) bool {
+func isSuperseded(change Change, known uint64) bool {
 	if change.Removed {
 		return change.Revision != 0 && change.Revision < known
 	}
 	return change.Revision <= known
 }
 
-// Get gives one record.
+// Get returns a record and whether it exists.
 func (r *Replica) Get(name string) (Record, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -468,23 +473,23 @@
 	return record, ok
 }
 
-// Snapshot copies all records.
+// Snapshot returns a copy of all records.
 func (r *Replica) Snapshot() Snapshot {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	snapshot := Snapshot{Position: r.at, Records: make([]Record, 0, len(r.records))}
+	snapshot := Snapshot{Position: r.position, Records: make([]Record, 0, len(r.records))}
 	for _, record := range r.records {
 		snapshot.Records = append(snapshot.Records, record)
 	}
 	return snapshot
 }
 
-// Put notes a record that the store has just answered a write or a read of with, before the
-// watch brings it. It says whether the answer is of the replica's era: what was written in an
-// earlier one may be lost, and of a later one the replica knows nothing yet.
+// Put applies a record from the store's answer to a write or a read, before the watch
+// delivers it. It reports whether the answer belongs to the replica's era. A write of an
+// earlier era may be lost, and of a later era the replica has no records yet.
 func (r *Replica) Put(record Record) bool {
 	return r.update(func() ([]Change, bool, bool) {
-		if record.Era != r.at.Era {
+		if record.Era != r.position.Era {
 			return nil, false, false
 		}
 		if record.Revision <= r.records[record.Name].Revision {
@@ -496,13 +501,13 @@
 	})
 }
 
-// Drop notes that the store had no record of a name when it answered in an era.
+// Drop removes a record because the store, in the given era, had none of that name.
 func (r *Replica) Drop(name string, era Era) {
 	r.update(func() ([]Change, bool, bool) {
-		if _, known := r.records[name]; !known || era != r.at.Era {
+		if _, known := r.records[name]; !known || era != r.position.Era {
 			return nil, false, false
 		}
-		r.drop(name, r.at.Revision)
+		r.remove(name, r.position.Revision)
 		return []Change{{Record: Record{Name: name}, Removed: true}}, false, true
 	})
 }
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -9,13 +9,13 @@
 	"pgregory.net/rapid"
 )
 
-// at is a position in the only era.
+// at returns a position in era 0.
 func at(revision uint64) Position { return Position{Revision: revision} }
 
 func record(name string, revision uint64) Record { return Record{Name: name, Revision: revision} }
 
-// An answer that was overtaken arrives: a listing of revision 5 after one of 8.
-// Taking it would bring an old configuration back, and a record that is gone since.
+// A listing of revision 5 arrives after one of revision 8. Applied, it would bring back an
+// old configuration and a removed record.
 func TestReplicaNeverGoesBack(t *testing.T) {
 	r := NewReplica()
 	r.Listed([]Record{record("a", 7)}, at(8))
@@ -31,8 +31,8 @@
 	must.Eq(t, 9, r.Revision())
 }
 
-// A peer's snapshot brought a record that was removed and made again. The watch
-// then tells of the old removal, which must not take the new record away.
+// A peer's snapshot contains a record that was removed and created again. The watch then
+// delivers the old removal, which must not remove the new record.
 func TestReplicaOldRemoval(t *testing.T) {
 	r := NewReplica()
 	r.Listed([]Record{record("a", 9)}, at(9))
@@ -44,9 +44,8 @@
 	must.False(t, ok)
 }
 
-// Two hosts hold the same records while their store revisions differ, since
-// other kinds changed. Compared by revision, they would fetch from each other
-// for ever.
+// Two hosts hold the same records at different revisions of the store, because other kinds
+// changed. If they compared revisions, they would fetch from each other for ever.
 func TestReplicaDigest(t *testing.T) {
 	a, b := NewReplica(), NewReplica()
 	a.Listed([]Record{record("x", 1), record("y", 2)}, at(2))
@@ -59,47 +58,47 @@
 	must.Eq(t, a.Version().Digest, b.Version().Digest)
 }
 
-func TestReplicaTellsChanges(t *testing.T) {
-	var told []Change
+func TestReplicaReportsChanges(t *testing.T) {
+	var reported []Change
 	r := NewReplica()
-	r.OnChange = func(changes []Change, _ bool) { told = append(told, changes...) }
+	r.OnChange = func(changes []Change, _ bool) { reported = append(reported, changes...) }
 	r.Listed([]Record{record("a", 1), record("b", 2)}, at(2))
-	must.Len(t, 2, told)
-	told = nil
+	must.Len(t, 2, reported)
+	reported = nil
 	r.Listed([]Record{record("a", 1), record("c", 3)}, at(3))
-	must.Len(t, 2, told, must.Sprint("one new and one gone; the one that stayed is not told"))
-	told = nil
+	must.Len(t, 2, reported, must.Sprint("one added and one removed; the unchanged one is not reported"))
+	reported = nil
 	r.Put(record("a", 5))
 	r.Changed([]Change{{Record: record("a", 5)}}, at(5))
-	must.Len(t, 1, told, must.Sprint("the watch brings an own write again"))
+	must.Len(t, 1, reported, must.Sprint("the watch delivers an own write again"))
 }
 
-// A runner's entry changes with each adapter that comes or goes, which this layer
-// does not use. Nobody is told, and two hosts of which one has not seen the
-// change hold the same.
+// A runner's record changes with each adapter that is loaded or unloaded, which this layer
+// does not use. Such a change must not be reported, and hosts that have and have not seen
+// it must have the same digest.
 func TestReplicaStrips(t *testing.T) {
 	state := func(name string, revision uint64, spec string) Record {
 		return Record{Name: name, Revision: revision, Spec: json.RawMessage(spec)}
 	}
-	told := 0
+	reported := 0
 	first := func(spec json.RawMessage) json.RawMessage { return spec[:1] }
 	a, b := NewContentReplica(first), NewContentReplica(first)
-	a.OnChange = func(changes []Change, _ bool) { told += len(changes) }
+	a.OnChange = func(changes []Change, _ bool) { reported += len(changes) }
 	a.Listed([]Record{state("r", 1, "Rxx")}, at(1))
 	b.Listed([]Record{state("r", 1, "Rxx")}, at(1))
-	must.Eq(t, 1, told)
+	must.Eq(t, 1, reported)
 	a.Changed([]Change{{Record: state("r", 2, "Ryy")}}, at(2))
-	must.Eq(t, 1, told)
+	must.Eq(t, 1, reported)
 	must.Eq(t, b.Version().Digest, a.Version().Digest)
 	got, _ := a.Get("r")
 	must.Eq(t, 2, got.Revision)
 	a.Changed([]Change{{Record: state("r", 3, "Dyy")}}, at(3))
-	must.Eq(t, 2, told)
+	must.Eq(t, 2, reported)
 	must.NotEq(t, b.Version().Digest, a.Version().Digest)
 }
 
-// Two hosts have a thousand records, of which one has changed at the first. The
-// second fetches what differs: some records and not all, and then holds the same.
+// Two hosts have a thousand records, of which one host has seen a few changes. The other
+// must fetch only the parts that differ, and then hold the same records.
 func TestReplicaFetchesDifferences(t *testing.T) {
 	first, second := NewReplica(), NewReplica()
 	var records []Record
@@ -112,17 +111,17 @@
 	parts, base := second.Parts()
 	snapshot := first.DifferingParts(parts)
 	must.Less(t, 100, len(snapshot.Records))
-	var told []Change
-	second.OnChange = func(changed []Change, _ bool) { told = changed }
+	var reported []Change
+	second.OnChange = func(changed []Change, _ bool) { reported = changed }
 	second.MergeParts(snapshot, base)
 	must.Eq(t, first.Version(), second.Version())
-	must.Len(t, 3, told)
+	must.Len(t, 3, reported)
 	_, there := second.Get("r8")
 	must.False(t, there)
 }
 
-// A host asks for differences and there are none, since it heard of the change
-// elsewhere meanwhile. It keeps what it has.
+// A host asks for differences and there are none, because it learned of the change
+// elsewhere meanwhile. It must keep its records.
 func TestReplicaWithoutDifferences(t *testing.T) {
 	first, second := NewReplica(), NewReplica()
 	first.Listed([]Record{record("a", 1)}, at(2))
@@ -138,8 +137,8 @@
 	must.Eq(t, 2, second.Revision())
 }
 
-// Between a host's question and the answer its own watch brings a change. What the
-// answer leaves out may no longer be the peer's, so nothing of it is taken.
+// Between a host's request and the answer its own watch brings a change. What the answer
+// leaves out may no longer be the peer's, so nothing of it may be applied.
 func TestReplicaDropsAnAnswerToAnOlderVersion(t *testing.T) {
 	first, second := NewReplica(), NewReplica()
 	first.Listed([]Record{record("a", 9), record("b", 2)}, at(9))
@@ -153,8 +152,8 @@
 	must.Eq(t, 5, second.Revision())
 }
 
-// Replicas that change at random and fetch from each other at random end up alike,
-// whoever fetched what from whom, and never go back.
+// Replicas that change and fetch from each other at random must converge and never go
+// back.
 func TestReplicasConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		store := NewReplica()
@@ -184,10 +183,10 @@
 	})
 }
 
-// A host claims a runner and notes its own write. A peer that is ahead in everything
-// else, but has not heard of the write, passes its records on. Taken as they are, the
-// host would forget what it has just written: it stopped giving the runner orders and
-// claimed it again, a quarter of a second and two calls to the store later.
+// A host claims a runner and applies its own write. A peer that is ahead otherwise, but
+// has not seen the write, sends its records. They must not replace the write: the host
+// stopped giving the runner orders and claimed it again, a quarter of a second and two
+// calls to the store later.
 func TestOwnWriteOutlivesAnOlderSnapshot(t *testing.T) {
 	older := []Record{{Name: "a", Revision: 8}, {Name: "b", Revision: 11}}
 	for name, pass := range map[string]func(own, peer *Replica){
@@ -213,7 +212,7 @@
 
 			own.Listed(older, at(14))
 			_, claimed = own.Get("claim")
-			must.False(t, claimed, must.Sprint("a later listing without the record says that it is gone"))
+			must.False(t, claimed, must.Sprint("a later listing without the record removes it"))
 		})
 	}
 }
