--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,7 +1,6 @@
-// Package membership exchanges heartbeats between entry hosts. A heartbeat
-// carries what must reach the others soon: the revision in force, the state of
-// owned runners where it changed, and counts of requests for the hosts that
-// keep them.
+// Package membership exchanges heartbeats between entry hosts. A heartbeat carries what
+// other hosts must learn soon: the inventory revision, changed states of owned runners,
+// and request counts for the hosts that aggregate them.
 package membership
 
 import (
@@ -17,23 +16,26 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-const methodBeat = "member.beat"
+const methodHeartbeat = "member.beat"
 
-// beatTimeout bounds one heartbeat; a connection that lets one pass is given up.
-const beatTimeout = 1500 * time.Millisecond
+// heartbeatTimeout bounds one heartbeat. A connection on which nothing arrives in that
+// time is closed.
+const heartbeatTimeout = 1500 * time.Millisecond
 
-// Heartbeat is a heartbeat.
+// Heartbeat is the request that a host sends to each of its neighbours.
 type Heartbeat struct {
 	Member fleet.Member     `json:"member"`
 	Views  []residency.View `json:"views,omitempty"`
 	Counts []demand.Count   `json:"counts,omitempty"`
-	// Rates are the requests a second of models resident on the receiver's runners.
+	// Rates are the requests per second of models that are resident on the receiver's
+	// runners.
 	Rates []demand.Count `json:"rates,omitempty"`
-	// Full: the sender wants the receiver's whole state, since it has just started.
+	// Full asks for the receiver's whole state, because the sender has not had an answer
+	// from it yet.
 	Full bool `json:"full,omitempty"`
 }
 
-// HeartbeatResult is the answer to a heartbeat.
+// HeartbeatResult is the answer to a Heartbeat.
 type HeartbeatResult struct {
 	Member fleet.Member     `json:"member"`
 	Views  []residency.View `json:"views,omitempty"`
@@ -44,65 +46,66 @@
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// Deps are what the service works with.
+// Deps are the dependencies of a Service.
 type Deps struct {
 	Peers   Peers
 	Hosts   *fleet.Table
 	Members *fleet.Members
-	// Self describes this node now.
+	// Self returns this host's current description.
 	Self func() fleet.Member
-	// Views gives the runners that this node owns.
+	// Views returns the state of the runners that this host owns.
 	Views func() []residency.View
-	// OnViews takes what a peer tells of its runners.
+	// OnViews receives a peer's view of its runners.
 	OnViews func(views []residency.View)
-	// TakeCounts gives the requests counted for a peer since the last call;
-	// Counted takes those that a peer sends.
+	// TakeCounts returns the requests counted for a peer since the last call. OnCounts
+	// receives the counts of a peer.
 	TakeCounts func(host string) []demand.Count
 	OnCounts   func(counts []demand.Count)
-	// TakeRates gives rates for a peer that owns runners; Rates takes a peer's.
+	// TakeRates returns the rates for a peer that owns runners. OnRates receives the rates
+	// of a peer.
 	TakeRates func(host string) []demand.Count
 	OnRates   func(rates []demand.Count)
-	// OnMember is told each member's word.
+	// OnMember receives the description of each peer.
 	OnMember func(member fleet.Member)
 	Log      hclog.Logger
 }
 
-// Service sends and takes heartbeats.
+// Service sends and receives heartbeats.
 type Service struct {
 	deps     Deps
 	interval time.Duration
 	seeds    []string
-	nudged   chan struct{}
+	trigger  chan struct{}
 
-	mu    sync.Mutex
-	sent  map[string]map[string]residency.View
-	met   map[string]string
-	count int64
+	mu           sync.Mutex
+	sentViews    map[string]map[string]residency.View
+	incarnations map[string]string
+	answered     int64
 }
 
-// NewService makes the service. seeds are peers' addresses to start from while
-// the host list is away.
+// NewService returns a Service that sends heartbeats at an interval. seeds are the
+// addresses to use while there is no host list.
 func NewService(deps Deps, interval time.Duration, seeds []string) *Service {
-	return &Service{deps: deps, interval: interval, seeds: seeds, nudged: make(chan struct{}, 1), sent: map[string]map[string]residency.View{}, met: map[string]string{}}
+	return &Service{deps: deps, interval: interval, seeds: seeds, trigger: make(chan struct{}, 1), sentViews: map[string]map[string]residency.View{}, incarnations: map[string]string{}}
 }
 
 // Register adds the methods that peers call.
 func (s *Service) Register(mux *peer.Mux) {
-	peer.Handle(mux, methodBeat, func(_ context.Context, from peer.Identity, beat Heartbeat) (HeartbeatResult, error) {
-		beat.Member.Host = from.Host
-		beat.Member.Incarnation = from.Incarnation
-		s.take(beat.Member, beat.Views)
-		s.deps.OnCounts(beat.Counts)
-		s.deps.OnRates(beat.Rates)
+	peer.Handle(mux, methodHeartbeat, func(_ context.Context, from peer.Identity, heartbeat Heartbeat) (HeartbeatResult, error) {
+		heartbeat.Member.Host = from.Host
+		heartbeat.Member.Incarnation = from.Incarnation
+		s.receive(heartbeat.Member, heartbeat.Views)
+		s.deps.OnCounts(heartbeat.Counts)
+		s.deps.OnRates(heartbeat.Rates)
 		answer := HeartbeatResult{Member: s.deps.Self()}
-		if beat.Full {
+		if heartbeat.Full {
 			answer.Views = s.deps.Views()
 		}
 		return answer, nil
 	})
 }
 
-func (s *Service) take(member fleet.Member, views []residency.View) {
+func (s *Service) receive(member fleet.Member, views []residency.View) {
 	now := time.Now()
 	s.deps.Members.Heard(member, now)
 	s.deps.OnViews(views)
@@ -119,35 +122,35 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-		case <-s.nudged:
-			timing.Sleep(ctx, nudgePause)
+		case <-s.trigger:
+			timing.Sleep(ctx, triggerDelay)
 		}
 	}
 }
 
-// nudgePause lets changes that come together go out together.
-const nudgePause = 20 * time.Millisecond
+// triggerDelay lets changes that come together go out in one round.
+const triggerDelay = 20 * time.Millisecond
 
-// TriggerRound makes a round go out soon.
+// TriggerRound starts a round of heartbeats soon.
 func (s *Service) TriggerRound() {
 	select {
-	case s.nudged <- struct{}{}:
+	case s.trigger <- struct{}{}:
 	default:
 	}
 }
 
-// SendHeartbeats sends one heartbeat to each neighbour. A slow peer does not hold the
-// next round up; it is sent to again once it has answered.
+// SendHeartbeats sends one heartbeat to each neighbour and does not wait for the answers,
+// so that a slow peer does not delay the next round.
 func (s *Service) SendHeartbeats(ctx context.Context) {
 	self := s.deps.Self()
 	s.deps.Members.Heard(self, time.Now())
-	s.forgetGone()
-	for _, to := range s.targets(self) {
+	s.forgetRemovedHosts()
+	for _, to := range s.recipients(self) {
 		go s.send(ctx, to)
 	}
 }
 
-func (s *Service) forgetGone() {
+func (s *Service) forgetRemovedHosts() {
 	for _, member := range s.deps.Members.All() {
 		if s.deps.Hosts.Gone(member.Host) {
 			s.deps.Members.Forget(member.Host)
@@ -155,72 +158,72 @@
 	}
 }
 
-// targets gives the peers' addresses: the host list's, and the seeds as long
-// as no list has come.
-func (s *Service) targets(self fleet.Member) []target {
+// recipients returns the neighbours from the host list, or the seeds while there is no
+// list.
+func (s *Service) recipients(self fleet.Member) []recipient {
 	entries := s.deps.Hosts.ByRole(fleet.RoleEntry)
 	here := fleet.Host{ID: self.Host, DataCentre: self.DataCentre, Region: self.Region}
-	var targets []target
+	var recipients []recipient
 	for _, host := range fleet.Neighbours(here, entries) {
-		targets = append(targets, target{host: host.ID, address: host.Address})
+		recipients = append(recipients, recipient{host: host.ID, address: host.Address})
 	}
 	if len(entries) == 0 {
 		for _, seed := range s.seeds {
-			targets = append(targets, target{host: seed, address: seed})
+			recipients = append(recipients, recipient{host: seed, address: seed})
 		}
 	}
-	return targets
+	return recipients
 }
 
-type target struct{ host, address string }
+type recipient struct{ host, address string }
 
-func (s *Service) send(ctx context.Context, to target) {
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+func (s *Service) send(ctx context.Context, to recipient) {
+	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
-	fresh := s.changedFor(to.host)
-	beat := Heartbeat{
-		Member: s.deps.Self(), Views: fresh, Counts: s.deps.TakeCounts(to.host),
-		Rates: s.deps.TakeRates(to.host), Full: !s.hasMet(to.host, ""),
+	changed := s.unsentViews(to.host)
+	heartbeat := Heartbeat{
+		Member: s.deps.Self(), Views: changed, Counts: s.deps.TakeCounts(to.host),
+		Rates: s.deps.TakeRates(to.host), Full: !s.hasAnswered(to.host, ""),
 	}
 	var answer HeartbeatResult
-	if err := s.deps.Peers.Call(ctx, to.address, methodBeat, beat, &answer); err != nil {
+	if err := s.deps.Peers.Call(ctx, to.address, methodHeartbeat, heartbeat, &answer); err != nil {
 		s.forgetSent(to.host)
 		s.deps.Log.Trace("heartbeat not answered", "peer", to.host, "error", err)
 		return
 	}
-	if !s.hasMet(to.host, answer.Member.Incarnation) {
-		// A new process knows nothing of what the old one was told.
+	if !s.hasAnswered(to.host, answer.Member.Incarnation) {
+		// A new process lacks what was sent to the previous one.
 		s.forgetSent(to.host)
 	}
-	s.meet(to.host, answer.Member.Incarnation)
-	s.take(answer.Member, answer.Views)
+	s.noteAnswer(to.host, answer.Member.Incarnation)
+	s.receive(answer.Member, answer.Views)
 }
 
-// hasMet says whether a peer has answered before; with an incarnation given,
+// hasAnswered reports whether a peer has answered before or, with an incarnation given,
 // whether that process has.
-func (s *Service) hasMet(host, incarnation string) bool {
+func (s *Service) hasAnswered(host, incarnation string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	met, ok := s.met[host]
-	return ok && (incarnation == "" || met == incarnation)
+	known, ok := s.incarnations[host]
+	return ok && (incarnation == "" || known == incarnation)
 }
 
-func (s *Service) meet(host, incarnation string) {
+func (s *Service) noteAnswer(host, incarnation string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.met[host] = incarnation
-	s.count++
+	s.incarnations[host] = incarnation
+	s.answered++
 }
 
-// changedFor gives the owned runners' states that a peer has not been sent.
-func (s *Service) changedFor(host string) []residency.View {
+// unsentViews returns the states of owned runners that a peer has not been sent.
+func (s *Service) unsentViews(host string) []residency.View {
 	views := s.deps.Views()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	sent := s.sent[host]
+	sent := s.sentViews[host]
 	if sent == nil {
 		sent = map[string]residency.View{}
-		s.sent[host] = sent
+		s.sentViews[host] = sent
 	}
 	var changed []residency.View
 	for _, view := range views {
@@ -235,12 +238,12 @@
 func (s *Service) forgetSent(host string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sent, host)
+	delete(s.sentViews, host)
 }
 
-// HeartbeatsAnswered gives the number of heartbeats answered so far.
+// HeartbeatsAnswered returns the number of heartbeats that peers have answered.
 func (s *Service) HeartbeatsAnswered() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.count
+	return s.answered
 }
