--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -1,6 +1,6 @@
-// Package configsync keeps the inventory in force on this node at the newest
-// accepted revision: by a watch on the head, by a slow poll behind it, and by
-// what peers tell. Any one of the three is enough.
+// Package configsync keeps this host's inventory at the latest accepted revision: by a
+// watch on the head, by a slow poll in case the watch fails, and by revisions that peers
+// announce. Any one of the three is enough.
 package configsync
 
 import (
@@ -24,13 +24,13 @@
 	firstBackoff = 200 * time.Millisecond
 	maxBackoff   = 15 * time.Second
 	peerTimeout  = 2 * time.Second
-	// watchersPerDataCentre bounds the waiting watches of a large fleet; a
-	// small one watches from every host.
+	// watchersPerDataCentre bounds the concurrent watches of a large fleet. In a fleet of
+	// up to smallFleet hosts every host watches.
 	watchersPerDataCentre = 2
 	smallFleet            = 16
 )
 
-// Objects is what the service needs of the object API.
+// Objects is the part of the object API that the service needs.
 type Objects interface {
 	configlog.Objects
 	Watch(ctx context.Context, prefix string, after objectapi.Version, wait time.Duration) (objectapi.Changes, error)
@@ -41,7 +41,7 @@
 	Call(ctx context.Context, address, method string, params, result any) error
 }
 
-// Config sets the service.
+// Config configures a Service.
 type Config struct {
 	Host       string
 	DataCentre string
@@ -49,7 +49,7 @@
 	Poll       time.Duration
 }
 
-// Service follows the head.
+// Service follows the head of the configuration log.
 type Service struct {
 	cfg      Config
 	follower *configlog.Follower
@@ -66,7 +66,7 @@
 	parts   partCache
 }
 
-// New makes the service.
+// New returns a Service that does not run yet.
 func New(cfg Config, follower *configlog.Follower, objects Objects, peers Peers, hosts *fleet.Table, announce func(), log hclog.Logger) *Service {
 	return &Service{
 		cfg: cfg, follower: follower, reader: configlog.NewReader(objects), objects: objects,
@@ -82,13 +82,13 @@
 	wg.Wait()
 }
 
-// watch waits for changes of the head. A watch that fails is tried again after
-// a growing pause with jitter, so that hosts do not come back all at once.
+// watch waits for changes of the head. It retries a failed watch with exponential backoff
+// and jitter, so that hosts do not all return at once.
 func (s *Service) watch(ctx context.Context) {
 	pause := newBackoff()
 	var after objectapi.Version
 	for ctx.Err() == nil {
-		if !s.watches() {
+		if !s.isWatcher() {
 			timing.Sleep(ctx, s.cfg.Poll)
 			continue
 		}
@@ -110,8 +110,8 @@
 	}
 }
 
-// watches says whether this host is one of those that watch.
-func (s *Service) watches() bool {
+// isWatcher reports whether this host watches the head.
+func (s *Service) isWatcher() bool {
 	entries := s.hosts.ByRole(fleet.RoleEntry)
 	if len(entries) <= smallFleet {
 		return true
@@ -131,15 +131,15 @@
 	return false
 }
 
-// poll reads the head now and then: a watch whose connection went silent, or
-// that tells nothing, would otherwise leave this host behind for good.
+// poll reads the head periodically. Otherwise a watch whose connection is dead, or that
+// delivers nothing, would leave this host behind for good.
 func (s *Service) poll(ctx context.Context) {
 	pause := newBackoff()
 	for ctx.Err() == nil {
 		wait := jitter(s.pollInterval())
 		if err := s.Sync(ctx); err != nil {
 			wait = max(wait, pause.NextBackOff())
-			s.log.Debug("head not read", "error", err)
+			s.log.Debug("reading head failed", "error", err)
 		} else {
 			pause.Reset()
 		}
@@ -147,19 +147,19 @@
 	}
 }
 
-// pollFactor makes a host of a large fleet that does not watch poll less often:
-// it learns of changes from the watchers, and the calls must grow more slowly
+// nonWatcherPollFactor reduces the poll rate of hosts in a large fleet that do not watch.
+// They learn of changes from the watchers, and the number of calls must grow more slowly
 // than the fleet.
-const pollFactor = 10
+const nonWatcherPollFactor = 10
 
 func (s *Service) pollInterval() time.Duration {
-	if s.watches() {
+	if s.isWatcher() {
 		return s.cfg.Poll
 	}
-	return pollFactor * s.cfg.Poll
+	return nonWatcherPollFactor * s.cfg.Poll
 }
 
-// Sync brings this node to the head of the object API.
+// Sync brings the inventory up to the head in the object API.
 func (s *Service) Sync(ctx context.Context) error {
 	s.syncing.Lock()
 	defer s.syncing.Unlock()
@@ -175,10 +175,11 @@
 	return nil
 }
 
-// ApplyAccepted puts a change in force that this node has just had accepted.
+// ApplyAccepted applies a change that this host has just had accepted.
 func (s *Service) ApplyAccepted(change configlog.Change) {
 	if err := s.follower.Follow([]configlog.Change{change}); err != nil {
-		// The change stands in chunks or does not follow; the next reading of the head brings it.
+		// The change is stored in chunks or does not follow the current revision; the next
+		// read of the head brings it.
 		s.log.Debug("accepted change not applied directly", "error", err)
 		return
 	}
@@ -189,7 +190,7 @@
 	if !s.follower.Adopt(snapshot, changes) {
 		return
 	}
-	s.log.Info("inventory in force", "revision", uint64(snapshot.Revision()), "source", source)
+	s.log.Info("inventory updated", "revision", uint64(snapshot.Revision()), "source", source)
 	s.announce()
 }
 
@@ -201,7 +202,7 @@
 	return b
 }
 
-// jitter spreads a wait over three quarters to five quarters of it.
+// jitter returns a random duration between three quarters and five quarters of wait.
 func jitter(wait time.Duration) time.Duration {
 	return wait*3/4 + rand.N(wait/2+1)
 }
@@ -232,8 +233,8 @@
 	})
 }
 
-// PullIfNewer takes a peer's revision; if it is newer, this node asks the peer for
-// what it lacks. One call at a time is made to a peer.
+// PullIfNewer fetches what this host lacks from a peer with a newer revision. At most one
+// call to a peer is made at a time.
 func (s *Service) PullIfNewer(ctx context.Context, member fleet.Member) {
 	if inventory.Revision(member.Revision) <= s.follower.Snapshot().Revision() {
 		return
@@ -243,13 +244,13 @@
 	}
 	go func() {
 		defer s.pulling.Delete(member.Host)
-		if err := s.pull(ctx, member); err != nil {
-			s.log.Debug("peer's inventory not taken", "peer", member.Host, "error", err)
+		if err := s.pullChanges(ctx, member); err != nil {
+			s.log.Debug("fetching inventory from a peer failed", "peer", member.Host, "error", err)
 		}
 	}()
 }
 
-func (s *Service) pull(ctx context.Context, member fleet.Member) error {
+func (s *Service) pullChanges(ctx context.Context, member fleet.Member) error {
 	callCtx, cancel := context.WithTimeout(ctx, peerTimeout)
 	defer cancel()
 	var since sinceResult
@@ -258,14 +259,14 @@
 		return err
 	}
 	if !since.Complete {
-		return s.pullWhole(ctx, member)
+		return s.pullAllParts(ctx, member)
 	}
 	before := s.follower.Snapshot().Revision()
 	if err := s.follower.Follow(since.Changes); err != nil {
 		return err
 	}
 	if now := s.follower.Snapshot().Revision(); now > before {
-		s.log.Info("inventory in force", "revision", uint64(now), "source", "peer "+member.Host)
+		s.log.Info("inventory updated", "revision", uint64(now), "source", "peer "+member.Host)
 		s.announce()
 	}
 	return nil
--- a/internal/configsync/parts.go
+++ b/internal/configsync/parts.go
@@ -12,8 +12,8 @@
 )
 
 type partParams struct {
-	// Revision is zero for the first part; the others are of the revision that
-	// the first one named.
+	// Revision is zero for the first part. Later parts repeat the revision of the first
+	// answer.
 	Revision inventory.Revision `json:"revision"`
 	Index    int                `json:"index"`
 }
@@ -24,8 +24,8 @@
 	Data     []byte             `json:"data"`
 }
 
-// partCache keeps the parts of the last snapshot that a peer asked for, so
-// that many fresh hosts cost one encoding.
+// partCache caches the encoded parts of the snapshot that was last asked for, so that many
+// new hosts cost one encoding.
 type partCache struct {
 	mu       sync.Mutex
 	revision inventory.Revision
@@ -43,13 +43,13 @@
 		c.revision, c.parts = snapshot.Revision(), parts
 	}
 	if (p.Index > 0 && p.Revision != c.revision) || p.Index < 0 || p.Index >= len(c.parts) {
-		return partResult{}, peer.Refuse(errors.Errorf("no part %d of revision %d", p.Index, p.Revision))
+		return partResult{}, peer.Refuse(errors.Errorf("part %d of revision %d is not available", p.Index, p.Revision))
 	}
 	return partResult{Revision: c.revision, Count: len(c.parts), Data: c.parts[p.Index]}, nil
 }
 
-// pullWhole takes a peer's whole inventory, part by part.
-func (s *Service) pullWhole(ctx context.Context, member fleet.Member) error {
+// pullAllParts fetches a peer's whole inventory, part by part.
+func (s *Service) pullAllParts(ctx context.Context, member fleet.Member) error {
 	var parts [][]byte
 	var params partParams
 	var revision inventory.Revision
