--- a/internal/hostlist/contract_test.go
+++ b/internal/hostlist/contract_test.go
@@ -24,8 +24,8 @@
 }
 
 func TestContract(t *testing.T) {
-	// The host list answers rightly, wrongly, late or not at all. Anything but
-	// a whole list is an error, and the list before it stays in force.
+	// The host list answers correctly, incorrectly, late or not at all. Anything but a
+	// complete list must be an error, so that the previous list stays in use.
 	for _, row := range []struct {
 		name  string
 		serve http.HandlerFunc
