--- a/internal/mesh/counting.go
+++ b/internal/mesh/counting.go
@@ -7,65 +7,65 @@
 )
 
 const (
-	// recomposeSettle is how long after hosts joined or left this host begins to count
-	// what another one counted: until the others know of the change too, both count. A
-	// heartbeat that tells of it takes two intervals to reach everybody.
-	recomposeSettle = time.Second
-	// maxFirsts bounds the keys for which the first host is remembered.
-	maxFirsts = 1 << 14
+	// membershipSettle is how long after hosts joined or left a new leader waits before it
+	// counts what another host counted: until all know of the change, both count. A
+	// heartbeat with the change takes two intervals to reach all hosts.
+	membershipSettle = time.Second
+	// maxCachedLeaders bounds the keys whose leader is cached.
+	maxCachedLeaders = 1 << 14
 )
 
-// LeaderFor gives the host that comes first for a key, empty where none is known, and
-// where it can be reached.
+// LeaderFor returns the host that leads a key and its address, or "" if no host is known.
 func (s *State) LeaderFor(key string) (host, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	host = s.inForce().firstFor(key)
+	host = s.currentMembership().leaderFor(key)
 	return host, s.members[host].Address
 }
 
-func (m *membership) firstFor(key string) string {
-	if first, known := m.firsts[key]; known {
+func (m *membership) leaderFor(key string) string {
+	if first, known := m.leaders[key]; known {
 		return first
 	}
-	if len(m.firsts) >= maxFirsts {
-		clear(m.firsts)
+	if len(m.leaders) >= maxCachedLeaders {
+		clear(m.leaders)
 	}
 	first := fleet.First(key, m.hosts)
-	m.firsts[key] = first
+	m.leaders[key] = first
 	return first
 }
 
-// Leadership is the right of one host to do alone what a key names.
+// Leadership is a host's exclusive right to act for a key.
 type Leadership struct {
-	// Since is when at least no other host had it any more.
+	// Since is a time from which certainly no other host has led the key.
 	Since time.Time
-	// Epoch is that of the lease that it rests on.
+	// Epoch is the epoch of the lease on which the leadership depends.
 	Epoch int64
 }
 
-// Leads says whether this host alone may do what a key names: it comes first for the
-// key, and its lease is not over.
+// Leads reports whether this host leads a key: it ranks first for the key and its lease is
+// valid.
 //
-// A host that is suspended or cut off would otherwise go on beside its successor, and what
-// each grants would add up. It suffices because the lease of a host is broken, and another
-// one comes first, only after the host's own lease has been over for the order gap.
+// Without the lease, a host that was suspended or cut off would go on beside its
+// successor, and the two would grant the same budget twice. Another host takes over only
+// after the lease is broken, which is at least the order gap after it expired.
 func (s *State) Leads(key string, now time.Time) (Leadership, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.epoch == 0 || s.inForce().firstFor(key) != s.self || !now.Add(s.timing.Margin).Before(s.validUntil()) {
+	if s.epoch == 0 || s.currentMembership().leaderFor(key) != s.self || !now.Add(s.timing.Margin).Before(s.validUntil()) {
 		return Leadership{}, false
 	}
 	since := s.started
-	if settled := s.recomposed.Add(recomposeSettle); !s.recomposed.IsZero() && settled.After(since) {
+	if settled := s.membershipChanged.Add(membershipSettle); !s.membershipChanged.IsZero() && settled.After(since) {
 		since = settled
 	}
 	return Leadership{Since: since, Epoch: s.epoch}, true
 }
 
-// MembershipChangedAt gives when hosts last joined or left, zero where this host has seen no change.
+// MembershipChangedAt returns when hosts last joined or left, or the zero time if this
+// host has seen no change.
 func (s *State) MembershipChangedAt() time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.recomposed
+	return s.membershipChanged
 }
--- a/internal/mesh/delay.go
+++ b/internal/mesh/delay.go
@@ -5,55 +5,57 @@
 	"time"
 )
 
-// delayWindow is for how long the fastest message of a host is what its later ones are
-// measured by: long enough to hold one that met no queue, short enough that clocks drift by
+// delayWindow is how long a host's fastest message serves as the baseline for its later
+// ones: long enough to include one that was not queued, short enough that clocks drift by
 // less than a millisecond.
 const delayWindow = 20 * time.Second
 
-// delays tells how long messages of other hosts waited on their way, by clocks that agree in
-// their pace alone: a message is as late as it took longer than the fastest one lately.
+// delays estimates how long messages from other hosts were queued on their way. Clocks
+// need not agree, only run at the same rate: a message's delay is its transit time beyond
+// that of the fastest recent message.
 //
-// What another host says is as old as its message. Taken as new, words that a host finds when
-// it wakes from a suspension, or that waited on a full link, keep it from asking the store. It
-// is safe for concurrent use.
+// What a message says is as old as the message. Heartbeats that a host reads after a
+// suspension, or that were queued on a full link, would otherwise pass for current and
+// keep the host from asking the store. It is safe for concurrent use.
 type delays struct {
-	mu   sync.Mutex
-	seen map[string]*fastest
+	mu     sync.Mutex
+	byHost map[string]*offsetWindow
 }
 
-// fastest are the least differences of clocks, of this window and the one before.
-type fastest struct {
-	since          time.Time
-	before, lately time.Duration
+// offsetWindow holds the smallest differences between arrival and send time, in the
+// current window and the previous one.
+type offsetWindow struct {
+	since             time.Time
+	previous, current time.Duration
 }
 
-// of gives how long a message waited that a host sent by its own clock and that came now, 0
-// for one that does not say when it was sent.
-func (d *delays) of(host string, sentMS int64, now time.Time) time.Duration {
+// estimate returns how long a message was queued that a host sent at sentMS by its own
+// clock and that arrived now. It returns 0 if sentMS is 0, that is, unknown.
+func (d *delays) estimate(host string, sentMS int64, now time.Time) time.Duration {
 	if sentMS == 0 {
 		return 0
 	}
 	took := now.Sub(time.UnixMilli(sentMS))
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.seen == nil {
-		d.seen = map[string]*fastest{}
+	if d.byHost == nil {
+		d.byHost = map[string]*offsetWindow{}
 	}
-	f := d.seen[host]
+	f := d.byHost[host]
 	if f == nil || now.Sub(f.since) > 2*delayWindow {
-		f = &fastest{since: now, before: took, lately: took}
-		d.seen[host] = f
+		f = &offsetWindow{since: now, previous: took, current: took}
+		d.byHost[host] = f
 	}
 	if now.Sub(f.since) > delayWindow {
-		f.since, f.before, f.lately = now, f.lately, took
+		f.since, f.previous, f.current = now, f.current, took
 	}
-	f.lately = min(f.lately, took)
-	return took - min(f.before, f.lately)
+	f.current = min(f.current, took)
+	return took - min(f.previous, f.current)
 }
 
-// forget drops what was kept of a host.
+// forget drops the state of a host.
 func (d *delays) forget(host string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.seen, host)
+	delete(d.byHost, host)
 }
--- a/internal/mesh/membership.go
+++ b/internal/mesh/membership.go
@@ -8,30 +8,29 @@
 	"github.com/cherrystage/cherrystage/internal/fleet"
 )
 
-// membership is what follows from which hosts are in force. It is worked out once
-// for each change of the members, and is not safe for concurrent use.
+// membership is data derived from the set of live hosts. It is computed once per change of
+// the members and is not safe for concurrent use.
 //
-// The load it answers: every host looks at leases, owners and watches several times
-// a second, and each look sorted and hashed all hosts, some of them once for each
-// host. In a fleet of 100 that was four fifths of an idle host's processor time, in
-// bursts during which its callers waited.
+// Every host checks leases, owners and watchers several times a second. When each check
+// sorted and hashed all hosts, some of them once per host, that took four fifths of an
+// idle host's processor time in a fleet of 100, in bursts that delayed requests.
 type membership struct {
-	// hosts are those in force, sorted.
-	hosts    []string
-	byCentre map[string][]string
-	// ranked are the hosts in the order in which they look after a kind of record.
+	// hosts are the hosts whose lease is not broken, sorted.
+	hosts        []string
+	byDataCentre map[string][]string
+	// ranked holds the hosts by kind of record, in the order in which they watch it.
 	ranked map[string][]string
-	// firsts are the hosts that come first for keys that were asked for.
-	firsts map[string]string
+	// leaders caches the leader of each key that was asked for.
+	leaders map[string]string
 }
 
-// inForce gives the present membership; the lock is held. Its slices are shared and
-// must not be changed.
-func (s *State) inForce() *membership {
+// currentMembership returns the current membership. Its slices are shared and must not be
+// modified. The caller holds s.mu.
+func (s *State) currentMembership() *membership {
 	if s.membership != nil {
 		return s.membership
 	}
-	m := &membership{byCentre: map[string][]string{}, ranked: map[string][]string{}, firsts: map[string]string{}}
+	m := &membership{byDataCentre: map[string][]string{}, ranked: map[string][]string{}, leaders: map[string]string{}}
 	for host, member := range s.members {
 		if !member.Broken {
 			m.hosts = append(m.hosts, host)
@@ -40,56 +39,58 @@
 	slices.Sort(m.hosts)
 	for _, host := range m.hosts {
 		centre := s.members[host].DataCentre
-		m.byCentre[centre] = append(m.byCentre[centre], host)
+		m.byDataCentre[centre] = append(m.byDataCentre[centre], host)
 	}
 	s.membership = m
 	return m
 }
 
-// near gives the hosts of a data centre, or all if it has none.
-func (m *membership) near(centre string) []string {
-	if near := m.byCentre[centre]; len(near) > 0 {
+// hostsNear returns the hosts of a data centre, or all hosts if it has none.
+func (m *membership) hostsNear(centre string) []string {
+	if near := m.byDataCentre[centre]; len(near) > 0 {
 		return near
 	}
 	return m.hosts
 }
 
-// without gives the hosts but one.
+// without returns all hosts but one.
 func (m *membership) without(host string) []string {
 	return slices.DeleteFunc(slices.Clone(m.hosts), func(other string) bool { return other == host })
 }
 
-// watchers is the number of hosts that watch a kind of record: one may be dead,
-// cut off or deaf without the others noticing a delay.
-const watchers = 2
+// watchersPerKind is the number of hosts that watch a kind of record, so that one can be
+// dead, cut off or without answers from the store without delaying the others.
+const watchersPerKind = 2
 
-// turnOf gives a host's turn to ask the store for a kind of record: 0 for those that watch,
-// 1 for as many after them, and each time for twice as many. Of n hosts the last turn is
-// the binary logarithm of n or less, and that of a host that is not in force is the last.
-func (m *membership) turnOf(kind, host string) int {
+// fallbackTurn returns a host's turn to ask the store for a kind of record: 0 for the
+// watchers, 1 for as many hosts after them, and twice as many for each further turn. With
+// n hosts the last turn is at most the binary logarithm of n. A host that is not live gets
+// the last turn.
+func (m *membership) fallbackTurn(kind, host string) int {
 	ranked := m.rankedFor(kind)
 	rank := slices.Index(ranked, host)
 	if rank < 0 {
-		rank = max(len(ranked), watchers)
+		rank = max(len(ranked), watchersPerKind)
 	}
-	return bits.Len(uint(rank / watchers))
+	return bits.Len(uint(rank / watchersPerKind))
 }
 
-// lastTurn gives the last of the turns in which the hosts of a fleet ask the store in place
-// of those that watch; the first one comes at once.
-func lastTurn(hosts int) int { return bits.Len(uint((hosts - 1) / watchers)) }
+// lastFallbackTurn returns the last turn in a fleet of a given size. The first turn asks
+// without delay.
+func lastFallbackTurn(hosts int) int { return bits.Len(uint((hosts - 1) / watchersPerKind)) }
 
-// MaxFallbackDelay gives for how long the last host of a fleet waits for its turn to ask the store.
-func MaxFallbackDelay(hosts int) time.Duration { return waitForTurn(lastTurn(hosts)) }
+// MaxFallbackDelay returns how long the last host of a fleet waits for its turn to ask the
+// store.
+func MaxFallbackDelay(hosts int) time.Duration { return fallbackDelay(lastFallbackTurn(hosts)) }
 
-func waitForTurn(turn int) time.Duration { return time.Duration(turn-1) * turnStep }
+func fallbackDelay(turn int) time.Duration { return time.Duration(turn-1) * fallbackStep }
 
 func (m *membership) watchersOf(kind string) []string {
 	ranked := m.rankedFor(kind)
-	return ranked[:min(len(ranked), watchers)]
+	return ranked[:min(len(ranked), watchersPerKind)]
 }
 
-// rankedFor gives the hosts in the order in which they look after a kind of record.
+// rankedFor returns the hosts in the order in which they watch a kind of record.
 func (m *membership) rankedFor(kind string) []string {
 	ranked, known := m.ranked[kind]
 	if !known {
--- a/internal/mesh/witnesses.go
+++ b/internal/mesh/witnesses.go
@@ -8,30 +8,30 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// TakeBeat notes a peer's heartbeat and says whether this host promises to keep
-// the peer's lease.
+// ReceiveHeartbeat records a peer's heartbeat and reports whether this host promises to
+// keep the peer's lease.
 //
-// A host whose own lease is over does not promise: its lease may be broken
-// without its knowledge, and a broken witness counts as one that agrees to break.
-// One that has agreed to break this lease does not promise either, until a newer
-// record shows that the lease was kept. Nor does one that knows another era of the
-// store: there the peer's record may name other witnesses, who break its lease.
-func (s *State) TakeBeat(host string, era registry.Era, now time.Time) bool {
+// A host whose own lease has expired does not promise: its lease may be broken without its
+// knowledge, and a broken witness counts as a vote to break. Neither does a host that has
+// agreed to break this lease, until a newer record shows that the lease was kept, nor one
+// in another era of the store: there the peer's record may name other witnesses, who may
+// break its lease.
+func (s *State) ReceiveHeartbeat(host string, era registry.Era, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	signs := s.signs(host)
-	signs.heard = now
-	voted := signs.voted != 0 && signs.voted == signs.revision
-	return !voted && era == s.era && now.Before(s.validUntil())
+	peer := s.peerOf(host)
+	peer.heardAt = now
+	hasVoted := peer.votedRevision != 0 && peer.votedRevision == peer.revision
+	return !hasVoted && era == s.era && now.Before(s.validUntil())
 }
 
-// Promised notes a peer's promise in answer to a heartbeat sent at a time.
-func (s *State) Promised(host string, sent time.Time) {
+// PromiseReceived records a peer's promise in answer to a heartbeat sent at a time.
+func (s *State) PromiseReceived(host string, sent time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if signs := s.signs(host); sent.After(signs.promised) {
-		s.continued(sent)
-		signs.promised = sent
+	if peer := s.peerOf(host); sent.After(peer.promisedAt) {
+		s.dropRetainedIfLapsed(sent)
+		peer.promisedAt = sent
 	}
 }
 
@@ -41,7 +41,7 @@
 	Address string
 }
 
-// Witnesses gives the hosts that heartbeats go to.
+// Witnesses returns the hosts that receive this host's heartbeats.
 func (s *State) Witnesses() []Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -54,15 +54,15 @@
 	return peers
 }
 
-// majorityPromised gives the time from which a majority of the witnesses has
-// promised; zero without witnesses.
+// majorityPromised returns the time from which a majority of the witnesses has promised,
+// or the zero time without witnesses.
 func (s *State) majorityPromised() time.Time {
 	if len(s.witnesses) == 0 {
 		return time.Time{}
 	}
 	times := make([]time.Time, 0, len(s.witnesses))
 	for _, host := range s.witnesses {
-		times = append(times, s.signs(host).promised)
+		times = append(times, s.peerOf(host).promisedAt)
 	}
 	slices.SortFunc(times, func(a, b time.Time) int { return b.Compare(a) })
 	return times[majority(len(times))-1]
@@ -70,8 +70,8 @@
 
 func majority(of int) int { return of/2 + 1 }
 
-// NeedsRenewal says whether the lease should be renewed in the store, since the
-// promises of a majority are missing.
+// NeedsRenewal reports whether the lease should be renewed in the store because a majority
+// of promises is missing.
 func (s *State) NeedsRenewal(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,37 +79,37 @@
 		return false
 	}
 	third := s.timing.Lease / 3
-	return now.Sub(s.majorityPromised()) > 3*third/2 && now.Sub(s.renewed) > third
+	return now.Sub(s.majorityPromised()) > 3*third/2 && now.Sub(s.renewedAt) > third
 }
 
-// nearWitnesses is how many of the witnesses are of the host's own data centre, if
-// others can be had. It is less than a majority, so that no lease hangs on one data
-// centre and the hosts of one that is lost can be broken by the others. Each of them
-// saves the bytes of its heartbeats between data centres: drawn from all, four of five
-// were elsewhere.
+// nearWitnesses is the number of witnesses from the host's own data centre if enough
+// others exist. It is less than a majority, so that no lease depends on one data centre
+// and the hosts of a lost data centre can be declared dead by others. Near witnesses save
+// traffic between data centres: with a random choice four of five witnesses were
+// elsewhere.
 const nearWitnesses = 2
 
-// Choose gives the witnesses that the own record should name, and whether they
-// are others than those it names.
-func (s *State) Choose(now time.Time) ([]string, bool) {
+// ChooseWitnesses returns the witnesses that this host's record should name, and whether
+// they differ from those that it names.
+func (s *State) ChooseWitnesses(now time.Time) ([]string, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.witnesses) > 0 && now.Sub(s.chosen) < rechoose {
+	if len(s.witnesses) > 0 && now.Sub(s.chosenAt) < minRechooseInterval {
 		return s.witnesses, false
 	}
-	wanted := s.wanted(now)
+	wanted := s.selectWitnesses(now)
 	if slices.Equal(wanted, s.witnesses) {
 		return wanted, false
 	}
-	s.chosen = now
+	s.chosenAt = now
 	return wanted, true
 }
 
-// wanted keeps the witnesses that answer and fills up with others.
-func (s *State) wanted(now time.Time) []string {
+// selectWitnesses keeps the witnesses that answer and adds others up to maxWitnesses.
+func (s *State) selectWitnesses(now time.Time) []string {
 	var wanted []string
 	for _, host := range s.witnesses {
-		if m, ok := s.members[host]; ok && !m.Broken && now.Sub(s.signs(host).promised) < witnessSilence {
+		if m, ok := s.members[host]; ok && !m.Broken && now.Sub(s.peerOf(host).promisedAt) < witnessTimeout {
 			wanted = append(wanted, host)
 		}
 	}
@@ -118,7 +118,7 @@
 		return wanted
 	}
 	var others []string
-	for _, host := range s.inForce().hosts {
+	for _, host := range s.currentMembership().hosts {
 		if host != s.self && !slices.Contains(wanted, host) {
 			others = append(others, host)
 		}
@@ -131,12 +131,11 @@
 			near++
 		}
 	}
-	// Hosts that were silent as witnesses come last, before them those near that are
-	// too many.
+	// Silent witnesses come last, preceded by near hosts beyond nearWitnesses.
 	order := make(map[string]int, len(others))
 	for _, host := range others {
 		switch {
-		case s.silent(host):
+		case s.isSilentWitness(host):
 			order[host] = 3
 		case s.members[host].DataCentre != centre:
 			order[host] = 1
@@ -152,5 +151,6 @@
 	return wanted
 }
 
-// silent says that a host is a witness that did not answer lately.
-func (s *State) silent(host string) bool { return slices.Contains(s.witnesses, host) }
+// isSilentWitness reports whether a host that selectWitnesses did not keep is a witness,
+// that is, one that did not answer recently.
+func (s *State) isSilentWitness(host string) bool { return slices.Contains(s.witnesses, host) }
