--- a/internal/ingress/ingress.go
+++ b/internal/ingress/ingress.go
@@ -1,5 +1,5 @@
-// Package ingress takes callers' requests: it reads them whole, within the
-// configured limits, finds their route and hands them to be served.
+// Package ingress accepts callers' requests: it reads them whole, within the configured
+// limits, authenticates them, finds their route and passes them on to be served.
 package ingress
 
 import (
@@ -20,53 +20,51 @@
 )
 
 const (
-	// headerTimeout bounds how long a caller may take to send a request's
-	// header. It is twice what the platform's pages give as a limit, which a
-	// caller may use up.
+	// headerTimeout bounds how long a caller may take to send a request's header. It is
+	// twice the limit in the platform's specification, all of which a caller may use.
 	headerTimeout = 6 * time.Second
-	// idleTimeout is longer than callers keep idle connections, so that they
-	// close them and no request meets a connection that is closing here.
+	// idleTimeout is longer than callers keep idle connections, so that callers close
+	// them and no request is sent on a connection that this host is closing.
 	idleTimeout = 60 * time.Second
-	// maxHeaderBytes bounds a header; the platform's pages give 16 KiB.
+	// maxHeaderBytes bounds a header; the platform's specification allows 16 KiB.
 	maxHeaderBytes = 64 << 10
-	// bodyTimeout bounds the reading of a body when the caller gives no
-	// deadline.
+	// bodyTimeout bounds the reading of a body if the caller gives no deadline.
 	bodyTimeout = 10 * time.Second
-	// defaultBodyBytes bounds a body before a configuration says it.
+	// defaultBodyBytes bounds a body if the configuration sets no limit.
 	defaultBodyBytes = 4 << 20
-	// unknownRetry is when a caller should come back to a host that has no
+	// unconfiguredRetryAfter is the Retry-After value, in seconds, of a host that has no
 	// configuration yet.
-	unknownRetry = "0.5"
-	// leavingRetry is when a caller should come back that a stopping host
-	// refused: another host takes it at once.
-	leavingRetry = "0.05"
+	unconfiguredRetryAfter = "0.5"
+	// stoppingRetryAfter is the Retry-After value, in seconds, of a host that is stopping:
+	// another host can serve the request at once.
+	stoppingRetryAfter = "0.05"
 )
 
-// Serve serves a request on its route.
+// Serve serves a request on its route; arrived is when its header had been read.
 type Serve func(ctx context.Context, w http.ResponseWriter, route *site.Route, request *forward.Request, arrived time.Time)
 
-// Ingress handles callers' requests.
+// Ingress accepts callers' requests over HTTP.
 type Ingress struct {
 	Dialect   forward.Dialect
 	Directory *directory.Directory
 	Serve     Serve
 	Now       func() time.Time
 	Log       hclog.Logger
-	// ConfigAge gives how old what the host knows of the configuration may be.
+	// ConfigAge returns an upper bound on the age of the host's configuration.
 	ConfigAge func() time.Duration
-	// Closing says that connections should be closed after their answer.
+	// Closing reports whether connections are to be closed after the next answer.
 	Closing func() bool
-	// Refusing says that no request is begun any more.
+	// Refusing reports whether new requests are refused.
 	Refusing func() bool
 }
 
-// Server makes the HTTP server for callers.
+// Server returns the HTTP server for callers. It detects conflicting framing only on
+// connections from WrapListener.
 func (i *Ingress) Server() *http.Server {
 	router := echo.New()
 	router.HideBanner = true
 	router.HidePort = true
-	// Routes come from the configuration and not from the router, so everything
-	// is taken before it.
+	// Routes come from the configuration, so every request is handled before echo's router.
 	router.Pre(func(echo.HandlerFunc) echo.HandlerFunc {
 		return func(c echo.Context) error {
 			i.handle(c.Response().Writer, c.Request())
@@ -85,19 +83,19 @@
 
 func (i *Ingress) handle(w http.ResponseWriter, r *http.Request) {
 	arrived := i.Now()
-	recorder := recorderOf(r.Context())
+	recorder := recorderFrom(r.Context())
 	defer recorder.reset()
 	if i.Closing() {
 		w.Header().Set("Connection", "close")
 	}
 	if i.Refusing() {
-		w.Header().Set("Retry-After", leavingRetry)
+		w.Header().Set("Retry-After", stoppingRetryAfter)
 		i.reject(w, r, http.StatusServiceUnavailable, "this host is stopping")
 		return
 	}
 	if len(r.TransferEncoding) > 0 {
-		switch recorder.framing() {
-		case framingBoth:
+		switch recorder.detectFraming() {
+		case framingConflict:
 			i.reject(w, r, http.StatusBadRequest, "both Content-Length and Transfer-Encoding")
 			return
 		case framingUnknown:
@@ -111,21 +109,21 @@
 	}
 	config := i.Directory.Snapshot().Config
 	if config == nil {
-		w.Header().Set("Retry-After", unknownRetry)
+		w.Header().Set("Retry-After", unconfiguredRetryAfter)
 		i.reject(w, r, http.StatusServiceUnavailable, "this host has no configuration yet")
 		return
 	}
-	route, ok := config.Match(hostName(r.Host), pathOf(r))
+	route, ok := config.Match(stripPort(r.Host), requestPath(r))
 	if !ok {
-		i.reject(w, r, http.StatusNotFound, "no route", i.judged(config)...)
+		i.reject(w, r, http.StatusNotFound, "no route", i.configLogFields(config)...)
 		return
 	}
-	caller, known := callerOf(config, route, ask)
+	caller, known := identifyCaller(config, route, ask)
 	if !known {
-		i.unauthorized(w, r, config)
+		i.rejectUnauthorized(w, r, config)
 		return
 	}
-	body, status := i.read(w, r, config, ask)
+	body, status := i.readBody(w, r, config, ask)
 	if status != 0 {
 		i.reject(w, r, status, "body not read")
 		return
@@ -134,18 +132,18 @@
 		Ask:    ask,
 		Method: r.Method,
 		Host:   r.Host,
-		Target: targetOf(r),
+		Target: requestTarget(r),
 		Header: r.Header,
 		Body:   body,
-		From:   hostName(r.RemoteAddr),
+		From:   stripPort(r.RemoteAddr),
 		Caller: caller,
 	}
 	i.Serve(r.Context(), w, route, request, arrived)
 }
 
-// callerOf finds whose request it is by the configuration in force. It is not known
-// where the route wants a key and no workspace holds the one that came.
-func callerOf(config *site.Config, route *site.Route, ask forward.Ask) (forward.Caller, bool) {
+// identifyCaller finds the workspace of the request's key in the configuration in force. It
+// returns false if the route requires a key and no workspace has the one that was sent.
+func identifyCaller(config *site.Config, route *site.Route, ask forward.Ask) (forward.Caller, bool) {
 	caller := forward.Caller{Checked: config.Workspaces != nil}
 	if !caller.Checked {
 		return caller, true
@@ -156,29 +154,29 @@
 	return caller, caller.Workspace != nil || route.Public
 }
 
-// unauthorized answers a request without a key in force. Its body is not waited for:
-// net/http would read it before the answer, and a caller that sends slowly would hold
-// the connection for nothing. What is left of it is read after the answer, so that the
-// next request on the connection begins where it should.
-func (i *Ingress) unauthorized(w http.ResponseWriter, r *http.Request, config *site.Config) {
+// rejectUnauthorized answers a request without a valid key, without waiting for its body:
+// net/http would read the body first, and a slow caller would occupy the connection for
+// nothing. The rest of the body is read after the answer, so that the next request on the
+// connection is parsed from its start.
+func (i *Ingress) rejectUnauthorized(w http.ResponseWriter, r *http.Request, config *site.Config) {
 	control := http.NewResponseController(w)
 	if err := control.EnableFullDuplex(); err != nil {
-		i.Log.Debug("the answer waits for the request's body", "error", err.Error())
+		i.Log.Debug("full duplex not available, the answer waits for the request's body", "error", err.Error())
 	}
 	w.Header().Set("WWW-Authenticate", "Bearer")
-	i.reject(w, r, http.StatusUnauthorized, "no key in force came with the request", i.judged(config)...)
+	i.reject(w, r, http.StatusUnauthorized, "no key in force came with the request", i.configLogFields(config)...)
 	if err := control.Flush(); err != nil {
 		return
 	}
 	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
 	defer func() { _ = control.SetReadDeadline(time.Time{}) }()
 	if _, err := io.Copy(io.Discard, http.MaxBytesReader(w, r.Body, defaultBodyBytes)); err != nil {
-		i.Log.Debug("the rest of a rejected request was not read", "error", err.Error())
+		i.Log.Debug("rest of a rejected request's body not read", "error", err.Error())
 	}
 }
 
-// read reads the body and gives the status to reject the request with, or 0.
-func (i *Ingress) read(w http.ResponseWriter, r *http.Request, config *site.Config, ask forward.Ask) ([]byte, int) {
+// readBody reads the body. It returns the status to reject the request with, or 0.
+func (i *Ingress) readBody(w http.ResponseWriter, r *http.Request, config *site.Config, ask forward.Ask) ([]byte, int) {
 	if r.Body == nil || r.Body == http.NoBody {
 		return nil, 0
 	}
@@ -211,11 +209,11 @@
 	}
 }
 
-// reject answers a request that goes no further. Where its framing or its body is in
-// doubt the connection is closed: what follows on it may be the rest of what was not read.
-func (i *Ingress) reject(w http.ResponseWriter, r *http.Request, status int, reason string, judged ...any) {
-	line := []any{"id", i.idOf(r), "method", r.Method, "host_header", r.Host, "path", r.URL.Path, "status", status, "reason", reason}
-	i.Log.Info("request rejected", append(line, judged...)...)
+// reject answers a request that is not served. If its framing is in doubt or its body was not
+// read, the connection is closed: the bytes that follow may belong to this request.
+func (i *Ingress) reject(w http.ResponseWriter, r *http.Request, status int, reason string, fields ...any) {
+	line := []any{"id", i.requestID(r), "method", r.Method, "host_header", r.Host, "path", r.URL.Path, "status", status, "reason", reason}
+	i.Log.Info("request rejected", append(line, fields...)...)
 	switch status {
 	case http.StatusNotFound, http.StatusServiceUnavailable, http.StatusUnauthorized:
 	default:
@@ -225,19 +223,19 @@
 	header := w.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	header.Set("X-Content-Type-Options", "nosniff")
-	// With its length the answer is whole once it is flushed.
+	// With a Content-Length, the answer is complete as soon as it is flushed.
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(status)
 	_, _ = io.WriteString(w, body)
 }
 
-// judged gives, for the log, the configuration that a request was rejected by.
-func (i *Ingress) judged(config *site.Config) []any {
+// configLogFields returns the log fields on the configuration that a request was rejected by.
+func (i *Ingress) configLogFields(config *site.Config) []any {
 	return []any{"config_version", config.Version, "config_age_ms", i.ConfigAge().Milliseconds()}
 }
 
-// idOf gives the request's id for the log, where it has one.
-func (i *Ingress) idOf(r *http.Request) string {
+// requestID returns the request's ID for the log, or "" if its headers are invalid.
+func (i *Ingress) requestID(r *http.Request) string {
 	ask, err := i.Dialect.Ask(r.Header)
 	if err != nil {
 		return ""
@@ -245,22 +243,22 @@
 	return ask.ID
 }
 
-func hostName(host string) string {
+func stripPort(host string) string {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		return name
 	}
 	return host
 }
 
-// targetOf gives path and query as the caller sent them.
-func targetOf(r *http.Request) string {
+// requestTarget returns the path and query exactly as the caller sent them.
+func requestTarget(r *http.Request) string {
 	if strings.HasPrefix(r.RequestURI, "/") {
 		return r.RequestURI
 	}
 	return r.URL.RequestURI()
 }
 
-func pathOf(r *http.Request) string {
-	path, _, _ := strings.Cut(targetOf(r), "?")
+func requestPath(r *http.Request) string {
+	path, _, _ := strings.Cut(requestTarget(r), "?")
 	return path
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -24,10 +24,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// dialect reads a request's ID and its caller's patience.
-type dialect struct{}
+// testDialect reads a request's ID, key and timeout.
+type testDialect struct{}
 
-func (dialect) Ask(header http.Header) (forward.Ask, error) {
+func (testDialect) Ask(header http.Header) (forward.Ask, error) {
 	ask := forward.Ask{ID: header.Get("Id")}
 	if ask.ID == "" {
 		return ask, errors.New("no ID")
@@ -43,27 +43,27 @@
 	return ask, nil
 }
 
-func (dialect) Set(_, _ http.Header, _ forward.Ask, _ forward.Send) {}
-func (dialect) Told(int, http.Header) forward.Told                  { return forward.Told{} }
+func (testDialect) Set(_, _ http.Header, _ forward.Ask, _ forward.Send) {}
+func (testDialect) Told(int, http.Header) forward.Told                  { return forward.Told{} }
 
-// decoder knows one configuration.
-type decoder struct{ config *site.Config }
+// testDecoder returns one configuration for every record.
+type testDecoder struct{ config *site.Config }
 
-func (d decoder) Config(json.RawMessage) (*site.Config, error) { return d.config, nil }
-func (decoder) Runner(string, json.RawMessage) (*site.Runner, error) {
+func (d testDecoder) Config(json.RawMessage) (*site.Config, error) { return d.config, nil }
+func (testDecoder) Runner(string, json.RawMessage) (*site.Runner, error) {
 	return nil, errors.New("no runners")
 }
-func (decoder) StripRunner(spec json.RawMessage) json.RawMessage         { return spec }
-func (decoder) StripConfig(spec json.RawMessage) json.RawMessage         { return spec }
-func (decoder) StripAdapterVersion(spec json.RawMessage) json.RawMessage { return spec }
-func (decoder) AdapterVersion(json.RawMessage) (site.AdapterVersion, error) {
+func (testDecoder) StripRunner(spec json.RawMessage) json.RawMessage         { return spec }
+func (testDecoder) StripConfig(spec json.RawMessage) json.RawMessage         { return spec }
+func (testDecoder) StripAdapterVersion(spec json.RawMessage) json.RawMessage { return spec }
+func (testDecoder) AdapterVersion(json.RawMessage) (site.AdapterVersion, error) {
 	return site.AdapterVersion{}, errors.New("no versions")
 }
 
 const maxBody = 100
 
-// entrance is an ingress in memory and virtual time, before a route /a/ of the host h.
-type entrance struct {
+// testIngress is an ingress on an in-memory network, in virtual time.
+type testIngress struct {
 	t        *testing.T
 	net      *standin.Network
 	closing  bool
@@ -71,16 +71,16 @@
 	served   []*forward.Request
 }
 
-func inEntrance(t *testing.T, configured bool, run func(e *entrance)) {
+func withIngress(t *testing.T, configured bool, run func(e *testIngress)) {
 	t.Helper()
 	var config *site.Config
 	if configured {
 		config = configWith(nil)
 	}
-	inEntranceOf(t, config, run)
+	withIngressConfig(t, config, run)
 }
 
-// configWith is a configuration with the routes /a/ and, for everybody, /open/ of the host h.
+// configWith returns a configuration with the route /a/ and the public route /open/ of host h.
 func configWith(workspaces *site.Workspaces) *site.Config {
 	route := &site.Route{Name: "a", Host: "h", Prefix: "/a/", Kind: site.Idempotent}
 	open := &site.Route{Name: "open", Host: "h", Prefix: "/open/", Kind: site.Idempotent, Public: true}
@@ -89,23 +89,23 @@
 	return config
 }
 
-func inEntranceOf(t *testing.T, config *site.Config, run func(e *entrance)) {
+func withIngressConfig(t *testing.T, config *site.Config, run func(e *testIngress)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		e := &entrance{t: t, net: standin.NewNetwork()}
+		e := &testIngress{t: t, net: standin.NewNetwork()}
 		defer func() {
 			e.net.Close()
-			// The server waits for a moment before it closes a connection.
+			// The server waits a moment before it closes a connection.
 			time.Sleep(time.Second)
 			synctest.Wait()
 		}()
-		known := directory.New(decoder{config: config}, time.Now, hclog.NewNullLogger())
+		known := directory.New(testDecoder{config: config}, time.Now, hclog.NewNullLogger())
 		if config != nil {
 			known.Configs.Changed([]registry.Change{{Record: registry.Record{Name: "main", Revision: 1}}}, registry.Position{Revision: 1})
 		}
 		server := (&Ingress{
 			ConfigAge: func() time.Duration { return 0 },
-			Dialect:   dialect{}, Directory: known, Now: time.Now, Log: hclog.NewNullLogger(),
+			Dialect:   testDialect{}, Directory: known, Now: time.Now, Log: hclog.NewNullLogger(),
 			Serve: func(_ context.Context, w http.ResponseWriter, _ *site.Route, request *forward.Request, _ time.Time) {
 				e.served = append(e.served, request)
 				_, _ = io.WriteString(w, "served")
@@ -120,15 +120,15 @@
 	})
 }
 
-// send writes bytes on a new connection and reads one answer.
-func (e *entrance) send(text string) *http.Response {
+// send writes text on a new connection and reads one answer.
+func (e *testIngress) send(text string) *http.Response {
 	e.t.Helper()
 	conn, err := e.net.Host("caller").Dial(e.t.Context(), "tcp", "entry:80")
 	must.NoError(e.t, err)
 	return e.sendOn(conn, text)
 }
 
-func (e *entrance) sendOn(conn net.Conn, text string) *http.Response {
+func (e *testIngress) sendOn(conn net.Conn, text string) *http.Response {
 	e.t.Helper()
 	go func() { _, _ = io.WriteString(conn, text) }()
 	response, err := http.ReadResponse(bufio.NewReader(conn), nil)
@@ -139,15 +139,15 @@
 	return response
 }
 
-// post is a request for a path with a body of a length.
+// post returns a POST request for a path with a body of the given length.
 func post(path string, length int) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nId: q\r\nContent-Length: %d\r\n\r\n%s", path, length, strings.Repeat("x", length))
 }
 
-// A request is handed on as its caller sent it: path and query to the letter, the body
-// whole, and where it came from.
-func TestRequestIsHandedOnAsItCame(t *testing.T) {
-	inEntrance(t, true, func(e *entrance) {
+// A request is passed on with its path and query byte for byte, its whole body and its
+// caller's address.
+func TestRequestIsPassedOnUnchanged(t *testing.T) {
+	withIngress(t, true, func(e *testIngress) {
 		response := e.send("POST /a/b%20c/../d?x=1%2b2&x=3 HTTP/1.1\r\nHost: h:8080\r\nId: q\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 		must.Eq(t, http.StatusOK, response.StatusCode)
 		must.Len(t, 1, e.served)
@@ -159,9 +159,9 @@
 	})
 }
 
-// What cannot be served ends at the entrance, with the status that says why. What may be
-// asked again says so; a connection on which unread bytes may follow is closed.
-func TestRequestsThatEndAtTheEntrance(t *testing.T) {
+// Requests that cannot be served are rejected with the right status, and the connection is
+// closed if unread bytes may follow on it.
+func TestRejectedRequests(t *testing.T) {
 	for name, test := range map[string]struct {
 		text   string
 		status int
@@ -176,7 +176,7 @@
 			status: http.StatusRequestEntityTooLarge, closed: true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inEntrance(t, true, func(e *entrance) {
+			withIngress(t, true, func(e *testIngress) {
 				response := e.send(test.text)
 				must.Eq(t, test.status, response.StatusCode)
 				must.Eq(t, test.closed, response.Close)
@@ -186,20 +186,20 @@
 	}
 }
 
-// A host without a configuration knows no route. Told 404, callers would believe that the
-// route is gone; they are told to come back.
+// A host without a configuration knows no route. It answers 503 with Retry-After: callers would
+// take a 404 to mean that the route was removed.
 func TestNothingIsDeniedWithoutAConfiguration(t *testing.T) {
-	inEntrance(t, false, func(e *entrance) {
+	withIngress(t, false, func(e *testIngress) {
 		response := e.send(post("/a/x", 0))
 		must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
-		must.Eq(t, unknownRetry, response.Header.Get("Retry-After"))
+		must.Eq(t, unconfiguredRetryAfter, response.Header.Get("Retry-After"))
 	})
 }
 
-// A caller sends half of its body and no more. It is told that the request has not run,
-// once its own patience is over and not later.
-func TestBodyThatStops(t *testing.T) {
-	inEntrance(t, true, func(e *entrance) {
+// A caller sends only half of its body. It is told that the request has not run as soon as its
+// own timeout has passed.
+func TestBodyTimeout(t *testing.T) {
+	withIngress(t, true, func(e *testIngress) {
 		begin := time.Now()
 		response := e.send("POST /a/x HTTP/1.1\r\nHost: h\r\nId: q\r\nPatience: 2s\r\nContent-Length: 50\r\n\r\nhalf")
 		must.Eq(t, http.StatusRequestTimeout, response.StatusCode)
@@ -208,10 +208,10 @@
 	})
 }
 
-// A host that stops first serves what still comes and closes the connections behind it,
-// then refuses what comes on those that are open, since it could not end it in time.
-func TestHostThatStops(t *testing.T) {
-	inEntrance(t, true, func(e *entrance) {
+// A stopping host first serves new requests and closes their connections. Later it refuses
+// requests on open connections, since it could not complete them in time.
+func TestStoppingHost(t *testing.T) {
+	withIngress(t, true, func(e *testIngress) {
 		e.closing = true
 		response := e.send(post("/a/x", 3))
 		must.Eq(t, http.StatusOK, response.StatusCode)
@@ -219,15 +219,15 @@
 		e.refusing = true
 		response = e.send(post("/a/x", 3))
 		must.Eq(t, http.StatusServiceUnavailable, response.StatusCode)
-		must.Eq(t, leavingRetry, response.Header.Get("Retry-After"))
+		must.Eq(t, stoppingRetryAfter, response.Header.Get("Retry-After"))
 		must.Len(t, 1, e.served)
 	})
 }
 
-// Requests follow each other on one connection. What was kept of the first must not be
-// taken for the framing of the second.
-func TestFramingOfFollowingRequests(t *testing.T) {
-	inEntrance(t, true, func(e *entrance) {
+// Two requests arrive on one connection. The recorded bytes of the first must not be taken for
+// the framing of the second.
+func TestFramingOfConsecutiveRequests(t *testing.T) {
+	withIngress(t, true, func(e *testIngress) {
 		conn, err := e.net.Host("caller").Dial(e.t.Context(), "tcp", "entry:80")
 		must.NoError(t, err)
 		must.Eq(t, http.StatusOK, e.sendOn(conn, post("/a/x", 5)).StatusCode)
--- a/internal/ingress/recorder.go
+++ b/internal/ingress/recorder.go
@@ -7,27 +7,27 @@
 	"sync"
 )
 
-// recordBytes bounds what is kept of a request's first bytes.
-const recordBytes = 16 << 10
+// maxRecordedBytes bounds the bytes recorded of a request.
+const maxRecordedBytes = 16 << 10
 
-// framing is what a request's header says of its body's length.
+// framing is how a request's header declares the length of its body.
 type framing uint8
 
 const (
 	framingUnknown framing = iota
-	framingOne
-	framingBoth
+	framingSingle
+	framingConflict
 )
 
-// recorder keeps the first bytes of each request on a connection. net/http
-// removes Content-Length where Transfer-Encoding stands beside it, so a handler
-// cannot see both. A caller that sends both may mean to hide a second request
-// in the body: what follows the chunks would be taken for a request of its own.
+// recorder records the first bytes of each request on a connection, to detect request
+// smuggling. net/http removes Content-Length if Transfer-Encoding is present too, so a handler
+// cannot see both. A caller that sends both may try to hide a second request in the body:
+// what follows the chunks would be taken for a request of its own.
 type recorder struct {
 	net.Conn
 
-	mu   sync.Mutex
-	kept []byte
+	mu       sync.Mutex
+	recorded []byte
 }
 
 // Read implements net.Conn.
@@ -35,48 +35,49 @@
 	n, err := r.Conn.Read(into)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if room := recordBytes - len(r.kept); n > 0 && room > 0 {
-		r.kept = append(r.kept, into[:min(n, room)]...)
+	if room := maxRecordedBytes - len(r.recorded); n > 0 && room > 0 {
+		r.recorded = append(r.recorded, into[:min(n, room)]...)
 	}
 	return n, err
 }
 
-// reset begins with the next request.
+// reset discards the recorded bytes before the next request.
 func (r *recorder) reset() {
 	if r == nil {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.kept = r.kept[:0]
+	r.recorded = r.recorded[:0]
 }
 
-// framing looks for both headers in the last header that was read.
-func (r *recorder) framing() framing {
+// detectFraming looks for Content-Length in the recorded header of a request that has
+// Transfer-Encoding. The framing is unknown if the header was not recorded whole.
+func (r *recorder) detectFraming() framing {
 	if r == nil {
 		return framingUnknown
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	header, _, whole := bytes.Cut(r.kept, []byte("\r\n\r\n"))
+	header, _, whole := bytes.Cut(r.recorded, []byte("\r\n\r\n"))
 	if !whole {
 		return framingUnknown
 	}
 	for _, line := range bytes.Split(bytes.ToLower(header), []byte("\n")) {
 		if bytes.HasPrefix(line, []byte("content-length")) {
-			return framingBoth
+			return framingConflict
 		}
 	}
-	return framingOne
+	return framingSingle
 }
 
-// WrapListener wraps a listener so that its connections record.
-func WrapListener(inner net.Listener) net.Listener { return recording{inner} }
+// WrapListener returns a listener whose connections record the first bytes of requests.
+func WrapListener(inner net.Listener) net.Listener { return recordingListener{inner} }
 
-type recording struct{ net.Listener }
+type recordingListener struct{ net.Listener }
 
 // Accept implements net.Listener.
-func (l recording) Accept() (net.Conn, error) {
+func (l recordingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
@@ -93,7 +94,7 @@
 	return ctx
 }
 
-func recorderOf(ctx context.Context) *recorder {
+func recorderFrom(ctx context.Context) *recorder {
 	r, _ := ctx.Value(recorderKey{}).(*recorder)
 	return r
 }
