--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -8,7 +8,7 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-func (s *session) hello(raw json.RawMessage) (any, error) {
+func (s *session) handleHello(raw json.RawMessage) (any, error) {
 	var params helloParams
 	if err := json.Unmarshal(raw, &params); err != nil || params.Host == "" {
 		return nil, s.reject(params.Identity, "malformed hello")
@@ -20,18 +20,18 @@
 	}
 	s.peer = params.Identity
 	self := s.server.self
-	proof := prove(s.server.key, "server", params.Nonce, self)
+	proof := computeProof(s.server.key, "server", params.Nonce, self)
 	return helloResult{Identity: self, Nonce: s.nonce, Proof: proof}, nil
 }
 
-func (s *session) prove(raw json.RawMessage) (any, error) {
+func (s *session) handleProve(raw json.RawMessage) (any, error) {
 	var params proveParams
 	if err := json.Unmarshal(raw, &params); err != nil {
 		return nil, s.reject(Identity{}, "malformed proof")
 	}
 	peer, _ := s.identity()
-	want := prove(s.server.key, "client", s.nonce, peer)
-	if peer.Host == "" || !sameProof(params.Proof, want) {
+	want := computeProof(s.server.key, "client", s.nonce, peer)
+	if peer.Host == "" || !equalProofs(params.Proof, want) {
 		return nil, s.reject(peer, "wrong key")
 	}
 	s.mu.Lock()
@@ -40,18 +40,18 @@
 	return struct{}{}, nil
 }
 
-// introduce makes the caller's half of the handshake and gives the identity of
-// the process at the other end.
-func introduce(ctx context.Context, rpc *jsonrpc2.Conn, self Identity, key []byte) (Identity, error) {
+// clientHandshake performs the client's side of the handshake and returns the identity of the
+// server.
+func clientHandshake(ctx context.Context, rpc *jsonrpc2.Conn, self Identity, key []byte) (Identity, error) {
 	nonce := newNonce()
 	var answer helloResult
 	if err := rpc.Call(ctx, methodHello, helloParams{Identity: self, Nonce: nonce}, &answer); err != nil {
 		return Identity{}, errors.Wrap(err, "hello")
 	}
-	if !sameProof(answer.Proof, prove(key, "server", nonce, answer.Identity)) {
-		return Identity{}, errors.New("the peer does not know the shared key")
+	if !equalProofs(answer.Proof, computeProof(key, "server", nonce, answer.Identity)) {
+		return Identity{}, errors.New("the peer failed to prove the shared key")
 	}
-	proof := proveParams{Proof: prove(key, "client", answer.Nonce, self)}
+	proof := proveParams{Proof: computeProof(key, "client", answer.Nonce, self)}
 	if err := rpc.Call(ctx, methodProve, proof, nil); err != nil {
 		return Identity{}, errors.Wrap(err, "prove")
 	}
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,5 +1,5 @@
-// Package peer carries calls between the project's own processes: JSON-RPC 2.0
-// over TCP, by the jsonrpc2 library, behind a proof of the shared key.
+// Package peer carries calls between the project's own processes: JSON-RPC 2.0 over TCP, with
+// the jsonrpc2 library, after a handshake in which both sides prove that they hold a shared key.
 package peer
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/sourcegraph/jsonrpc2"
 )
 
-// MaxMessageBytes bounds one message.
+// MaxMessageBytes bounds the size of one message.
 const MaxMessageBytes = 4 << 20
 
 // Methods of the handshake.
@@ -26,10 +26,10 @@
 	methodProve = "prove"
 )
 
-// Error codes beside those of JSON-RPC.
+// Error codes in addition to those of JSON-RPC.
 const (
 	CodeUnauthorized int64 = 1001
-	// CodeRefused: the peer will not do it, and has not done it.
+	// CodeRefused means that the peer did not execute the call and will not.
 	CodeRefused int64 = 1002
 )
 
@@ -54,15 +54,15 @@
 	Proof string `json:"proof"`
 }
 
-// prove computes the proof that a side knows the key. The role keeps one
-// side's proof from being sent back as the other's.
-func prove(key []byte, role, nonce string, id Identity) string {
+// computeProof returns the proof that a side holds the key, an HMAC of role, nonce and identity.
+// The role prevents one side's proof from being reflected as the other's.
+func computeProof(key []byte, role, nonce string, id Identity) string {
 	mac := hmac.New(sha256.New, key)
 	_, _ = io.WriteString(mac, role+"\x00"+nonce+"\x00"+id.Host+"\x00"+id.Incarnation)
 	return hex.EncodeToString(mac.Sum(nil))
 }
 
-func sameProof(a, b string) bool { return hmac.Equal([]byte(a), []byte(b)) }
+func equalProofs(a, b string) bool { return hmac.Equal([]byte(a), []byte(b)) }
 
 func newNonce() string {
 	var nonce [16]byte
@@ -70,11 +70,11 @@
 	return hex.EncodeToString(nonce[:])
 }
 
-// codec is the library's length-prefixed codec with a bound on the length, so
-// that a peer cannot make this process hold what it announces.
-type codec struct{ jsonrpc2.VarintObjectCodec }
+// boundedCodec is the library's length-prefixed codec with a limit on the length, so that a peer
+// cannot make this process allocate whatever length it announces.
+type boundedCodec struct{ jsonrpc2.VarintObjectCodec }
 
-func (c codec) ReadObject(stream *bufio.Reader, v any) error {
+func (c boundedCodec) ReadObject(stream *bufio.Reader, v any) error {
 	header, err := stream.Peek(1)
 	if err != nil {
 		return err
@@ -86,18 +86,18 @@
 	}
 	size, n := binary.Uvarint(header)
 	if n <= 0 || size > MaxMessageBytes {
-		return errors.Errorf("message of %d bytes is over the bound of %d", size, MaxMessageBytes)
+		return errors.Errorf("message of %d bytes exceeds the limit of %d", size, MaxMessageBytes)
 	}
 	return c.VarintObjectCodec.ReadObject(stream, v)
 }
 
-// Handler serves one method for a proven peer.
+// Handler serves one method for an authenticated peer.
 type Handler func(ctx context.Context, from Identity, params json.RawMessage) (any, error)
 
-// Mux holds the methods that peers may call. It is filled before it serves.
+// Mux holds the methods that peers may call. All methods must be added before it is used.
 type Mux struct{ handlers map[string]Handler }
 
-// NewMux makes a mux without methods.
+// NewMux returns a mux without methods.
 func NewMux() *Mux { return &Mux{handlers: map[string]Handler{}} }
 
 // Handle adds a method with typed parameters and result.
@@ -111,12 +111,12 @@
 	}
 }
 
-// NewRefusal makes an error that tells the caller that nothing was done.
+// NewRefusal returns an error that tells the calling peer that the call was not executed.
 func NewRefusal(err error) error {
 	return &jsonrpc2.Error{Code: CodeRefused, Message: err.Error()}
 }
 
-// IsRefusal says whether an error is a peer's word that nothing was done.
+// IsRefusal reports whether an error is a peer's statement that the call was not executed.
 func IsRefusal(err error) bool {
 	var rpc *jsonrpc2.Error
 	return errors.As(err, &rpc) && rpc.Code == CodeRefused
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -34,8 +34,8 @@
 	return mux
 }
 
-// between runs a test with a server "b" and a pool of "a" that has a key.
-func between(t *testing.T, clientKey string, run func(t *testing.T, pool *Pool, server *Server, network *standin.Network)) {
+// withPeers runs a test with a server "b" and a pool of process "a" with the given key.
+func withPeers(t *testing.T, clientKey string, run func(t *testing.T, pool *Pool, server *Server, network *standin.Network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := standin.NewNetwork()
@@ -62,7 +62,7 @@
 }
 
 func TestCallAndRefusal(t *testing.T) {
-	between(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, _ *standin.Network) {
+	withPeers(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, _ *standin.Network) {
 		got, err := call(pool, "echo", echoParams{Text: "hello"}, time.Second)
 		must.NoError(t, err)
 		must.Eq(t, "a: hello", got)
@@ -74,28 +74,28 @@
 	})
 }
 
-func TestStrangerIsRefusedAndCounted(t *testing.T) {
-	// A process with a wrong key, and one that skips the proof, get a clear
-	// refusal and no answer; each is counted.
-	between(t, "a wrong key", func(t *testing.T, pool *Pool, server *Server, network *standin.Network) {
+func TestUnauthenticatedPeerIsRejectedAndCounted(t *testing.T) {
+	// A process with a wrong key and one that skips the handshake are rejected. The server
+	// counts the rejected call.
+	withPeers(t, "a wrong key", func(t *testing.T, pool *Pool, server *Server, network *standin.Network) {
 		_, err := call(pool, "echo", echoParams{Text: "hello"}, time.Second)
 		must.ErrorContains(t, err, "shared key")
 		conn, err := network.Host("a").Dial(context.Background(), "tcp", "b:82")
 		must.NoError(t, err)
-		rpc := jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(conn, codec{}), noCalls{})
+		rpc := jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(conn, boundedCodec{}), ignoreCalls{})
 		err = rpc.Call(context.Background(), "echo", echoParams{}, nil)
 		must.ErrorContains(t, err, "not authorized")
 		must.Eq(t, 1, server.Rejected())
-		// A connection that never proves the key is closed.
+		// A connection whose peer does not prove the key is closed.
 		time.Sleep(2 * handshakeTimeout)
 		must.Error(t, rpc.Call(context.Background(), "echo", echoParams{}, nil))
 	})
 }
 
-func TestSilentConnectionIsGivenUp(t *testing.T) {
-	// The connection to a peer goes silent. One call runs into its deadline;
-	// the next goes over a new connection and is answered.
-	between(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, network *standin.Network) {
+func TestSilentConnectionIsReplaced(t *testing.T) {
+	// The connection to a peer goes silent. One call exceeds its deadline; the next uses a
+	// new connection and is answered.
+	withPeers(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, network *standin.Network) {
 		_, err := call(pool, "echo", echoParams{}, time.Second)
 		must.NoError(t, err)
 		network.Silence("a", "b")
@@ -106,8 +106,8 @@
 	})
 }
 
-func TestSlowCallDoesNotHoldOthersUp(t *testing.T) {
-	between(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, _ *standin.Network) {
+func TestSlowCallDoesNotBlockOthers(t *testing.T) {
+	withPeers(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, _ *standin.Network) {
 		slow := make(chan error, 1)
 		go func() {
 			_, err := call(pool, "echo", echoParams{WaitMS: 5000}, 10*time.Second)
@@ -128,19 +128,19 @@
 	f.Add([]byte{0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0x01})
 	f.Add([]byte{})
 	f.Fuzz(func(t *testing.T, data []byte) {
-		// Whatever comes, reading one message ends, and one that announces more
-		// than the bound is refused.
+		// Reading a message returns for any input, with an error if the announced length
+		// exceeds the limit.
 		var into any
-		err := codec{}.ReadObject(bufio.NewReader(bytes.NewReader(data)), &into)
+		err := boundedCodec{}.ReadObject(bufio.NewReader(bytes.NewReader(data)), &into)
 		if size, n := binary.Uvarint(data); n > 0 && size > MaxMessageBytes {
 			must.Error(t, err)
 		}
 	})
 }
 
-// A host loses power. One call is patient and tries to reach it for a second; others
-// come a moment later with 100 ms each. Each is back when its own time is over: a
-// request that waited for the patient one's end would come too late for another runner.
+// A host loses power. One call tries to connect for a second; later ones have 100 ms each and
+// must return at their own deadlines. If they waited for the first call, their requests would be
+// too late for another runner.
 func TestCallsToASilentHostKeepTheirOwnDeadlines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		silent := func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -160,11 +160,11 @@
 	})
 }
 
-// A call waits for an answer that takes two seconds. Another call on the connection runs into
-// its deadline, while a third is answered: the peer is slow and not gone. The first call gets
-// its answer. Closed for the second one's deadline, the connection would take it along.
+// A call waits for an answer that takes two seconds. A second call on the connection exceeds its
+// deadline while a third is answered, so the peer is only slow. The connection must stay open,
+// so that the first call gets its answer.
 func TestSlowAnswerDoesNotEndOtherCalls(t *testing.T) {
-	between(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, _ *standin.Network) {
+	withPeers(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, _ *standin.Network) {
 		long := make(chan error, 1)
 		go func() {
 			_, err := call(pool, "echo", echoParams{WaitMS: 2000}, 3*time.Second)
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -15,8 +15,8 @@
 // Dialer opens a connection to a peer's address.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Pool keeps one connection to each peer that this process calls. It is safe
-// for concurrent use.
+// Pool holds one connection to each peer that this process calls. It is safe for concurrent
+// use.
 type Pool struct {
 	self Identity
 	key  []byte
@@ -24,57 +24,57 @@
 	log  hclog.Logger
 
 	mu    sync.Mutex
-	peers map[string]*link
+	links map[string]*link
 }
 
 // link is the connection to one address.
 type link struct {
-	// connecting holds a token while a connection is made.
+	// connecting holds a token while a connection is being established.
 	connecting chan struct{}
 
 	mu   sync.Mutex
 	rpc  *jsonrpc2.Conn
 	peer Identity
-	// heard is when something last came over the connection.
-	heard atomic.Pointer[time.Time]
+	// lastRead is when data last arrived on the connection.
+	lastRead atomic.Pointer[time.Time]
 }
 
-// heardConn notes on its link when something comes.
-type heardConn struct {
+// activityConn records on its link when data arrives.
+type activityConn struct {
 	net.Conn
 	link *link
 }
 
-func (c *heardConn) Read(into []byte) (int, error) {
+func (c *activityConn) Read(into []byte) (int, error) {
 	n, err := c.Conn.Read(into)
 	if n > 0 {
 		now := time.Now()
-		c.link.heard.Store(&now)
+		c.link.lastRead.Store(&now)
 	}
 	return n, err
 }
 
-// heardSince says whether something came over the connection after a moment.
-func (l *link) heardSince(moment time.Time) bool {
-	heard := l.heard.Load()
+// receivedSince reports whether data arrived on the connection after a moment.
+func (l *link) receivedSince(moment time.Time) bool {
+	heard := l.lastRead.Load()
 	return heard != nil && heard.After(moment)
 }
 
-// NewPool makes a pool for the process self.
+// NewPool returns a pool for the process self.
 func NewPool(self Identity, key []byte, dial Dialer, log hclog.Logger) *Pool {
-	return &Pool{self: self, key: key, dial: dial, log: log, peers: map[string]*link{}}
+	return &Pool{self: self, key: key, dial: dial, log: log, links: map[string]*link{}}
 }
 
-// Call calls a method of the peer at an address. The context must have a
-// deadline. If it passes and nothing at all came meanwhile, the connection is given up with
-// it: it may have gone silent for good while a new one would work. One on which other
-// answers come is only slow: closed, it would take the calls of others with it.
+// Call calls a method of the peer at an address. The context must have a deadline. If it passes
+// and no data arrived during the call, the connection is closed: it may stay silent while a new
+// one would work. A connection on which other answers arrive is only slow; closing it would fail
+// the other calls too.
 func (p *Pool) Call(ctx context.Context, address, method string, params, result any) error {
 	return p.call(ctx, address, method, params, result, true)
 }
 
-// CallLong calls a method that may rightly take until the deadline, so a
-// passed deadline says nothing about the connection.
+// CallLong calls a method that may take until the deadline by design, so a deadline that passes
+// does not close the connection.
 func (p *Pool) CallLong(ctx context.Context, address, method string, params, result any) error {
 	return p.call(ctx, address, method, params, result, false)
 }
@@ -85,12 +85,12 @@
 	if err != nil {
 		return errors.Wrapf(err, "peer %s", address)
 	}
-	begun := time.Now()
+	start := time.Now()
 	err = rpc.Call(ctx, method, params, result)
 	if err == nil {
 		return nil
 	}
-	silent := errors.Is(ctx.Err(), context.DeadlineExceeded) && !l.heardSince(begun)
+	silent := errors.Is(ctx.Err(), context.DeadlineExceeded) && !l.receivedSince(start)
 	if errors.Is(err, jsonrpc2.ErrClosed) || (closeOnDeadline && silent) {
 		l.drop(rpc)
 	}
@@ -100,20 +100,20 @@
 func (p *Pool) link(address string) *link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	l := p.peers[address]
+	l := p.links[address]
 	if l == nil {
 		l = &link{connecting: make(chan struct{}, 1)}
-		p.peers[address] = l
+		p.links[address] = l
 	}
 	return l
 }
 
-// connect gives the link's connection, making one where there is none. Callers of one
-// peer wait for one handshake, each as long as its own deadline allows.
+// connect returns the link's connection and establishes one if there is none. Concurrent callers
+// wait for one handshake, each until its own deadline.
 //
-// The failure it answers: a host loses power. A vote on its lease tries to reach it for
-// a second, and the requests that ask the host for a place meanwhile have a quarter of
-// that. Behind a lock they waited out the vote's time and only then went on.
+// A mutex would not do: when a host loses power, a vote on its lease tries to connect for a
+// second, while requests that ask the host for admission have a quarter of that. Behind a mutex
+// they would wait for as long as the vote.
 func (l *link) connect(ctx context.Context, p *Pool, address string) (*jsonrpc2.Conn, error) {
 	if rpc := l.current(); rpc != nil {
 		return rpc, nil
@@ -133,8 +133,8 @@
 	if err != nil {
 		return nil, err
 	}
-	rpc := jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(&heardConn{Conn: conn, link: l}, codec{}), noCalls{}, jsonrpc2.SetLogger(rpcLog{p.log}))
-	peer, err := introduce(ctx, rpc, p.self, p.key)
+	rpc := jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(&activityConn{Conn: conn, link: l}, boundedCodec{}), ignoreCalls{}, jsonrpc2.SetLogger(rpcLogger{p.log}))
+	peer, err := clientHandshake(ctx, rpc, p.self, p.key)
 	if err != nil {
 		_ = rpc.Close()
 		return nil, err
@@ -143,18 +143,18 @@
 	l.rpc = rpc
 	l.peer = peer
 	l.mu.Unlock()
-	go l.watch(rpc)
+	go l.dropOnDisconnect(rpc)
 	return rpc, nil
 }
 
-// current gives the connection if there is one.
+// current returns the connection, or nil if there is none.
 func (l *link) current() *jsonrpc2.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.rpc
 }
 
-func (l *link) watch(rpc *jsonrpc2.Conn) {
+func (l *link) dropOnDisconnect(rpc *jsonrpc2.Conn) {
 	<-rpc.DisconnectNotify()
 	l.drop(rpc)
 }
@@ -168,18 +168,18 @@
 	_ = rpc.Close()
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, l := range p.peers {
+	for _, l := range p.links {
 		if rpc := l.current(); rpc != nil {
 			l.drop(rpc)
 		}
 	}
 }
 
-// noCalls serves nothing: a peer calls over its own connection.
-type noCalls struct{}
+// ignoreCalls ignores calls from the server, which uses a connection of its own for them.
+type ignoreCalls struct{}
 
-func (noCalls) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
+func (ignoreCalls) Handle(context.Context, *jsonrpc2.Conn, *jsonrpc2.Request) {}
--- a/internal/peer/server.go
+++ b/internal/peer/server.go
@@ -15,7 +15,7 @@
 
 const handshakeTimeout = 3 * time.Second
 
-// Server takes peers' connections.
+// Server accepts peers' connections and serves their calls.
 type Server struct {
 	self Identity
 	key  []byte
@@ -24,16 +24,16 @@
 
 	rejected atomic.Int64
 	mu       sync.Mutex
-	conns    map[*session]struct{}
+	sessions map[*session]struct{}
 	closed   bool
 }
 
-// NewServer makes a server for the process self.
+// NewServer returns a server for the process self.
 func NewServer(self Identity, key []byte, mux *Mux, log hclog.Logger) *Server {
-	return &Server{self: self, key: key, mux: mux, log: log, conns: map[*session]struct{}{}}
+	return &Server{self: self, key: key, mux: mux, log: log, sessions: map[*session]struct{}{}}
 }
 
-// Rejected gives the number of calls refused for want of a proof.
+// Rejected returns the number of calls rejected for lack of authentication.
 func (s *Server) Rejected() int64 { return s.rejected.Load() }
 
 // Serve accepts connections until the listener closes.
@@ -41,13 +41,13 @@
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			return errors.Wrap(err, "peer listener")
+			return errors.Wrap(err, "accept peer connection")
 		}
-		s.start(conn)
+		s.startSession(conn)
 	}
 }
 
-func (s *Server) start(conn net.Conn) {
+func (s *Server) startSession(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.closed {
@@ -55,51 +55,50 @@
 		return
 	}
 	sess := &session{server: s, conn: conn, nonce: newNonce()}
-	sess.patience = time.AfterFunc(handshakeTimeout, sess.expire)
-	s.conns[sess] = struct{}{}
-	rpc := jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(conn, codec{}),
-		jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(sess.handle)), jsonrpc2.SetLogger(rpcLog{s.log}))
-	go s.forget(sess, rpc)
+	sess.handshakeTimer = time.AfterFunc(handshakeTimeout, sess.closeUnproven)
+	s.sessions[sess] = struct{}{}
+	rpc := jsonrpc2.NewConn(context.Background(), jsonrpc2.NewBufferedStream(conn, boundedCodec{}),
+		jsonrpc2.AsyncHandler(jsonrpc2.HandlerWithError(sess.handle)), jsonrpc2.SetLogger(rpcLogger{s.log}))
+	go s.removeOnDisconnect(sess, rpc)
 }
 
-// rpcLog takes what the library logs, which is mostly the end of connections.
-type rpcLog struct{ log hclog.Logger }
+// rpcLogger passes the library's log lines on at debug level; most report closed connections.
+type rpcLogger struct{ log hclog.Logger }
 
-func (l rpcLog) Printf(format string, values ...any) { l.log.Debug(fmt.Sprintf(format, values...)) }
+func (l rpcLogger) Printf(format string, values ...any) { l.log.Debug(fmt.Sprintf(format, values...)) }
 
-func (s *Server) forget(sess *session, rpc *jsonrpc2.Conn) {
+func (s *Server) removeOnDisconnect(sess *session, rpc *jsonrpc2.Conn) {
 	<-rpc.DisconnectNotify()
-	sess.patience.Stop()
+	sess.handshakeTimer.Stop()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.conns, sess)
+	delete(s.sessions, sess)
 }
 
-// Close ends all connections.
+// Close closes all connections.
 func (s *Server) Close() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.closed = true
-	for sess := range s.conns {
+	for sess := range s.sessions {
 		_ = sess.conn.Close()
 	}
 }
 
-// session is one connection. Until its peer has proven the key it serves the
-// handshake only.
+// session is one connection. Until its peer has proven the key, it serves only the handshake.
 type session struct {
-	server   *Server
-	conn     net.Conn
-	nonce    string
-	patience *time.Timer
+	server         *Server
+	conn           net.Conn
+	nonce          string
+	handshakeTimer *time.Timer
 
 	mu     sync.Mutex
 	peer   Identity
 	proven bool
 }
 
-// expire closes a connection whose peer never proved the key.
-func (s *session) expire() {
+// closeUnproven closes the connection if its peer has not proven the key.
+func (s *session) closeUnproven() {
 	if _, proven := s.identity(); !proven {
 		_ = s.conn.Close()
 	}
@@ -117,9 +116,9 @@
 	}
 	switch req.Method {
 	case methodHello:
-		return s.hello(*req.Params)
+		return s.handleHello(*req.Params)
 	case methodProve:
-		return s.prove(*req.Params)
+		return s.handleProve(*req.Params)
 	}
 	from, proven := s.identity()
 	if !proven {
