--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -97,8 +97,8 @@
 // budget returns the retry budget of a service. It fills from the start of the process.
 //
 // In a large fleet a host gets about one request a second for a plain service, and its
-// share of the slack adds one token every ten seconds. If the budget filled only from
-// the first request on, failures in that time could not be retried.
+// share of the slack adds one token every ten seconds. If the budget filled only from the
+// first request on, failures in the ten seconds after it could not be retried.
 func (s *Server) budget(service string) *retrybudget.Budget {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -193,9 +193,9 @@
 	// begins with the runners of the host's own data centre.
 	rank int
 	near bool
-	// refusals are the reasons why owners did not admit the request.
+	// refusals are the reasons why owners did not admit the request or a wait was ended.
 	refusals []string
-	// refusedBy lists the runners and owners of these refusals as RUNNER@HOST.
+	// refusedBy lists the owners that did not admit it, as RUNNER@HOST.
 	refusedBy []string
 	// skipped lists up to maxSkipped runners that accepted no request.
 	skipped     []string
