--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -12,11 +12,11 @@
 
 // Methods that a runner's owner serves.
 const (
-	methodAdmit   = "runner.admit"
-	methodMissing = "runner.missing"
-	methodPlaced  = "runner.placed"
-	methodTell    = "runner.tell"
-	methodAhead   = "runner.prefetch"
+	methodAdmit    = "runner.admit"
+	methodMissing  = "runner.missing"
+	methodPlaced   = "runner.placed"
+	methodTell     = "runner.tell"
+	methodPrefetch = "runner.prefetch"
 )
 
 // AdmitParams asks a runner's owner for the place of a request.
@@ -89,14 +89,14 @@
 	}
 }
 
-func (r AdmitResult) refusal() error {
+func (r AdmitResult) refusalError() error {
 	if len(r.Elsewhere) == 0 {
 		return r.Refusal
 	}
 	return &adapters.ReplicatedError{Refusal: r.Refusal, Runners: r.Elsewhere}
 }
 
-func refused(err error) (AdmitResult, bool) {
+func refusalResult(err error) (AdmitResult, bool) {
 	var replicated *adapters.ReplicatedError
 	if errors.As(err, &replicated) {
 		return AdmitResult{Refusal: replicated.Refusal, Elsewhere: replicated.Runners}, true
@@ -109,10 +109,10 @@
 }
 
 // register adds the methods that peers call.
-func (o *owners) register(mux *peer.Mux) {
+func (o *ownerClient) register(mux *peer.Mux) {
 	peer.Handle(mux, methodAdmit, func(_ context.Context, from peer.Identity, p AdmitParams) (AdmitResult, error) {
-		admitted, err := o.admitHere(p.Runner, p.admission())
-		if result, ok := refused(err); ok {
+		admitted, err := o.admitLocal(p.Runner, p.admission())
+		if result, ok := refusalResult(err); ok {
 			return result, nil
 		}
 		if !admitted.Again {
@@ -121,21 +121,21 @@
 		return AdmitResult{ReadyMS: max(0, admitted.At.Sub(o.now()).Milliseconds()), Again: admitted.Again}, nil
 	})
 	peer.Handle(mux, methodMissing, func(_ context.Context, _ peer.Identity, p AdmitParams) (struct{}, error) {
-		o.missingHere(p.Runner, p.admission().Key.Adapter)
+		o.missingLocal(p.Runner, p.admission().Key.Adapter)
 		return struct{}{}, nil
 	})
 	peer.Handle(mux, methodPlaced, func(_ context.Context, _ peer.Identity, p PlacedParams) (struct{}, error) {
-		if err := o.placedHere(p); err != nil {
+		if err := o.placedLocal(p); err != nil {
 			return struct{}{}, peer.Refuse(err)
 		}
 		return struct{}{}, nil
 	})
-	peer.Handle(mux, methodAhead, func(_ context.Context, _ peer.Identity, p AdmitParams) (struct{}, error) {
-		o.prefetchHere(p.Runner, p.admission().Key)
+	peer.Handle(mux, methodPrefetch, func(_ context.Context, _ peer.Identity, p AdmitParams) (struct{}, error) {
+		o.prefetchLocal(p.Runner, p.admission().Key)
 		return struct{}{}, nil
 	})
-	peer.Handle(mux, methodTell, func(_ context.Context, from peer.Identity, p TellParams) (struct{}, error) {
-		o.takeTold(from.Host, p)
+	peer.Handle(mux, methodTell, func(_ context.Context, from peer.Identity, p OutcomesParams) (struct{}, error) {
+		o.applyOutcomes(from.Host, p)
 		return struct{}{}, nil
 	})
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -59,39 +59,39 @@
 
 // Entry is one entry host. It is safe for concurrent use.
 type Entry struct {
-	cfg       Config
-	log       hclog.Logger
-	now       func() time.Time
-	directory *directory.Directory
-	followers []*registry.Follower
-	board     *board.Board
-	state     *mesh.State
-	mesh      *mesh.Service
-	owner     *adapters.Owner
-	owners    *owners
-	suspects  *suspects
-	quotas    *quotas
-	pressure  *pressure
-	server    *serve.Server
-	client    *forward.Client
-	callers   *http.Server
-	peers     *peer.Server
-	started   time.Time
-	stopping  atomic.Bool
-	refusing  atomic.Bool
-	ready     atomic.Bool
-	changed   chan struct{}
-	requests  atomic.Int64
-	grace     atomic.Int64
+	cfg            Config
+	log            hclog.Logger
+	now            func() time.Time
+	directory      *directory.Directory
+	followers      []*registry.Follower
+	board          *board.Board
+	state          *mesh.State
+	mesh           *mesh.Service
+	owner          *adapters.Owner
+	owners         *ownerClient
+	quarantineSync *quarantineSync
+	quotas         *quotaManager
+	backpressure   *backpressure
+	server         *serve.Server
+	client         *forward.Client
+	callerServer   *http.Server
+	peerServer     *peer.Server
+	started        time.Time
+	stopping       atomic.Bool
+	rejecting      atomic.Bool
+	ready          atomic.Bool
+	wake           chan struct{}
+	openRequests   atomic.Int64
+	grace          atomic.Int64
 }
 
-// rhythm is how a kind of record is watched.
-type rhythm struct {
-	// wait is how long a watch waits, pace the least time between two.
-	wait, pace time.Duration
-	// stale is the age from which a host no longer relies on what others passed
+// watchSchedule is how a kind of record is watched.
+type watchSchedule struct {
+	// maxWait is how long a watch waits, minInterval the least time between two.
+	maxWait, minInterval time.Duration
+	// maxAge is the age from which a host no longer relies on what others passed
 	// on.
-	stale time.Duration
+	maxAge time.Duration
 }
 
 // Configurations must be in force and leaving runners be left alone within two
@@ -100,10 +100,10 @@
 // Runners' entries change with each adapter that comes or goes, several times a
 // second, and a call a change and host was four fifths of all calls to the store.
 var (
-	configRhythm  = rhythm{wait: 800 * time.Millisecond, pace: 200 * time.Millisecond, stale: 1500 * time.Millisecond}
-	runnerRhythm  = rhythm{wait: 800 * time.Millisecond, pace: 800 * time.Millisecond, stale: 1600 * time.Millisecond}
-	versionRhythm = rhythm{wait: 2 * time.Second, pace: 500 * time.Millisecond, stale: 3500 * time.Millisecond}
-	fleetRhythm   = rhythm{wait: 2 * time.Second, pace: 300 * time.Millisecond, stale: 4 * time.Second}
+	configWatch  = watchSchedule{maxWait: 800 * time.Millisecond, minInterval: 200 * time.Millisecond, maxAge: 1500 * time.Millisecond}
+	runnerWatch  = watchSchedule{maxWait: 800 * time.Millisecond, minInterval: 800 * time.Millisecond, maxAge: 1600 * time.Millisecond}
+	versionWatch = watchSchedule{maxWait: 2 * time.Second, minInterval: 500 * time.Millisecond, maxAge: 3500 * time.Millisecond}
+	fleetWatch   = watchSchedule{maxWait: 2 * time.Second, minInterval: 300 * time.Millisecond, maxAge: 4 * time.Second}
 )
 
 // reconcileInterval is how often owners, runners and readiness are looked at
@@ -112,30 +112,30 @@
 
 // New puts a host together. It does nothing yet.
 func New(cfg Config, platform Platform, dial DialFunc, now func() time.Time, log hclog.Logger) *Entry {
-	e := &Entry{cfg: cfg, log: log, now: now, started: now(), changed: make(chan struct{}, 1)}
+	e := &Entry{cfg: cfg, log: log, now: now, started: now(), wake: make(chan struct{}, 1)}
 	e.grace.Store(int64(cfg.ShutdownGrace))
 	identity := peer.Identity{Host: cfg.Host, Incarnation: newIncarnation()}
 	pool := peer.NewPool(identity, cfg.PeerKey, peer.Dialer(dial), log)
 	e.directory = directory.New(platform.Decoder, now, log)
 	e.directory.OnRunner = func(runner *site.Runner, gone bool) { e.runnerChanged(runner, gone) }
-	e.directory.OnVersion = func(version site.AdapterVersion) { go e.loadAhead(version) }
+	e.directory.OnVersion = func(version site.AdapterVersion) { go e.prefetchVersion(version) }
 	e.board = board.New()
 	e.state = mesh.NewState(cfg.Host, mesh.Timing{Lease: mesh.UsualLease, OrderGap: cfg.OrderGap, Margin: mesh.UsualMargin}, now())
-	e.owners = newOwners(cfg.Host, e.state, pool, e.board, now, log)
-	e.pressure = newPressure(cfg.Host, e.state, pool, e.board, e.directory, now, log)
-	e.suspects = newSuspects(cfg.Host, e.state, pool, platform.Store, e.board, now, log)
-	e.quotas = newQuotas(cfg.Host, e.state, pool, e.directory, cfg.QuotaTolerance, now, log)
-	told := &statuses{
-		board: e.board, directory: e.directory, now: now, log: log, peers: map[string]heard{},
-		quarantined: e.suspects.quarantine.Digest, quarantinedAt: e.suspects.heard, limitAt: e.pressure.peerLimit, leavingAt: e.pressure.peerLeaving,
+	e.owners = newOwnerClient(cfg.Host, e.state, pool, e.board, now, log)
+	e.backpressure = newBackpressure(cfg.Host, e.state, pool, e.board, e.directory, now, log)
+	e.quarantineSync = newQuarantineSync(cfg.Host, e.state, pool, platform.Store, e.board, now, log)
+	e.quotas = newQuotaManager(cfg.Host, e.state, pool, e.directory, cfg.QuotaTolerance, now, log)
+	statuses := &peerStatuses{
+		board: e.board, directory: e.directory, now: now, log: log, peers: map[string]receivedStatus{},
+		localDigest: e.quarantineSync.quarantine.Digest, onDigest: e.quarantineSync.onPeerDigest, onLimit: e.backpressure.applyPeerLimit, onLeaving: e.backpressure.applyPeerLeaving,
 	}
 	e.owner = adapters.NewOwner(adapters.OwnerDeps{
 		Host: cfg.Host, Engines: platform.Engines, Authority: e.state,
-		Owns: e.owns, Crowd: told.crowd, Load: e.board.View, Share: told.share, Reading: told.reading,
-		Hosts: e.state.Size, Models: cfg.LoadLimit, Restarted: e.directory.Restarted, Signalled: e.pressure.engineSignalled, Now: now, Log: log,
+		Owns: e.owns, Crowd: statuses.peersInTransit, Load: e.board.View, Share: statuses.utilization, Reading: statuses.typicalPromptTokenNS,
+		Hosts: e.state.Size, Models: cfg.LoadLimit, Restarted: e.directory.Restarted, Signalled: e.backpressure.applyEngineSignal, Now: now, Log: log,
 	})
 	e.owners.owner = e.owner
-	told.owner = e.owner
+	statuses.owner = e.owner
 	e.mesh = mesh.NewService(mesh.Deps{
 		Self: identity, Address: cfg.PeerAddress, Seeds: cfg.Seeds, DataCentre: cfg.DataCentre, State: e.state, Store: platform.Store,
 		Kinds: map[string]*registry.Replica{
@@ -143,34 +143,34 @@
 			platform.RunnerKind:  e.directory.Runners,
 			platform.VersionKind: e.directory.Versions,
 		},
-		Pool: pool, Statuses: told, Runners: e.engines, Other: e.suspects.recorded, Now: now, Log: log,
+		Pool: pool, Statuses: statuses, Runners: e.engineRunners, Other: e.quarantineSync.applyRecords, Now: now, Log: log,
 	})
-	e.suspects.spread, e.suspects.records = e.mesh.Spread, e.mesh.Fleet()
-	e.follow(platform)
+	e.quarantineSync.broadcast, e.quarantineSync.records = e.mesh.Spread, e.mesh.Fleet()
+	e.createFollowers(platform)
 	mux := peer.NewMux()
 	e.mesh.Register(mux)
 	e.owners.register(mux)
-	e.suspects.register(mux)
+	e.quarantineSync.register(mux)
 	e.quotas.register(mux)
-	e.pressure.register(mux)
-	e.peers = peer.NewServer(identity, cfg.PeerKey, mux, log)
+	e.backpressure.register(mux)
+	e.peerServer = peer.NewServer(identity, cfg.PeerKey, mux, log)
 	e.client = forward.NewClient(platform.Dialect, dial)
 	e.server = serve.New(serve.Deps{
-		DataCentre: cfg.DataCentre, Directory: e.directory, Board: e.board, Owners: e.owners, Pressure: e.pressure,
-		Client: e.client, Quarantine: e.suspects.quarantine, Limit: cfg.RetryLimit, Quotas: e.quotas, Ages: func() (config, runners time.Duration) {
+		DataCentre: cfg.DataCentre, Directory: e.directory, Board: e.board, Owners: e.owners, Pressure: e.backpressure,
+		Client: e.client, Quarantine: e.quarantineSync.quarantine, Limit: cfg.RetryLimit, Quotas: e.quotas, Ages: func() (config, runners time.Duration) {
 			return e.mesh.Age(platform.ConfigKind), e.mesh.Age(platform.RunnerKind)
-		}, Hosts: e.sharers, Now: now, Log: log,
+		}, Hosts: e.sharingHosts, Now: now, Log: log,
 	})
-	e.callers = (&ingress.Ingress{
-		Dialect: platform.Dialect, Directory: e.directory, Serve: e.serve, Now: now, Log: log, Closing: e.stopping.Load, Refusing: e.refusing.Load,
+	e.callerServer = (&ingress.Ingress{
+		Dialect: platform.Dialect, Directory: e.directory, Serve: e.serve, Now: now, Log: log, Closing: e.stopping.Load, Refusing: e.rejecting.Load,
 		ConfigAge: func() time.Duration { return e.mesh.Age(platform.ConfigKind) },
 	}).Server()
 	return e
 }
 
-// sharers gives the number of hosts that share what the deployment bounds, 0 until
+// sharingHosts gives the number of hosts that share what the deployment bounds, 0 until
 // the store or a peer has told who they are.
-func (e *Entry) sharers() int {
+func (e *Entry) sharingHosts() int {
 	if e.mesh.Fleet().Revision() == 0 {
 		return 0
 	}
@@ -191,36 +191,36 @@
 	return hex.EncodeToString(raw[:])
 }
 
-func (e *Entry) follow(platform Platform) {
-	follower := func(kind string, sink registry.Sink, rhythm rhythm) *registry.Follower {
+func (e *Entry) createFollowers(platform Platform) {
+	follower := func(kind string, sink registry.Sink, schedule watchSchedule) *registry.Follower {
 		return &registry.Follower{
-			Store: platform.Store, Kind: kind, Sink: sink, Wait: rhythm.wait, Pace: rhythm.pace, Now: e.now, Log: e.log,
-			Due:       func() time.Duration { return e.mesh.Due(kind, rhythm.stale) },
+			Store: platform.Store, Kind: kind, Sink: sink, Wait: schedule.maxWait, Pace: schedule.minInterval, Now: e.now, Log: e.log,
+			Due:       func() time.Duration { return e.mesh.Due(kind, schedule.maxAge) },
 			Patience:  func() time.Duration { return e.mesh.Patience(kind) },
 			Confirmed: func(asOf time.Time) { e.mesh.Confirmed(kind, asOf) },
 		}
 	}
-	runners := follower(platform.RunnerKind, e.directory.Runners, runnerRhythm)
+	runners := follower(platform.RunnerKind, e.directory.Runners, runnerWatch)
 	runners.Outage = e.outageEnded
-	versions := follower(platform.VersionKind, e.directory.Versions, versionRhythm)
+	versions := follower(platform.VersionKind, e.directory.Versions, versionWatch)
 	for kind, later := range map[string]*registry.Follower{platform.RunnerKind: runners, platform.VersionKind: versions} {
 		// A runner or a version that a host learns of a moment late costs a request one
 		// more try; a configuration or a host that it learns of late may cost more.
 		later.Copied = func() { e.mesh.Copied(kind) }
 	}
-	fleet := follower(mesh.Kind, e.mesh.Fleet(), fleetRhythm)
+	fleet := follower(mesh.Kind, e.mesh.Fleet(), fleetWatch)
 	for _, later := range []*registry.Follower{runners, versions, fleet} {
 		later.Hold = func() bool { return e.directory.Configs.Revision() == 0 }
 	}
-	e.followers = []*registry.Follower{follower(platform.ConfigKind, e.directory.Configs, configRhythm), runners, versions, fleet}
+	e.followers = []*registry.Follower{follower(platform.ConfigKind, e.directory.Configs, configWatch), runners, versions, fleet}
 }
 
-// shortOutage is an outage of the store after which no runner's entry can have
+// maxHarmlessOutage is an outage of the store after which no runner's entry can have
 // lapsed: entries last three heartbeats of a runner.
-const shortOutage = time.Second
+const maxHarmlessOutage = time.Second
 
 func (e *Entry) outageEnded(length time.Duration) {
-	if length >= shortOutage {
+	if length >= maxHarmlessOutage {
 		e.directory.OutageEnded()
 	}
 }
@@ -230,23 +230,23 @@
 	return ok && host == e.cfg.Host
 }
 
-// engines gives the runners that need an owner.
-func (e *Entry) engines() []mesh.Runner {
+// engineRunners gives the runners that need an owner.
+func (e *Entry) engineRunners() []mesh.Runner {
 	snapshot := e.directory.Snapshot()
 	if snapshot.Config == nil {
 		return nil
 	}
-	var engines []mesh.Runner
+	var needOwner []mesh.Runner
 	for name, runners := range snapshot.ByService {
 		service := snapshot.Config.Services[name]
 		if service == nil || service.Engine == nil {
 			continue
 		}
 		for _, runner := range runners {
-			engines = append(engines, mesh.Runner{Address: runner.Address, DataCentre: runner.DataCentre})
+			needOwner = append(needOwner, mesh.Runner{Address: runner.Address, DataCentre: runner.DataCentre})
 		}
 	}
-	return engines
+	return needOwner
 }
 
 func (e *Entry) runnerChanged(runner *site.Runner, gone bool) {
@@ -256,24 +256,24 @@
 		e.owner.Gone(runner.ID)
 	}
 	select {
-	case e.changed <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// loadAhead has the new version of an adapter in use loaded where its requests
+// prefetchVersion has the new version of an adapter in use loaded where its requests
 // will go, before they come: the first of them would wait a quarter of a second.
 // The owner of a runner that holds the old version sees to it.
-func (e *Entry) loadAhead(version site.AdapterVersion) {
+func (e *Entry) prefetchVersion(version site.AdapterVersion) {
 	snapshot := e.directory.Snapshot()
 	key := adapters.Key{Adapter: version.Adapter, Version: version.Version}
 	for service, runners := range snapshot.ByService {
 		if !snapshot.IsEngine(service) || !e.holdsAny(runners, version.Adapter) {
 			continue
 		}
-		if order := serve.Ranked(key.PlacementKey(), serve.WithModel(runners, key.Model)); len(order) > 0 {
-			e.log.Info("new version loaded ahead", "adapter", key.String(), "version", key.Version, "runner", order[0].ID)
-			e.owners.prefetch(context.Background(), order[0], key)
+		if ranked := serve.Ranked(key.PlacementKey(), serve.WithModel(runners, key.Model)); len(ranked) > 0 {
+			e.log.Info("new version loaded ahead", "adapter", key.String(), "version", key.Version, "runner", ranked[0].ID)
+			e.owners.prefetch(context.Background(), ranked[0], key)
 		}
 	}
 }
@@ -288,8 +288,8 @@
 }
 
 func (e *Entry) serve(ctx context.Context, w http.ResponseWriter, route *site.Route, request *forward.Request, arrived time.Time) {
-	e.requests.Add(1)
-	defer e.requests.Add(-1)
+	e.openRequests.Add(1)
+	defer e.openRequests.Add(-1)
 	e.server.Serve(ctx, w, route, request, arrived)
 }
 
@@ -299,36 +299,36 @@
 		go follower.Run(ctx)
 	}
 	go e.mesh.Run(ctx)
-	go e.suspects.run(ctx)
+	go e.quarantineSync.run(ctx)
 	go e.quotas.run(ctx)
-	go e.pressure.run(ctx)
-	go timing.Every(ctx, tellInterval, func() { e.owners.tell(ctx, e.directory.Snapshot().Runners) })
-	rehome := newRehome(e.owner, e.owners)
-	go timing.Every(ctx, rehomeInterval, func() { rehome.run(ctx, e.directory.Snapshot()) })
+	go e.backpressure.run(ctx)
+	go timing.Every(ctx, outcomeInterval, func() { e.owners.reportOutcomes(ctx, e.directory.Snapshot().Runners) })
+	notifier := newHomeNotifier(e.owner, e.owners)
+	go timing.Every(ctx, homeNotifyInterval, func() { notifier.run(ctx, e.directory.Snapshot()) })
 	for ctx.Err() == nil {
 		e.directory.Expire()
 		snapshot := e.directory.Snapshot()
 		if snapshot.Config != nil {
 			e.owner.Reconcile(ctx, snapshot.Config, snapshot.ByService)
 		}
-		e.checkReady(snapshot)
-		e.pause(ctx)
+		e.updateReadiness(snapshot)
+		e.waitForChange(ctx)
 	}
 }
 
-func (e *Entry) pause(ctx context.Context) {
+func (e *Entry) waitForChange(ctx context.Context) {
 	timer := time.NewTimer(reconcileInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-e.changed:
+	case <-e.wake:
 	case <-timer.C:
 	}
 }
 
-// checkReady says that the host may receive callers once it knows a
+// updateReadiness says that the host may receive callers once it knows a
 // configuration and the runners.
-func (e *Entry) checkReady(snapshot *directory.Snapshot) {
+func (e *Entry) updateReadiness(snapshot *directory.Snapshot) {
 	ready := snapshot.Config != nil && len(snapshot.Runners) > 0 && !e.stopping.Load()
 	if e.ready.Swap(ready) != ready {
 		e.log.Info("readiness changed", "ready", ready, "config_known", snapshot.Config != nil, "runners", len(snapshot.Runners))
@@ -340,18 +340,18 @@
 
 // ServeCallers serves callers until the server is closed.
 func (e *Entry) ServeCallers(listener net.Listener) error {
-	return e.callers.Serve(ingress.Listener(listener))
+	return e.callerServer.Serve(ingress.Listener(listener))
 }
 
 // ServePeers serves the other hosts until the listener closes.
-func (e *Entry) ServePeers(listener net.Listener) error { return e.peers.Serve(listener) }
+func (e *Entry) ServePeers(listener net.Listener) error { return e.peerServer.Serve(listener) }
 
 const (
-	// leaveNotice is how long after the stop's begin new connections still come:
+	// drainNotice is how long after the stop's begin new connections still come:
 	// the balancer asks once a second and takes a host out after two misses.
-	leaveNotice = 2500 * time.Millisecond
-	// leaveMargin is kept before the platform ends the process.
-	leaveMargin = 300 * time.Millisecond
+	drainNotice = 2500 * time.Millisecond
+	// exitMargin is kept before the platform ends the process.
+	exitMargin = 300 * time.Millisecond
 )
 
 // Shutdown stops taking callers and waits until the requests that are under way
@@ -362,18 +362,18 @@
 // on open ones is refused: a stream begun then would not end before the process
 // does, and would be cut off.
 func (e *Entry) Shutdown(ctx context.Context) {
-	begin := e.now()
+	start := e.now()
 	e.stopping.Store(true)
 	e.ready.Store(false)
-	timing.Sleep(ctx, leaveNotice)
-	e.refusing.Store(true)
-	grace := time.Duration(e.grace.Load()) - leaveMargin - e.now().Sub(begin)
-	closing, cancel := context.WithTimeout(ctx, max(0, grace))
+	timing.Sleep(ctx, drainNotice)
+	e.rejecting.Store(true)
+	grace := time.Duration(e.grace.Load()) - exitMargin - e.now().Sub(start)
+	shutdownCtx, cancel := context.WithTimeout(ctx, max(0, grace))
 	defer cancel()
-	if err := e.callers.Shutdown(closing); err != nil {
-		e.log.Warn("requests cut off at the end of the grace", "requests", e.requests.Load(), "error", err.Error())
+	if err := e.callerServer.Shutdown(shutdownCtx); err != nil {
+		e.log.Warn("requests cut off at the end of the grace", "requests", e.openRequests.Load(), "error", err.Error())
 	}
-	e.log.Info("requests ended", "left", e.requests.Load(), "took_ms", e.now().Sub(begin).Milliseconds())
+	e.log.Info("requests ended", "left", e.openRequests.Load(), "took_ms", e.now().Sub(start).Milliseconds())
 }
 
 // SetShutdownGrace takes over the grace, which may change while the process runs. The
@@ -386,7 +386,7 @@
 	vars := new(expvar.Map).Init()
 	counters := &e.server.Counters
 	for name, value := range map[string]func() int64{
-		"requests_open":      e.requests.Load,
+		"requests_open":      e.openRequests.Load,
 		"requests_served":    counters.Served.Load,
 		"requests_refused":   counters.Refused.Load,
 		"requests_failed":    counters.Failed.Load,
@@ -395,15 +395,15 @@
 		"quarantine_refused": counters.Quarantined.Load,
 		"quota_refused":      counters.OverQuota.Load,
 		"connections_dialed": e.client.Dialed,
-		"limit_granted":      e.pressure.granted.Load,
-		"limit_refused":      e.pressure.refused.Load,
+		"limit_granted":      e.backpressure.granted.Load,
+		"limit_refused":      e.backpressure.refused.Load,
 	} {
 		vars.Set(name, expvar.Func(func() any { return value() }))
 	}
 	vars.Set("first_byte_ms", &counters.FirstByte)
 	vars.Set("runners_known", expvar.Func(func() any { return len(e.directory.Snapshot().Runners) }))
-	vars.Set("quarantine_size", expvar.Func(func() any { return e.suspects.quarantine.Size() }))
-	vars.Set("workspaces", expvar.Func(func() any { return e.quotas.use() }))
+	vars.Set("quarantine_size", expvar.Func(func() any { return e.quarantineSync.quarantine.Size() }))
+	vars.Set("workspaces", expvar.Func(func() any { return e.quotas.workspaceUse() }))
 	vars.Set("quota_parts_counted", expvar.Func(func() any { return e.quotas.counting.counter.Size() }))
 	vars.Set("runners_limited", expvar.Func(func() any { return e.board.Limited() }))
 	vars.Set("config_version", expvar.Func(func() any { return e.configVersion() }))
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -17,16 +17,16 @@
 const (
 	// ownerTimeout bounds an owner's answer, which takes a few milliseconds.
 	ownerTimeout = 250 * time.Millisecond
-	// ownerRest is how long a host that did not answer is not asked: its lease
+	// ownerBackoff is how long a host that did not answer is not asked: its lease
 	// takes seconds to end, and each request would wait for the timeout.
-	ownerRest = time.Second
-	// knownLife is how long an adapter is thought to stay on a runner whose owner
+	ownerBackoff = time.Second
+	// placementTTL is how long an adapter is thought to stay on a runner whose owner
 	// cannot be asked.
-	knownLife = 20 * time.Second
+	placementTTL = 20 * time.Second
 )
 
-// owners is how this host speaks to the owners of runners, itself included.
-type owners struct {
+// ownerClient is how this host speaks to the ownerClient of runners, itself included.
+type ownerClient struct {
 	host  string
 	owner *adapters.Owner
 	mesh  *mesh.State
@@ -35,105 +35,105 @@
 	now   func() time.Time
 	log   hclog.Logger
 
-	resting resting
+	backoff hostBackoff
 
 	mu sync.Mutex
-	// known are adapters that lay on a runner when its owner last said so.
-	known map[string]map[site.Adapter]known
-	// outcomes of requests since they were last told, by runner.
-	outcomes map[string]Told
-	told     map[string]tolled
+	// placements are adapters that lay on a runner when its owner last said so.
+	placements map[string]map[site.Adapter]placement
+	// pending of requests since they were last told, by runner.
+	pending  map[string]RunnerOutcomes
+	reported map[string]reportedLoad
 }
 
-type known struct {
+type placement struct {
 	version int64
 	at      time.Time
 }
 
-func newOwners(host string, state *mesh.State, pool *peer.Pool, b *board.Board, now func() time.Time, log hclog.Logger) *owners {
-	return &owners{
+func newOwnerClient(host string, state *mesh.State, pool *peer.Pool, b *board.Board, now func() time.Time, log hclog.Logger) *ownerClient {
+	return &ownerClient{
 		host: host, mesh: state, pool: pool, board: b, now: now, log: log,
-		known:    map[string]map[site.Adapter]known{},
-		outcomes: map[string]Told{}, told: map[string]tolled{},
+		placements: map[string]map[site.Adapter]placement{},
+		pending:    map[string]RunnerOutcomes{}, reported: map[string]reportedLoad{},
 	}
 }
 
-// errUnreachable: the runner has no owner that answers.
-var errUnreachable = errors.New("the runner's owner cannot be asked")
+// errOwnerUnreachable: the runner has no owner that answers.
+var errOwnerUnreachable = errors.New("the runner's owner cannot be asked")
 
 // Admit implements serve.Owners.
-func (o *owners) Admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error) {
+func (o *ownerClient) Admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error) {
 	admitted, err := o.admit(ctx, runner, ask)
-	if errors.Is(err, errUnreachable) && o.lies(runner.ID, ask.Key) {
+	if errors.Is(err, errOwnerUnreachable) && o.recentlyPlaced(runner.ID, ask.Key) {
 		return adapters.Admitted{At: o.now()}, nil
 	}
 	if err == nil && !admitted.Again && ask.Key.Name != "" {
-		o.note(runner.ID, ask.Key)
+		o.recordPlacement(runner.ID, ask.Key)
 	}
 	return admitted, err
 }
 
-func (o *owners) admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error) {
-	host, address, err := o.find(runner)
+func (o *ownerClient) admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error) {
+	host, address, err := o.locateOwner(runner)
 	if err != nil {
 		return adapters.Admitted{}, err
 	}
 	if host == o.host {
-		return o.admitHere(runner.ID, ask)
+		return o.admitLocal(runner.ID, ask)
 	}
 	// A caller that leaves must not end the call: the connection, which other
 	// requests use, would be given up as one that does not answer.
-	asking, cancel := context.WithTimeout(context.WithoutCancel(ctx), ownerTimeout)
+	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ownerTimeout)
 	defer cancel()
 	var result AdmitResult
-	err = o.pool.Call(asking, address, methodAdmit, AdmitParams{
+	err = o.pool.Call(callCtx, address, methodAdmit, AdmitParams{
 		Runner: runner.ID, Model: ask.Key.Model, Adapter: ask.Key.Name, Version: ask.Key.Version, Tokens: ask.Tokens, Output: ask.Output, Likely: ask.Likely,
 		PatienceMS: ask.Patience.Milliseconds(), WithinMS: ask.Within.Milliseconds(), TargetMS: ask.Target.Milliseconds(),
 		Running: o.board.Running(runner.ID), Last: ask.Last, Home: ask.Home, Anew: ask.Anew, Waited: ask.Waited, Barred: ask.Barred,
 	}, &result)
 	if err != nil {
-		return adapters.Admitted{}, o.failed(host, err)
+		return adapters.Admitted{}, o.noteUnreachable(host, err)
 	}
 	if result.Refusal != "" {
-		return adapters.Admitted{}, result.refusal()
+		return adapters.Admitted{}, result.refusalError()
 	}
 	return adapters.Admitted{At: o.now().Add(time.Duration(result.ReadyMS) * time.Millisecond), Again: result.Again}, nil
 }
 
-// find gives a runner's owner and its address, unless it is known not to
+// locateOwner gives a runner's owner and its address, unless it is known not to
 // answer.
-func (o *owners) find(runner *site.Runner) (host, address string, err error) {
+func (o *ownerClient) locateOwner(runner *site.Runner) (host, address string, err error) {
 	host, ok := o.mesh.OwnerOf(runner.Address)
 	if !ok {
-		return "", "", errUnreachable
+		return "", "", errOwnerUnreachable
 	}
 	if host == o.host {
 		return host, "", nil
 	}
 	address, ok = o.mesh.AddressOf(host)
-	if !ok || o.resting.rests(host, o.now()) {
-		return "", "", errUnreachable
+	if !ok || o.backoff.active(host, o.now()) {
+		return "", "", errOwnerUnreachable
 	}
 	return host, address, nil
 }
 
 // Host implements serve.Owners.
-func (o *owners) Host(runner *site.Runner) string {
+func (o *ownerClient) Host(runner *site.Runner) string {
 	host, _ := o.mesh.OwnerOf(runner.Address)
 	return host
 }
 
-// failed notes that a host does not answer.
-func (o *owners) failed(host string, err error) error {
+// noteUnreachable notes that a host does not answer.
+func (o *ownerClient) noteUnreachable(host string, err error) error {
 	now := o.now()
-	if !o.resting.rests(host, now) {
-		o.log.Warn("owner does not answer", "owner", host, "rest_ms", ownerRest.Milliseconds(), "error", err.Error())
+	if !o.backoff.active(host, now) {
+		o.log.Warn("owner does not answer", "owner", host, "rest_ms", ownerBackoff.Milliseconds(), "error", err.Error())
 	}
-	o.resting.rest(host, now.Add(ownerRest))
-	return errUnreachable
+	o.backoff.set(host, now.Add(ownerBackoff))
+	return errOwnerUnreachable
 }
 
-func (o *owners) admitHere(runner string, ask adapters.Admission) (adapters.Admitted, error) {
+func (o *ownerClient) admitLocal(runner string, ask adapters.Admission) (adapters.Admitted, error) {
 	keeper, ok := o.owner.Current(runner)
 	if !ok {
 		return adapters.Admitted{}, adapters.ErrNotOwner
@@ -141,39 +141,39 @@
 	return keeper.Admit(ask)
 }
 
-func (o *owners) note(runner string, key adapters.Key) {
+func (o *ownerClient) recordPlacement(runner string, key adapters.Key) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	lies := o.known[runner]
-	if lies == nil {
-		lies = map[site.Adapter]known{}
-		o.known[runner] = lies
+	versions := o.placements[runner]
+	if versions == nil {
+		versions = map[site.Adapter]placement{}
+		o.placements[runner] = versions
 	}
-	lies[key.Adapter] = known{version: key.Version, at: o.now()}
+	versions[key.Adapter] = placement{version: key.Version, at: o.now()}
 }
 
-// lies says whether a request may be sent to a runner without its owner.
-func (o *owners) lies(runner string, key adapters.Key) bool {
+// recentlyPlaced says whether a request may be sent to a runner without its owner.
+func (o *ownerClient) recentlyPlaced(runner string, key adapters.Key) bool {
 	if key.Name == "" {
 		return true
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	k, ok := o.known[runner][key.Adapter]
-	return ok && k.version >= key.Version && o.now().Sub(k.at) < knownLife
+	k, ok := o.placements[runner][key.Adapter]
+	return ok && k.version >= key.Version && o.now().Sub(k.at) < placementTTL
 }
 
 // Missing implements serve.Owners.
-func (o *owners) Missing(runner *site.Runner, key adapters.Key) {
+func (o *ownerClient) Missing(runner *site.Runner, key adapters.Key) {
 	o.mu.Lock()
-	delete(o.known[runner.ID], key.Adapter)
+	delete(o.placements[runner.ID], key.Adapter)
 	o.mu.Unlock()
-	host, address, err := o.find(runner)
+	host, address, err := o.locateOwner(runner)
 	if err != nil {
 		return
 	}
 	if host == o.host {
-		o.missingHere(runner.ID, key.Adapter)
+		o.missingLocal(runner.ID, key.Adapter)
 		return
 	}
 	go func() {
@@ -186,26 +186,26 @@
 	}()
 }
 
-func (o *owners) missingHere(runner string, adapter site.Adapter) {
+func (o *ownerClient) missingLocal(runner string, adapter site.Adapter) {
 	if keeper, ok := o.owner.Current(runner); ok {
 		keeper.Missing(adapter)
 	}
 }
 
 // Placed implements serve.Owners.
-func (o *owners) Placed(home *site.Runner, key adapters.Key, runner *site.Runner) {
-	go func() { _ = o.tellHome(context.Background(), home, key, runner) }()
+func (o *ownerClient) Placed(home *site.Runner, key adapters.Key, runner *site.Runner) {
+	go func() { _ = o.notifyHome(context.Background(), home, key, runner) }()
 }
 
-// tellHome tells an adapter's home that the adapter lies on another runner. An error
+// notifyHome tells an adapter's home that the adapter lies on another runner. An error
 // says that the home does not know it.
-func (o *owners) tellHome(ctx context.Context, home *site.Runner, key adapters.Key, runner *site.Runner) error {
+func (o *ownerClient) notifyHome(ctx context.Context, home *site.Runner, key adapters.Key, runner *site.Runner) error {
 	params := PlacedParams{Home: home.ID, Model: key.Model, Adapter: key.Name, Version: key.Version, Runner: runner.ID}
-	host, address, err := o.find(home)
+	host, address, err := o.locateOwner(home)
 	switch {
 	case err != nil:
 	case host == o.host:
-		err = o.placedHere(params)
+		err = o.placedLocal(params)
 	default:
 		ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 		defer cancel()
@@ -217,7 +217,7 @@
 	return err
 }
 
-func (o *owners) placedHere(params PlacedParams) error {
+func (o *ownerClient) placedLocal(params PlacedParams) error {
 	keeper, ok := o.owner.Keeper(params.Home)
 	if !ok {
 		return adapters.ErrNotOwner
@@ -227,50 +227,50 @@
 }
 
 // Ended implements serve.Owners.
-func (o *owners) Ended(runner *site.Runner, adapter site.Adapter) {
+func (o *ownerClient) Ended(runner *site.Runner, adapter site.Adapter) {
 	if keeper, ok := o.owner.Keeper(runner.ID); ok {
 		keeper.Ended(map[site.Adapter]int{adapter: 1})
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	told := o.outcomes[runner.ID]
-	if told.Ended == nil {
-		told.Ended = map[string]int{}
+	outcomes := o.pending[runner.ID]
+	if outcomes.Ended == nil {
+		outcomes.Ended = map[string]int{}
 	}
-	told.Ended[adapter.String()]++
-	o.outcomes[runner.ID] = told
+	outcomes.Ended[adapter.String()]++
+	o.pending[runner.ID] = outcomes
 }
 
 // prefetch has a runner load an adapter that nobody has asked for yet.
-func (o *owners) prefetch(ctx context.Context, runner *site.Runner, key adapters.Key) {
-	host, address, err := o.find(runner)
+func (o *ownerClient) prefetch(ctx context.Context, runner *site.Runner, key adapters.Key) {
+	host, address, err := o.locateOwner(runner)
 	if err != nil {
 		return
 	}
 	if host == o.host {
-		o.prefetchHere(runner.ID, key)
+		o.prefetchLocal(runner.ID, key)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	params := AdmitParams{Runner: runner.ID, Model: key.Model, Adapter: key.Name, Version: key.Version}
-	if err := o.pool.Call(ctx, address, methodAhead, params, nil); err != nil {
+	if err := o.pool.Call(ctx, address, methodPrefetch, params, nil); err != nil {
 		o.log.Debug("owner not asked to load ahead", "runner", runner.ID, "adapter", key.String(), "error", err.Error())
 	}
 }
 
-func (o *owners) prefetchHere(runner string, key adapters.Key) {
+func (o *ownerClient) prefetchLocal(runner string, key adapters.Key) {
 	if keeper, ok := o.owner.Keeper(runner); ok {
 		keeper.Prefetch(key)
 	}
 }
 
 // forget drops a runner that is gone.
-func (o *owners) forget(runner string) {
+func (o *ownerClient) forget(runner string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	delete(o.known, runner)
-	delete(o.outcomes, runner)
-	delete(o.told, runner)
+	delete(o.placements, runner)
+	delete(o.pending, runner)
+	delete(o.reported, runner)
 }
--- a/internal/entry/owners_test.go
+++ b/internal/entry/owners_test.go
@@ -26,7 +26,7 @@
 	mu     sync.Mutex
 	silent bool
 	dials  int
-	told   []Told
+	told   []RunnerOutcomes
 }
 
 func (r *remote) with(do func()) {
@@ -36,7 +36,7 @@
 }
 
 // all gives what the owner was told.
-func (r *remote) all() []Told {
+func (r *remote) all() []RunnerOutcomes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.told)
@@ -45,7 +45,7 @@
 var far = &site.Runner{ID: "i-r", Instance: "i-r", Address: "r:80", Service: "llm", Slots: 12}
 
 // withOwner runs a test of a host "a" that asks the owner "b" of a runner.
-func withOwner(t *testing.T, run func(o *owners, owner *remote)) {
+func withOwner(t *testing.T, run func(o *ownerClient, owner *remote)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := standin.NewNetwork()
@@ -54,7 +54,7 @@
 		peer.Handle(mux, methodAdmit, func(context.Context, peer.Identity, AdmitParams) (AdmitResult, error) {
 			return AdmitResult{ReadyMS: 20}, nil
 		})
-		peer.Handle(mux, methodTell, func(_ context.Context, _ peer.Identity, p TellParams) (struct{}, error) {
+		peer.Handle(mux, methodTell, func(_ context.Context, _ peer.Identity, p OutcomesParams) (struct{}, error) {
 			owner.with(func() { owner.told = append(owner.told, p.Runners[far.ID]) })
 			return struct{}{}, nil
 		})
@@ -78,7 +78,7 @@
 			recordOf(t, "host.b", mesh.HostRecord{Address: "b:1", Epoch: 1}),
 			recordOf(t, "runner.r-80", mesh.OwnerRecord{Host: "b", Epoch: 1}),
 		}, time.Now())
-		o := newOwners("a", state, pool, board.New(), time.Now, hclog.NewNullLogger())
+		o := newOwnerClient("a", state, pool, board.New(), time.Now, hclog.NewNullLogger())
 		o.owner = adapters.NewOwner(adapters.OwnerDeps{Now: time.Now, Log: hclog.NewNullLogger()})
 		run(o, owner)
 		pool.Close()
@@ -105,7 +105,7 @@
 // are sent without the owner's word, for others they look elsewhere. After the second the
 // owner is asked again.
 func TestSilentOwnerRests(t *testing.T) {
-	withOwner(t, func(o *owners, owner *remote) {
+	withOwner(t, func(o *ownerClient, owner *remote) {
 		ctx := context.Background()
 		admitted, err := o.Admit(ctx, far, askFor("known"))
 		must.NoError(t, err)
@@ -115,11 +115,11 @@
 
 		begin := time.Now()
 		_, err = o.Admit(ctx, far, askFor("cold"))
-		must.ErrorIs(t, err, errUnreachable)
+		must.ErrorIs(t, err, errOwnerUnreachable)
 		must.Eq(t, ownerTimeout, time.Since(begin))
 		for range 5 {
 			_, err = o.Admit(ctx, far, askFor("cold"))
-			must.ErrorIs(t, err, errUnreachable)
+			must.ErrorIs(t, err, errOwnerUnreachable)
 			admitted, err = o.Admit(ctx, far, askFor("known"))
 			must.NoError(t, err)
 			must.Eq(t, time.Now(), admitted.At)
@@ -128,7 +128,7 @@
 		must.Eq(t, 1, owner.dials)
 
 		owner.with(func() { owner.silent = false })
-		time.Sleep(ownerRest + time.Millisecond)
+		time.Sleep(ownerBackoff + time.Millisecond)
 		_, err = o.Admit(ctx, far, askFor("cold"))
 		must.NoError(t, err)
 	})
@@ -137,24 +137,24 @@
 // Requests end while their runner's owner does not answer. The owner hears of it as soon
 // as it answers again; lost, their adapters would hold places that nobody uses.
 func TestEndsAreToldOnceTheOwnerAnswers(t *testing.T) {
-	withOwner(t, func(o *owners, owner *remote) {
+	withOwner(t, func(o *ownerClient, owner *remote) {
 		runners := map[string]*site.Runner{far.ID: far}
 		adapter := site.Adapter{Model: "m", Name: "a"}
 		owner.with(func() { owner.silent = true })
 		o.Ended(far, adapter)
 		o.Outcome(far.ID, true, false)
-		o.tell(context.Background(), runners)
+		o.reportOutcomes(context.Background(), runners)
 		time.Sleep(ownerTimeout + time.Millisecond)
 		o.Ended(far, adapter)
 		must.SliceEmpty(t, owner.all())
 
 		owner.with(func() { owner.silent = false })
-		o.tell(context.Background(), runners)
+		o.reportOutcomes(context.Background(), runners)
 		time.Sleep(time.Millisecond)
 		must.Len(t, 1, owner.all())
 		must.Eq(t, map[string]int{"m/a": 2}, owner.all()[0].Ended)
-		must.Eq(t, 1, owner.all()[0].Good)
-		o.tell(context.Background(), runners)
+		must.Eq(t, 1, owner.all()[0].Succeeded)
+		o.reportOutcomes(context.Background(), runners)
 		time.Sleep(time.Millisecond)
 		must.Len(t, 1, owner.all(), must.Sprint("nothing is told twice"))
 	})
@@ -163,17 +163,17 @@
 // A host's number of requests on a runner does not change for a while. It is told again
 // each second, so that it is not forgotten as that of a host that is gone.
 func TestSteadyLoadIsToldAgain(t *testing.T) {
-	withOwner(t, func(o *owners, owner *remote) {
+	withOwner(t, func(o *ownerClient, owner *remote) {
 		runners := map[string]*site.Runner{far.ID: far}
 		o.board.Begin(far.ID, time.Now())
 		for range 15 {
-			o.tell(context.Background(), runners)
-			time.Sleep(tellInterval)
+			o.reportOutcomes(context.Background(), runners)
+			time.Sleep(outcomeInterval)
 		}
 		must.Len(t, 3, owner.all())
 		must.Eq(t, 1, owner.all()[2].Running)
 		o.board.End(far.ID)
-		o.tell(context.Background(), runners)
+		o.reportOutcomes(context.Background(), runners)
 		time.Sleep(time.Millisecond)
 		must.Eq(t, 0, owner.all()[3].Running)
 	})
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -23,14 +23,14 @@
 	// limitBurst is for how long a limit may be saved up. The platform allows half as much
 	// again in any four seconds, and five requests.
 	limitBurst = time.Second
-	// leastRate is what a runner gets that names a lower limit or none at all, in requests a
+	// minProbeRate is what a runner gets that names a lower limit or none at all, in requests a
 	// second: only an answer can say that the limit is over.
-	leastRate = 0.2
-	// limitRest is how long a runner is passed over whose counting host does not answer or
+	minProbeRate = 0.2
+	// limitRetryPause is how long a runner is passed over whose counting host does not answer or
 	// does not count yet.
-	limitRest = 300 * time.Millisecond
-	// keepInterval is how often the limits are looked over that this host counts.
-	keepInterval = time.Second
+	limitRetryPause = 300 * time.Millisecond
+	// reassignInterval is how often the limits are looked over that this host counts.
+	reassignInterval = time.Second
 )
 
 // LimitParams asks the host that counts a runner's limit for one request.
@@ -50,18 +50,18 @@
 	Limit board.Limit `json:"limit"`
 }
 
-// pressure is how this host keeps to what runners ask of the hosts in their answers.
+// backpressure is how this host keeps to what runners ask of the hosts in their answers.
 //
 // What a runner takes from all hosts together is one token bucket, counted by one host
 // under its lease. A host that cannot ask that one sends nothing: hosts that are cut off
 // from each other, each with a part for itself, would together send more than the runner
 // takes, or, with parts small enough, nothing that is of use.
-type pressure struct {
+type backpressure struct {
 	board     *board.Board
 	directory *directory.Directory
 	pool      *peer.Pool
-	counting  *counting
-	resting   resting
+	counting  *leasedCounter
+	backoff   hostBackoff
 	now       func() time.Time
 	log       hclog.Logger
 
@@ -70,14 +70,14 @@
 
 func limitKey(instance string, _ int) string { return limitPrefix + instance }
 
-func newPressure(host string, state *mesh.State, pool *peer.Pool, b *board.Board, known *directory.Directory, now func() time.Time, log hclog.Logger) *pressure {
-	return &pressure{board: b, directory: known, pool: pool, counting: newCounting(host, state, limitKey), now: now, log: log}
+func newBackpressure(host string, state *mesh.State, pool *peer.Pool, b *board.Board, known *directory.Directory, now func() time.Time, log hclog.Logger) *backpressure {
+	return &backpressure{board: b, directory: known, pool: pool, counting: newLeasedCounter(host, state, limitKey), now: now, log: log}
 }
 
-func (p *pressure) register(mux *peer.Mux) {
+func (p *backpressure) register(mux *peer.Mux) {
 	peer.Handle(mux, methodLimit, func(_ context.Context, from peer.Identity, params LimitParams) (LimitResult, error) {
-		p.peerLimit(params.Limit, from.Host)
-		result, err := p.count(params)
+		p.applyPeerLimit(params.Limit, from.Host)
+		result, err := p.grant(params)
 		if err != nil {
 			return LimitResult{}, peer.Refuse(err)
 		}
@@ -86,20 +86,22 @@
 }
 
 // run follows the hosts that join and leave until the context ends.
-func (p *pressure) run(ctx context.Context) { timing.Every(ctx, keepInterval, p.counting.keep) }
+func (p *backpressure) run(ctx context.Context) {
+	timing.Every(ctx, reassignInterval, p.counting.dropReassigned)
+}
 
 // Signalled implements serve.Pressure.
-func (p *pressure) Signalled(runner *site.Runner, signal *board.Signal, id string, sent time.Time) {
-	p.signalled(runner.ID, signal, sent, "request "+id)
+func (p *backpressure) Signalled(runner *site.Runner, signal *board.Signal, id string, sent time.Time) {
+	p.applySignal(runner.ID, signal, sent, "request "+id)
 }
 
-// engineSignalled takes what an engine's report or its answer to an order says. That it names
+// applyEngineSignal takes what an engine's report or its answer to an order says. That it names
 // no limit ends none: these answers are not of the part of the engine that runs requests.
-func (p *pressure) engineSignalled(runner string, signal *board.Signal) {
-	p.signalled(runner, signal, time.Time{}, "report or order")
+func (p *backpressure) applyEngineSignal(runner string, signal *board.Signal) {
+	p.applySignal(runner, signal, time.Time{}, "report or order")
 }
 
-func (p *pressure) signalled(runner string, signal *board.Signal, sent time.Time, from string) {
+func (p *backpressure) applySignal(runner string, signal *board.Signal, sent time.Time, from string) {
 	now := p.now()
 	change := p.board.Signalled(runner, *signal, sent, now)
 	p.logLimit(runner, change.LimitChange, from, 0)
@@ -114,31 +116,31 @@
 	}
 }
 
-// peerLimit takes over what a peer tells of a runner's limit. Of runners that this host
+// applyPeerLimit takes over what a peer tells of a runner's limit. Of runners that this host
 // does not know, nothing is kept: nobody would forget it.
-func (p *pressure) peerLimit(told board.Limit, host string) {
-	if _, known := p.directory.Snapshot().Runners[told.Runner]; !known {
+func (p *backpressure) applyPeerLimit(limit board.Limit, host string) {
+	if _, known := p.directory.Snapshot().Runners[limit.Runner]; !known {
 		return
 	}
-	change := p.board.PeerLimit(told, p.now())
-	p.logLimit(told.Runner, change, "host "+host, time.Duration(told.AgeMS)*time.Millisecond)
+	change := p.board.PeerLimit(limit, p.now())
+	p.logLimit(limit.Runner, change, "host "+host, time.Duration(limit.AgeMS)*time.Millisecond)
 }
 
-// peerLeaving takes over that a runner leaves, as a peer heard.
-func (p *pressure) peerLeaving(runner, host string) {
+// applyPeerLeaving takes over that a runner leaves, as a peer heard.
+func (p *backpressure) applyPeerLeaving(runner, host string) {
 	if _, known := p.directory.Snapshot().Runners[runner]; known && p.directory.Leaves(runner) {
 		p.log.Info("runner says that it leaves", "runner", runner, "from", "host "+host)
 	}
 }
 
-func (p *pressure) logLimit(runner string, change board.LimitChange, from string, age time.Duration) {
+func (p *backpressure) logLimit(runner string, change board.LimitChange, from string, age time.Duration) {
 	if change.Changed {
 		p.log.Info("runner's limit changed", "runner", runner, "from", from, "age_ms", age.Milliseconds(), "before_per_s", change.Before, "after_per_s", change.After)
 	}
 }
 
 // Take implements serve.Pressure.
-func (p *pressure) Take(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
+func (p *backpressure) Take(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
 	view := p.board.View(runner.ID, p.now())
 	if view.Barred > 0 {
 		return view.Barred, false
@@ -146,7 +148,7 @@
 	if !view.Limited {
 		return 0, true
 	}
-	wait, ok := p.ask(ctx, runner)
+	wait, ok := p.takeFromLimit(ctx, runner)
 	if ok {
 		p.granted.Add(1)
 		return 0, true
@@ -156,30 +158,30 @@
 	return wait, false
 }
 
-// ask asks the host that counts the runner's limit.
-func (p *pressure) ask(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
+// takeFromLimit asks the host that counts the runner's limit.
+func (p *backpressure) takeFromLimit(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
 	params := LimitParams{Instance: runner.Instance, Limit: p.board.LimitOf(runner.ID, p.now())}
-	host, address := p.counting.first(runner.Instance, 0)
+	host, address := p.counting.countingHost(runner.Instance, 0)
 	var result LimitResult
 	var err error
 	switch {
 	case host == p.counting.host:
-		result, err = p.count(params)
-	case address == "" || p.resting.rests(host, p.now()):
-		return limitRest, false
+		result, err = p.grant(params)
+	case address == "" || p.backoff.active(host, p.now()):
+		return limitRetryPause, false
 	default:
 		result, err = p.call(ctx, address, params)
 	}
 	if err != nil {
-		p.notCounted(runner, host, err)
-		return limitRest, false
+		p.noteUncounted(runner, host, err)
+		return limitRetryPause, false
 	}
-	p.peerLimit(result.Limit, host)
+	p.applyPeerLimit(result.Limit, host)
 	return time.Duration(result.WaitMS) * time.Millisecond, result.Granted
 }
 
 // call asks another host. A caller that leaves does not end the call, as with admissions.
-func (p *pressure) call(ctx context.Context, address string, params LimitParams) (LimitResult, error) {
+func (p *backpressure) call(ctx context.Context, address string, params LimitParams) (LimitResult, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ownerTimeout)
 	defer cancel()
 	var result LimitResult
@@ -187,17 +189,17 @@
 	return result, err
 }
 
-func (p *pressure) notCounted(runner *site.Runner, host string, err error) {
+func (p *backpressure) noteUncounted(runner *site.Runner, host string, err error) {
 	if !peer.Refused(err) && host != p.counting.host {
-		p.resting.rest(host, p.now().Add(ownerRest))
+		p.backoff.set(host, p.now().Add(ownerBackoff))
 	}
-	p.log.Info("runner's limit not counted", "runner", runner.ID, "counting_host", host, "passed_over_ms", limitRest.Milliseconds(), "error", err.Error())
+	p.log.Info("runner's limit not counted", "runner", runner.ID, "counting_host", host, "passed_over_ms", limitRetryPause.Milliseconds(), "error", err.Error())
 }
 
-// count answers as the host that counts the runner's limit, if this one is.
-func (p *pressure) count(params LimitParams) (LimitResult, error) {
+// grant answers as the host that counts the runner's limit, if this one is.
+func (p *backpressure) grant(params LimitParams) (LimitResult, error) {
 	now := p.now()
-	right, err := p.counting.right(params.Instance, 0, now)
+	right, err := p.counting.countingRight(params.Instance, 0, now)
 	if err != nil {
 		return LimitResult{}, err
 	}
@@ -208,7 +210,7 @@
 	if !known.Limited {
 		return LimitResult{Granted: true, Limit: known}, nil
 	}
-	rate := max(leastRate, known.Rate)
+	rate := max(minProbeRate, known.Rate)
 	limit := quota.Limit{Rate: rate, Burst: max(1, rate*limitBurst.Seconds())}
 	answer := p.counting.counter.Answer(quota.Ask{Key: params.Instance, Cost: 1}, limit, right, now)
 	return LimitResult{Granted: answer.Granted > 0, WaitMS: answer.Wait.Milliseconds(), Limit: known}, nil
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -21,24 +21,24 @@
 	methodQuota = "quota.ask"
 	// quotaTimeout bounds an ask, as ownerTimeout does an admission.
 	quotaTimeout = 250 * time.Millisecond
-	// mostPatience and leastPatience bound how long one counting host is waited for
+	// maxHedgeDelay and leastPatience bound how long one counting host is waited for
 	// before the next is asked as well; targetShare of a request's target latency lies
 	// between them. What the first grants later is kept for the next request.
-	mostPatience  = 100 * time.Millisecond
-	leastPatience = 30 * time.Millisecond
-	targetShare   = 4
-	// mostWait bounds how long a request waits for units that come soon; targetShare of
+	maxHedgeDelay = 100 * time.Millisecond
+	minHedgeDelay = 30 * time.Millisecond
+	targetDivisor = 4
+	// maxUnitWait bounds how long a request waits for units that come soon; targetShare of
 	// its target latency does too.
-	mostWait = 200 * time.Millisecond
-	// quotaRest is how long a host that did not answer is passed over while others count.
-	quotaRest = 500 * time.Millisecond
-	// askAgain is the pause before all parts are asked once more, where none is counted
+	maxUnitWait = 200 * time.Millisecond
+	// quotaBackoff is how long a host that did not answer is passed over while others count.
+	quotaBackoff = 500 * time.Millisecond
+	// unknownRetryPause is the pause before all parts are asked once more, where none is counted
 	// at the moment: after a loss of all hosts each counts again within a second.
-	askAgain = 50 * time.Millisecond
-	// quotaUnknownRetry is when a caller should come back where no part is counted.
-	quotaUnknownRetry = 300 * time.Millisecond
-	// backInterval is how often units that lie unused are looked for.
-	backInterval = 250 * time.Millisecond
+	unknownRetryPause = 50 * time.Millisecond
+	// unknownRetryAfter is when a caller should come back where no part is counted.
+	unknownRetryAfter = 300 * time.Millisecond
+	// returnInterval is how often units that lie unused are looked for.
+	returnInterval = 250 * time.Millisecond
 )
 
 // QuotaParams asks the host that counts a part of a workspace's quota for units of it.
@@ -60,33 +60,33 @@
 	Level  float64 `json:"level"`
 }
 
-// quotas is how the hosts keep workspaces to their quotas together.
-type quotas struct {
+// quotaManager is how the hosts keep workspaces to their quotaManager together.
+type quotaManager struct {
 	host       string
 	mesh       *mesh.State
 	pool       *peer.Pool
 	directory  *directory.Directory
 	tolerance  quota.Tolerance
-	counting   *counting
+	counting   *leasedCounter
 	allowances *quota.Allowances
-	resting    resting
+	backoff    hostBackoff
 	now        func() time.Time
 	log        hclog.Logger
-	// turn spreads asks over the parts.
-	turn   atomic.Uint32
-	usages quota.Usages
+	// nextPart spreads asks over the parts.
+	nextPart atomic.Uint32
+	usages   quota.Usages
 }
 
-func newQuotas(host string, state *mesh.State, pool *peer.Pool, known *directory.Directory, tolerance quota.Tolerance, now func() time.Time, log hclog.Logger) *quotas {
-	return &quotas{
+func newQuotaManager(host string, state *mesh.State, pool *peer.Pool, known *directory.Directory, tolerance quota.Tolerance, now func() time.Time, log hclog.Logger) *quotaManager {
+	return &quotaManager{
 		host: host, mesh: state, pool: pool, directory: known, tolerance: tolerance,
-		counting: newCounting(host, state, quota.PartKey), allowances: quota.NewAllowances(), now: now, log: log,
+		counting: newLeasedCounter(host, state, quota.PartKey), allowances: quota.NewAllowances(), now: now, log: log,
 	}
 }
 
-func (q *quotas) register(mux *peer.Mux) {
+func (q *quotaManager) register(mux *peer.Mux) {
 	peer.Handle(mux, methodQuota, func(_ context.Context, _ peer.Identity, p QuotaParams) (QuotaResult, error) {
-		answer, err := q.count(quota.Ask{Key: p.Workspace, Part: p.Part, Cost: p.Cost, Ahead: p.Ahead, Back: p.Back})
+		answer, err := q.answerAsk(quota.Ask{Key: p.Workspace, Part: p.Part, Cost: p.Cost, Ahead: p.Ahead, Back: p.Back})
 		if err != nil {
 			return QuotaResult{}, peer.Refuse(err)
 		}
@@ -99,13 +99,13 @@
 	errNoQuota   = errors.New("this host knows no quota of the workspace")
 )
 
-// count answers an ask as the host that counts the part, if this one is.
-func (q *quotas) count(ask quota.Ask) (quota.Answer, error) {
+// answerAsk answers an ask as the host that counts the part, if this one is.
+func (q *quotaManager) answerAsk(ask quota.Ask) (quota.Answer, error) {
 	if ask.Part < 0 || ask.Part >= quota.Parts || !(ask.Cost >= 0) || !(ask.Ahead >= 0) || !(ask.Back >= 0) {
 		return quota.Answer{}, errors.Errorf("part %d, cost %g, ahead %g, back %g", ask.Part, ask.Cost, ask.Ahead, ask.Back)
 	}
 	now := q.now()
-	right, err := q.counting.right(ask.Key, ask.Part, now)
+	right, err := q.counting.countingRight(ask.Key, ask.Part, now)
 	if err != nil {
 		return quota.Answer{}, err
 	}
@@ -122,11 +122,11 @@
 }
 
 // Charge implements serve.Quotas.
-func (q *quotas) Charge(ctx context.Context, workspace *site.Workspace, cost float64, target time.Duration) serve.Charge {
+func (q *quotaManager) Charge(ctx context.Context, workspace *site.Workspace, cost float64, target time.Duration) serve.Charge {
 	if !workspace.Quota.Bounded() {
 		return serve.Charge{Outcome: serve.ChargeFree, Workspace: workspace.Name}
 	}
-	charge := q.charge(ctx, workspace, cost, target)
+	charge := q.chargeWithRetry(ctx, workspace, cost, target)
 	switch charge.Outcome {
 	case serve.ChargeGranted:
 		q.usages.Note(workspace.Name, quota.Usage{Charged: 1, Units: cost})
@@ -139,22 +139,22 @@
 	return charge
 }
 
-// charge asks until it has an answer that stands. A request whose units come within a share
+// chargeWithRetry asks until it has an answer that stands. A request whose units come within a share
 // of its target latency waits for them.
 //
 // After a loss of all hosts buckets begin empty. Callers far below their quotas were sent
 // away in the first second, although their units came a moment later.
-func (q *quotas) charge(ctx context.Context, workspace *site.Workspace, cost float64, target time.Duration) serve.Charge {
+func (q *quotaManager) chargeWithRetry(ctx context.Context, workspace *site.Workspace, cost float64, target time.Duration) serve.Charge {
 	charge := serve.Charge{Workspace: workspace.Name, Cost: cost, Window: q.tolerance.Window}
-	until := q.now().Add(min(target/targetShare, mostWait))
+	until := q.now().Add(min(target/targetDivisor, maxUnitWait))
 	for {
-		q.try(ctx, workspace, target, &charge)
+		q.chargeOnce(ctx, workspace, target, &charge)
 		pause := charge.Wait
 		switch {
 		case charge.Outcome == serve.ChargeGranted || ctx.Err() != nil:
 			return charge
 		case charge.Outcome == serve.ChargeUnknown:
-			pause = askAgain
+			pause = unknownRetryPause
 		}
 		if q.now().Add(pause).After(until) {
 			return charge
@@ -163,8 +163,8 @@
 	}
 }
 
-// try charges once: from what the host was granted before, or by asking.
-func (q *quotas) try(ctx context.Context, workspace *site.Workspace, target time.Duration, charge *serve.Charge) {
+// chargeOnce charges once: from what the host was granted before, or by asking.
+func (q *quotaManager) chargeOnce(ctx context.Context, workspace *site.Workspace, target time.Duration, charge *serve.Charge) {
 	now := q.now()
 	if part, ok := q.allowances.Spend(workspace.Name, charge.Cost, now); ok {
 		charge.Outcome, charge.Part, charge.CountedBy = serve.ChargeGranted, part, "units granted before"
@@ -174,23 +174,23 @@
 		charge.Outcome, charge.Wait, charge.CountedBy = serve.ChargeRefused, wait, "a refusal of all parts a moment ago"
 		return
 	}
-	q.askAll(ctx, workspace, min(max(leastPatience, target/targetShare), mostPatience), charge)
+	q.askParts(ctx, workspace, min(max(minHedgeDelay, target/targetDivisor), maxHedgeDelay), charge)
 }
 
-// askAll asks for the units part by part: until one grants them, or all that are counted
+// askParts asks for the units part by part: until one grants them, or all that are counted
 // refuse.
-func (q *quotas) askAll(ctx context.Context, workspace *site.Workspace, patience time.Duration, charge *serve.Charge) {
+func (q *quotaManager) askParts(ctx context.Context, workspace *site.Workspace, hedgeDelay time.Duration, charge *serve.Charge) {
 	ask := quota.Ask{Key: workspace.Name, Cost: charge.Cost, Ahead: q.allowances.Ahead(workspace.Name, q.now())}
-	begin := int(q.turn.Add(1))
-	charge.Outcome, charge.Wait = serve.ChargeUnknown, quotaUnknownRetry
+	firstPart := int(q.nextPart.Add(1))
+	charge.Outcome, charge.Wait = serve.ChargeUnknown, unknownRetryAfter
 	for i := range quota.Parts {
-		ask.Part = (begin + i) % quota.Parts
+		ask.Part = (firstPart + i) % quota.Parts
 		sent := q.now()
-		answer, by, err := q.ask(ctx, ask, patience)
+		answer, host, err := q.askPart(ctx, ask, hedgeDelay)
 		if err != nil {
 			continue
 		}
-		charge.CountedBy, charge.Level, charge.Age = by, answer.Level, q.now().Sub(sent)
+		charge.CountedBy, charge.Level, charge.Age = host, answer.Level, q.now().Sub(sent)
 		if answer.Granted > 0 {
 			q.allowances.Used(workspace.Name, charge.Cost, q.now())
 			q.allowances.Granted(workspace.Name, ask.Part, answer.Granted-charge.Cost, q.now())
@@ -206,31 +206,31 @@
 	}
 }
 
-// ask asks the host that counts a part, and gives its name.
-func (q *quotas) ask(ctx context.Context, ask quota.Ask, patience time.Duration) (quota.Answer, string, error) {
-	host, address := q.counting.first(ask.Key, ask.Part)
+// askPart asks the host that counts a part, and gives its name.
+func (q *quotaManager) askPart(ctx context.Context, ask quota.Ask, hedgeDelay time.Duration) (quota.Answer, string, error) {
+	host, address := q.counting.countingHost(ask.Key, ask.Part)
 	switch {
 	case host == "":
 		return quota.Answer{}, "", errNoCounter
 	case host == q.host:
-		answer, err := q.count(ask)
+		answer, err := q.answerAsk(ask)
 		return answer, host, err
-	case address == "" || q.resting.rests(host, q.now()):
+	case address == "" || q.backoff.active(host, q.now()):
 		return quota.Answer{}, host, errNoCounter
 	}
 	answers := make(chan askResult, 1)
 	go func() { answers <- q.call(address, ask) }()
-	timer := time.NewTimer(patience)
+	timer := time.NewTimer(hedgeDelay)
 	defer timer.Stop()
 	select {
 	case result := <-answers:
-		q.noteCall(host, result.err)
+		q.noteCallResult(host, result.err)
 		return result.answer, host, result.err
 	case <-timer.C:
-		q.resting.rest(host, q.now().Add(quotaRest))
+		q.backoff.set(host, q.now().Add(quotaBackoff))
 	case <-ctx.Done():
 	}
-	go q.takeLate(ask, answers)
+	go q.keepLateGrant(ask, answers)
 	return quota.Answer{}, host, errNoCounter
 }
 
@@ -241,7 +241,7 @@
 
 // call asks another host. The call does not end with the request that it is for: what it
 // brings is of use to the next one.
-func (q *quotas) call(address string, ask quota.Ask) askResult {
+func (q *quotaManager) call(address string, ask quota.Ask) askResult {
 	ctx, cancel := context.WithTimeout(context.Background(), quotaTimeout)
 	defer cancel()
 	params := QuotaParams{Workspace: ask.Key, Part: ask.Part, Cost: ask.Cost, Ahead: ask.Ahead, Back: ask.Back}
@@ -253,25 +253,25 @@
 	return askResult{answer: quota.Answer{Granted: result.Granted, Wait: wait, Level: result.Level}}
 }
 
-// noteCall leaves a host that cannot be reached alone for a time. One that answers that
+// noteCallResult leaves a host that cannot be reached alone for a time. One that answers that
 // it does not count the part is asked again, since it soon may.
-func (q *quotas) noteCall(host string, err error) {
+func (q *quotaManager) noteCallResult(host string, err error) {
 	if err == nil || peer.Refused(err) {
 		return
 	}
-	q.resting.rest(host, q.now().Add(quotaRest))
+	q.backoff.set(host, q.now().Add(quotaBackoff))
 	q.log.Info("host that counts for a quota not reached", "peer", host, "error", err.Error())
 }
 
-// takeLate keeps what an answer brings that was not waited for.
-func (q *quotas) takeLate(ask quota.Ask, answers <-chan askResult) {
+// keepLateGrant keeps what an answer brings that was not waited for.
+func (q *quotaManager) keepLateGrant(ask quota.Ask, answers <-chan askResult) {
 	if result := <-answers; result.err == nil && result.answer.Granted > 0 {
 		q.allowances.Granted(ask.Key, ask.Part, result.answer.Granted, q.now())
 	}
 }
 
 // GiveBack implements serve.Quotas.
-func (q *quotas) GiveBack(charge serve.Charge) {
+func (q *quotaManager) GiveBack(charge serve.Charge) {
 	if charge.Outcome == serve.ChargeGranted {
 		q.allowances.Granted(charge.Workspace, charge.Part, charge.Cost, q.now())
 		q.usages.Note(charge.Workspace, quota.Usage{Returned: charge.Cost})
@@ -279,36 +279,36 @@
 }
 
 // run gives back what lies unused and forgets what other hosts count.
-func (q *quotas) run(ctx context.Context) {
-	timing.Every(ctx, backInterval, func() {
-		q.counting.keep()
+func (q *quotaManager) run(ctx context.Context) {
+	timing.Every(ctx, returnInterval, func() {
+		q.counting.dropReassigned()
 		for _, back := range q.allowances.Unspent(q.now()) {
-			go q.giveBack(ctx, back)
+			go q.returnUnits(ctx, back)
 		}
 	})
 }
 
-// giveBack returns units once. Without an answer they count as spent: given back twice,
+// returnUnits returns units once. Without an answer they count as spent: given back twice,
 // they would be granted twice.
-func (q *quotas) giveBack(ctx context.Context, back quota.Ask) {
-	if _, host, err := q.ask(ctx, back, quotaTimeout); err != nil {
+func (q *quotaManager) returnUnits(ctx context.Context, back quota.Ask) {
+	if _, host, err := q.askPart(ctx, back, quotaTimeout); err != nil {
 		q.log.Debug("units not given back", "workspace", back.Key, "part", back.Part, "units", back.Back, "peer", host, "error", err.Error())
 	}
 }
 
-// use gives the workspaces that sent requests to this host, with their quotas in force.
-func (q *quotas) use() map[string]quota.WorkspaceUse {
+// workspaceUse gives the workspaces that sent requests to this host, with their quotas in force.
+func (q *quotaManager) workspaceUse() map[string]quota.WorkspaceUse {
 	var workspaces *site.Workspaces
 	if config := q.directory.Snapshot().Config; config != nil {
 		workspaces = config.Workspaces
 	}
 	use := map[string]quota.WorkspaceUse{}
 	for name, usage := range q.usages.All() {
-		one := quota.WorkspaceUse{Usage: usage}
+		inUse := quota.WorkspaceUse{Usage: usage}
 		if workspace, ok := workspaces.ByName(name); ok {
-			one.Rate, one.Burst, one.InTokens = workspace.Quota.Rate, workspace.Quota.Burst, workspace.Quota.InTokens
+			inUse.Rate, inUse.Burst, inUse.InTokens = workspace.Quota.Rate, workspace.Quota.Burst, workspace.Quota.InTokens
 		}
-		use[name] = one
+		use[name] = inUse
 	}
 	return use
 }
--- a/internal/entry/rehome.go
+++ b/internal/entry/rehome.go
@@ -11,11 +11,11 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// rehomeInterval is how often this host looks whether the homes of what lies on
+// homeNotifyInterval is how often this host looks whether the homes of what lies on
 // its runners know of it. Nothing is sent unless a home is new.
-const rehomeInterval = time.Second
+const homeNotifyInterval = time.Second
 
-// rehome tells the homes of adapters which of them lie on this host's runners.
+// homeNotifier tells the homes of adapters which of them lie on this host's runners.
 //
 // The failure it answers: all hosts lose power, or a runner comes back after a
 // crash, and homes know nothing of what lies on the other runners. Each adapter
@@ -23,25 +23,25 @@
 // with what the crash has cost. After a total loss a hundred of 300 copies came
 // from this. A home that could not be told, since nobody owns it yet, is told again:
 // a runner is listed some tenths of a second before it has an owner.
-type rehome struct {
+type homeNotifier struct {
 	owner  *adapters.Owner
-	owners *owners
-	// told is the home that was told of an adapter on a runner.
-	told map[string]map[adapters.Key]string
+	owners *ownerClient
+	// notified is the home that was notified of an adapter on a runner.
+	notified map[string]map[adapters.Key]string
 }
 
-func newRehome(owner *adapters.Owner, owners *owners) *rehome {
-	return &rehome{owner: owner, owners: owners, told: map[string]map[adapters.Key]string{}}
+func newHomeNotifier(owner *adapters.Owner, owners *ownerClient) *homeNotifier {
+	return &homeNotifier{owner: owner, owners: owners, notified: map[string]map[adapters.Key]string{}}
 }
 
 // run tells the homes that do not know yet.
-func (r *rehome) run(ctx context.Context, snapshot *directory.Snapshot) {
+func (r *homeNotifier) run(ctx context.Context, snapshot *directory.Snapshot) {
 	if snapshot.Config == nil {
 		return
 	}
-	for id := range r.told {
+	for id := range r.notified {
 		if _, ok := r.owner.Keeper(id); !ok {
-			delete(r.told, id)
+			delete(r.notified, id)
 		}
 	}
 	for service, runners := range snapshot.ByService {
@@ -50,26 +50,26 @@
 		}
 		for _, runner := range runners {
 			if keeper, ok := r.owner.Keeper(runner.ID); ok {
-				r.tell(ctx, runner, keeper.Holding(snapshot.Versions), runners)
+				r.notify(ctx, runner, keeper.Holding(snapshot.Versions), runners)
 			}
 		}
 	}
 }
 
-func (r *rehome) tell(ctx context.Context, runner *site.Runner, held []adapters.Key, runners []*site.Runner) {
-	before := r.told[runner.ID]
-	now := make(map[adapters.Key]string, len(held))
+func (r *homeNotifier) notify(ctx context.Context, runner *site.Runner, held []adapters.Key, runners []*site.Runner) {
+	before := r.notified[runner.ID]
+	current := make(map[adapters.Key]string, len(held))
 	for _, key := range held {
 		home := homeOf(key, runners)
 		if home == nil {
 			continue
 		}
-		known := home.ID == runner.ID || before[key] == home.ID || r.owners.tellHome(ctx, home, key, runner) == nil
+		known := home.ID == runner.ID || before[key] == home.ID || r.owners.notifyHome(ctx, home, key, runner) == nil
 		if known {
-			now[key] = home.ID
+			current[key] = home.ID
 		}
 	}
-	r.told[runner.ID] = now
+	r.notified[runner.ID] = current
 }
 
 // homeOf gives the runner that comes first in an adapter's order.
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -6,41 +6,41 @@
 	"github.com/cherrystage/cherrystage/internal/quarantine"
 )
 
-// report is one answer that broke off, on its way to the hosts that count for the fleet.
-type report struct {
+// failureReport is one answer that broke off, on its way to the hosts that count for the fleet.
+type failureReport struct {
 	cut quarantine.Cut
-	// hosts are those that were not tried yet, in their order.
-	hosts []string
-	// wanted is how many of them still have to hear.
-	wanted atomic.Int32
+	// untried are those that were not tried yet, in their order.
+	untried []string
+	// acksNeeded is how many of them still have to hear.
+	acksNeeded atomic.Int32
 }
 
-// newReport makes a report to the first hosts of a ranking; self needs none.
-func newReport(cut quarantine.Cut, ranked []string, self string) *report {
-	r := &report{cut: cut}
-	r.wanted.Store(counters)
-	for place, host := range ranked {
+// newFailureReport makes a report to the first hosts of a ranking; self needs none.
+func newFailureReport(cut quarantine.Cut, ranked []string, self string) *failureReport {
+	r := &failureReport{cut: cut}
+	r.acksNeeded.Store(countingHosts)
+	for rank, host := range ranked {
 		switch {
 		case host != self:
-			r.hosts = append(r.hosts, host)
-		case place < counters:
-			r.wanted.Add(-1)
+			r.untried = append(r.untried, host)
+		case rank < countingHosts:
+			r.acksNeeded.Add(-1)
 		}
 	}
 	return r
 }
 
-// next gives the hosts to try next: as many as still have to hear.
-func (r *report) next() []string {
-	count := min(int(r.wanted.Load()), len(r.hosts))
-	next := r.hosts[:count]
-	r.hosts = r.hosts[count:]
+// nextHosts gives the hosts to try nextHosts: as many as still have to hear.
+func (r *failureReport) nextHosts() []string {
+	count := min(int(r.acksNeeded.Load()), len(r.untried))
+	next := r.untried[:count]
+	r.untried = r.untried[count:]
 	return next
 }
 
-// taken notes that a host has heard of these.
-func taken(reports []*report) {
+// acknowledged notes that a host has heard of these.
+func acknowledged(reports []*failureReport) {
 	for _, r := range reports {
-		r.wanted.Add(-1)
+		r.acksNeeded.Add(-1)
 	}
 }
--- a/internal/entry/resting.go
+++ b/internal/entry/resting.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// resting are hosts that did not answer, until they are asked again. It is safe for
+// hostBackoff are hosts that did not answer, until they are asked again. It is safe for
 // concurrent use.
-type resting struct {
+type hostBackoff struct {
 	mu    sync.Mutex
 	until map[string]time.Time
 }
 
-func (r *resting) rest(host string, until time.Time) {
+func (r *hostBackoff) set(host string, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.until == nil {
@@ -21,7 +21,7 @@
 	r.until[host] = until
 }
 
-func (r *resting) rests(host string, now time.Time) bool {
+func (r *hostBackoff) active(host string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	until, ok := r.until[host]
--- a/internal/entry/rhythm_test.go
+++ b/internal/entry/rhythm_test.go
@@ -46,16 +46,16 @@
 		t.Run(d.name, func(t *testing.T) {
 			for _, change := range []struct {
 				name   string
-				rhythm rhythm
+				rhythm watchSchedule
 				bytes  float64
 				bound  time.Duration
 			}{
-				{"configuration", configRhythm, largestRecord, d.inForce},
-				{"runner leaves", runnerRhythm, changedEntries, d.inForce},
-				{"version", versionRhythm, changedEntries, d.version},
+				{"configuration", configWatch, largestRecord, d.inForce},
+				{"runner leaves", runnerWatch, changedEntries, d.inForce},
+				{"version", versionWatch, changedEntries, d.version},
 			} {
 				terms := map[string]time.Duration{
-					"knowledge too old":  change.rhythm.stale,
+					"knowledge too old":  change.rhythm.maxAge,
 					"the last turn":      mesh.LongestWait(d.hosts),
 					"the store's answer": storeAnswer,
 					"the host's link":    time.Duration(change.bytes * 8 / d.mbps * float64(time.Microsecond)),
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -26,8 +26,8 @@
 	Runners int `json:"runners,omitempty"`
 	Load    int `json:"load,omitempty"`
 	Slots   int `json:"slots,omitempty"`
-	// ReadingNS are the nanoseconds that each of these takes for a token of a prompt.
-	ReadingNS []int64 `json:"reading_ns,omitempty"`
+	// PromptTokenNS are the nanoseconds that each of these takes for a token of a prompt.
+	PromptTokenNS []int64 `json:"reading_ns,omitempty"`
 	// Quarantine is the digest of what the sender knows of requests that end runners, 0
 	// where that is nothing.
 	Quarantine uint64 `json:"quarantine,omitempty"`
@@ -37,134 +37,134 @@
 	Leaving []string `json:"leaving,omitempty"`
 }
 
-// statusLife is how long what a peer told holds.
-const statusLife = 2 * time.Second
+// statusTTL is how long what a peer told holds.
+const statusTTL = 2 * time.Second
 
-// statuses implements mesh.Statuses.
-type statuses struct {
+// peerStatuses implements mesh.Statuses.
+type peerStatuses struct {
 	board     *board.Board
 	owner     *adapters.Owner
 	directory *directory.Directory
-	// quarantined gives this host's digest; quarantinedAt takes over a peer's.
-	quarantined   func() uint64
-	quarantinedAt func(host string, digest uint64)
-	// limitAt takes over what a peer knows of a runner's limit.
-	limitAt func(told board.Limit, host string)
-	// leavingAt takes over that a runner leaves.
-	leavingAt func(runner, host string)
+	// localDigest gives this host's digest; quarantinedAt takes over a peer's.
+	localDigest func() uint64
+	onDigest    func(host string, digest uint64)
+	// onLimit takes over what a peer knows of a runner's limit.
+	onLimit func(told board.Limit, host string)
+	// onLeaving takes over that a runner leaves.
+	onLeaving func(runner, host string)
 	now       func() time.Time
 	log       hclog.Logger
 
 	mu    sync.Mutex
-	peers map[string]heard
+	peers map[string]receivedStatus
 }
 
-type heard struct {
+type receivedStatus struct {
 	status
 	at time.Time
 }
 
 // Status implements mesh.Statuses.
-func (s *statuses) Status() any {
-	told := status{Running: map[string]int{}, SuspectMS: map[string]int64{}}
+func (s *peerStatuses) Status() any {
+	current := status{Running: map[string]int{}, SuspectMS: map[string]int64{}}
 	snapshot := s.directory.Snapshot()
 	for id, running := range s.board.Own() {
 		if runner := snapshot.Runners[id]; runner != nil && !snapshot.IsEngine(runner.Service) {
-			told.Running[id] = running
+			current.Running[id] = running
 		}
 	}
 	for runner, left := range s.board.Suspects(s.now()) {
-		told.SuspectMS[runner] = left.Milliseconds()
+		current.SuspectMS[runner] = left.Milliseconds()
 	}
-	told.Transit, told.Runners = s.owner.Transit()
-	told.Load, told.Slots = s.owner.Full()
+	current.Transit, current.Runners = s.owner.Transit()
+	current.Load, current.Slots = s.owner.Full()
 	for _, perToken := range s.owner.Readings() {
-		told.ReadingNS = append(told.ReadingNS, int64(perToken))
+		current.PromptTokenNS = append(current.PromptTokenNS, int64(perToken))
 	}
-	told.Quarantine = s.quarantined()
-	told.Limits = s.board.Limits(s.now())
-	told.Leaving = s.directory.Leaving()
-	return told
+	current.Quarantine = s.localDigest()
+	current.Limits = s.board.Limits(s.now())
+	current.Leaving = s.directory.Leaving()
+	return current
 }
 
 // StatusFrom implements mesh.Statuses.
-func (s *statuses) StatusFrom(host string, raw json.RawMessage) {
-	var told status
-	if err := json.Unmarshal(raw, &told); err != nil {
+func (s *peerStatuses) StatusFrom(host string, raw json.RawMessage) {
+	var received status
+	if err := json.Unmarshal(raw, &received); err != nil {
 		s.log.Warn("peer's status not understood", "peer", host, "error", err.Error())
 		return
 	}
-	s.quarantinedAt(host, told.Quarantine)
-	for _, limit := range told.Limits {
-		s.limitAt(limit, host)
+	s.onDigest(host, received.Quarantine)
+	for _, limit := range received.Limits {
+		s.onLimit(limit, host)
 	}
-	for _, runner := range told.Leaving {
-		s.leavingAt(runner, host)
+	for _, runner := range received.Leaving {
+		s.onLeaving(runner, host)
 	}
 	now := s.now()
-	for runner, running := range told.Running {
+	for runner, running := range received.Running {
 		s.board.PeerOn(host, runner, running, now)
 	}
-	for runner, ms := range told.SuspectMS {
-		s.board.PeerSuspects(runner, time.Duration(ms)*time.Millisecond, now)
+	for runner, remainingMS := range received.SuspectMS {
+		s.board.PeerSuspects(runner, time.Duration(remainingMS)*time.Millisecond, now)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for runner := range s.peers[host].Running {
-		if _, still := told.Running[runner]; !still {
+		if _, still := received.Running[runner]; !still {
 			s.board.PeerOn(host, runner, 0, now)
 		}
 	}
-	s.peers[host] = heard{status: told, at: now}
+	s.peers[host] = receivedStatus{status: received, at: now}
 }
 
-// sum adds up what peers told lately.
-func (s *statuses) sum() status {
+// recentTotals adds up what peers told lately.
+func (s *peerStatuses) recentTotals() status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var total status
 	now := s.now()
-	for host, told := range s.peers {
-		if now.Sub(told.at) > statusLife {
+	for host, peerStatus := range s.peers {
+		if now.Sub(peerStatus.at) > statusTTL {
 			delete(s.peers, host)
 			continue
 		}
-		total.Transit += told.Transit
-		total.Runners += told.Runners
-		total.Load += told.Load
-		total.Slots += told.Slots
-		total.ReadingNS = append(total.ReadingNS, told.ReadingNS...)
+		total.Transit += peerStatus.Transit
+		total.Runners += peerStatus.Runners
+		total.Load += peerStatus.Load
+		total.Slots += peerStatus.Slots
+		total.PromptTokenNS = append(total.PromptTokenNS, peerStatus.PromptTokenNS...)
 	}
 	return total
 }
 
-// fewReadings is the number of runners below which what most of them do is a guess.
-const fewReadings = 3
+// minReadings is the number of runners below which what most of them do is a guess.
+const minReadings = 3
 
-// reading gives the time that most runners take for a token of a prompt, in
+// typicalPromptTokenNS gives the time that most runners take for a token of a prompt, in
 // nanoseconds, as far as this host hears: that of the third of them that is faster, so
 // that some slow ones among few do not count as usual.
-func (s *statuses) reading() float64 {
-	readings := s.sum().ReadingNS
+func (s *peerStatuses) typicalPromptTokenNS() float64 {
+	readings := s.recentTotals().PromptTokenNS
 	for _, perToken := range s.owner.Readings() {
 		readings = append(readings, int64(perToken))
 	}
-	if len(readings) < fewReadings {
+	if len(readings) < minReadings {
 		return 0
 	}
 	slices.Sort(readings)
 	return float64(readings[len(readings)/3])
 }
 
-// crowd gives the adapters on their way to peers' runners, and these runners.
-func (s *statuses) crowd() (transit, runners int) {
-	total := s.sum()
+// peersInTransit gives the adapters on their way to peers' runners, and these runners.
+func (s *peerStatuses) peersInTransit() (transit, runners int) {
+	total := s.recentTotals()
 	return total.Transit, total.Runners
 }
 
-// share gives how full the runners are that this host knows of.
-func (s *statuses) share() float64 {
-	total := s.sum()
+// utilization gives how full the runners are that this host knows of.
+func (s *peerStatuses) utilization() float64 {
+	total := s.recentTotals()
 	load, slots := s.owner.Full()
 	load += total.Load
 	slots += total.Slots
--- a/internal/entry/status_test.go
+++ b/internal/entry/status_test.go
@@ -11,15 +11,15 @@
 	"github.com/shoenig/test/must"
 )
 
-func newStatuses(now *time.Time) *statuses {
+func newStatuses(now *time.Time) *peerStatuses {
 	clock := func() time.Time { return *now }
-	return &statuses{
-		board: board.New(), now: clock, log: hclog.NewNullLogger(), peers: map[string]heard{}, quarantinedAt: func(string, uint64) {},
+	return &peerStatuses{
+		board: board.New(), now: clock, log: hclog.NewNullLogger(), peers: map[string]receivedStatus{}, onDigest: func(string, uint64) {},
 		owner: adapters.NewOwner(adapters.OwnerDeps{Now: clock, Log: hclog.NewNullLogger()}),
 	}
 }
 
-func (s *statuses) hear(t *testing.T, host string, told status) {
+func (s *peerStatuses) hear(t *testing.T, host string, told status) {
 	t.Helper()
 	raw, err := json.Marshal(told)
 	must.NoError(t, err)
@@ -32,15 +32,15 @@
 func TestUsualReadingIsThatOfMostRunners(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newStatuses(&now)
-	s.hear(t, "a", status{ReadingNS: []int64{36_000, 26_000}})
-	must.Eq(t, 0, s.reading(), must.Sprint("two runners are too few"))
-	s.hear(t, "b", status{ReadingNS: []int64{27_000}})
+	s.hear(t, "a", status{PromptTokenNS: []int64{36_000, 26_000}})
+	must.Eq(t, 0, s.typicalPromptTokenNS(), must.Sprint("two runners are too few"))
+	s.hear(t, "b", status{PromptTokenNS: []int64{27_000}})
 	s.hear(t, "c", status{})
-	must.Eq(t, 27_000, s.reading())
-	s.hear(t, "d", status{ReadingNS: []int64{37_000, 25_000, 38_000}})
-	must.Eq(t, 27_000, s.reading())
-	now = now.Add(statusLife + time.Millisecond)
-	must.Eq(t, 0, s.reading())
+	must.Eq(t, 27_000, s.typicalPromptTokenNS())
+	s.hear(t, "d", status{PromptTokenNS: []int64{37_000, 25_000, 38_000}})
+	must.Eq(t, 27_000, s.typicalPromptTokenNS())
+	now = now.Add(statusTTL + time.Millisecond)
+	must.Eq(t, 0, s.typicalPromptTokenNS())
 }
 
 // Requests on a plain service's runner end. The peer that told of them tells of none any
@@ -60,8 +60,8 @@
 	s := newStatuses(&now)
 	s.hear(t, "a", status{Transit: 3, Runners: 2, Load: 6, Slots: 24})
 	s.StatusFrom("a", json.RawMessage(`{"transit":"many"}`))
-	transit, runners := s.crowd()
+	transit, runners := s.peersInTransit()
 	must.Eq(t, 3, transit)
 	must.Eq(t, 2, runners)
-	must.Eq(t, 0.25, s.share())
+	must.Eq(t, 0.25, s.utilization())
 }
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -18,17 +18,17 @@
 )
 
 const (
-	// counters is the number of hosts that count the ends of runners under a request. Any
+	// countingHosts is the number of hosts that count the ends of runners under a request. Any
 	// of them suffices: two may be lost with what they counted.
-	counters = 3
-	// suspectInterval is how often cuts are looked at while some wait.
-	suspectInterval = 100 * time.Millisecond
+	countingHosts = 3
+	// pendingInterval is how often cuts are looked at while some wait.
+	pendingInterval = 100 * time.Millisecond
 	// recordInterval is how often lasting records are looked at while there is anything
 	// to keep.
 	recordInterval = time.Second
-	// suspectTimeout bounds a report or a question to a peer. A packet that is lost on the
+	// quarantineTimeout bounds a report or a question to a peer. A packet that is lost on the
 	// way is sent again in some 250 ms.
-	suspectTimeout = 400 * time.Millisecond
+	quarantineTimeout = 400 * time.Millisecond
 	// recordTimeout bounds a write to the store.
 	recordTimeout = time.Second
 	// reportRounds is how often hosts further down are tried in place of those that do not
@@ -36,15 +36,15 @@
 	// its first three; in four rounds one in 4,096 finds none. They take 1.6 of the three
 	// seconds in which hosts are to agree.
 	reportRounds = 4
-	// spreadInterval is the least time between two rounds of heartbeats out of turn, five
+	// minBroadcastInterval is the least time between two rounds of heartbeats out of turn, five
 	// messages each, however much there is to tell.
-	spreadInterval = 100 * time.Millisecond
+	minBroadcastInterval = 100 * time.Millisecond
 )
 
 // Methods by which hosts tell each other of requests that end runners.
 const (
-	methodCuts     = "quarantine.cuts"
-	methodSuspects = "quarantine.list"
+	methodCuts    = "quarantine.cuts"
+	methodEntries = "quarantine.list"
 )
 
 // CutsParams reports answers that broke off.
@@ -68,26 +68,26 @@
 	}
 }
 
-func told(cut quarantine.Cut, now time.Time) CutParams {
+func newCutParams(cut quarantine.Cut, now time.Time) CutParams {
 	return CutParams{Content: cut.Content, Runner: cut.Runner, AgeMS: now.Sub(cut.At).Milliseconds(), LastedMS: cut.Lasted.Milliseconds()}
 }
 
-// SuspectsResult tells what a host knows of requests that end runners.
-type SuspectsResult struct {
+// EntriesResult tells what a host knows of requests that end runners.
+type EntriesResult struct {
 	Entries []quarantine.Entry `json:"entries"`
 }
 
-// suspectPrefix begins the names of lasting records of requests that are kept from
+// recordPrefix begins the names of lasting records of requests that are kept from
 // runners. They share the kind of hosts and owners.
-const suspectPrefix = "content."
+const recordPrefix = "content."
 
-// SuspectRecord is a lasting record. The content's fingerprint is its name.
-type SuspectRecord struct {
+// QuarantineRecord is a lasting record. The content's fingerprint is its name.
+type QuarantineRecord struct {
 	Round int `json:"round"`
 }
 
-// suspects is how this host and its peers tell each other of requests that end runners.
-type suspects struct {
+// quarantineSync is how this host and its peers tell each other of requests that end runners.
+type quarantineSync struct {
 	host       string
 	quarantine *quarantine.Quarantine
 	mesh       *mesh.State
@@ -96,61 +96,61 @@
 	board      *board.Board
 	now        func() time.Time
 	log        hclog.Logger
-	// spread has heartbeats sent at once.
-	spread func()
+	// broadcast has heartbeats sent at once.
+	broadcast func()
 	// records holds the lasting records.
 	records *registry.Replica
 
-	// told is the digest that was last spread, and when. They are run's.
-	told   uint64
-	toldAt time.Time
+	// broadcastDigest is the digest that was last spread, and when. They are run's.
+	broadcastDigest uint64
+	broadcastAt     time.Time
 
-	// asking says that a peer is being asked.
-	asking atomic.Bool
+	// fetching says that a peer is being asked.
+	fetching atomic.Bool
 }
 
-func newSuspects(host string, state *mesh.State, pool *peer.Pool, store registry.Store, b *board.Board, now func() time.Time, log hclog.Logger) *suspects {
-	return &suspects{
+func newQuarantineSync(host string, state *mesh.State, pool *peer.Pool, store registry.Store, b *board.Board, now func() time.Time, log hclog.Logger) *quarantineSync {
+	return &quarantineSync{
 		host: host, quarantine: quarantine.New(), mesh: state, pool: pool, store: store, board: b, now: now, log: log,
 	}
 }
 
-func (s *suspects) register(mux *peer.Mux) {
+func (s *quarantineSync) register(mux *peer.Mux) {
 	peer.Handle(mux, methodCuts, func(_ context.Context, from peer.Identity, p CutsParams) (struct{}, error) {
 		now := s.now()
 		for _, cut := range p.Cuts {
-			s.count(cut.cut(now), from.Host)
+			s.countCut(cut.cut(now), from.Host)
 		}
 		return struct{}{}, nil
 	})
-	peer.Handle(mux, methodSuspects, func(context.Context, peer.Identity, struct{}) (SuspectsResult, error) {
-		return SuspectsResult{Entries: s.quarantine.Entries(s.now())}, nil
+	peer.Handle(mux, methodEntries, func(context.Context, peer.Identity, struct{}) (EntriesResult, error) {
+		return EntriesResult{Entries: s.quarantine.Entries(s.now())}, nil
 	})
 }
 
 // run reports, tells and records until the context ends. It sleeps while there is nothing
 // to do.
-func (s *suspects) run(ctx context.Context) {
+func (s *quarantineSync) run(ctx context.Context) {
 	var recordedAt time.Time
 	for ctx.Err() == nil {
-		s.report(ctx)
-		s.tell()
+		s.reportDue(ctx)
+		s.broadcastNews()
 		if s.now().Sub(recordedAt) >= recordInterval {
 			recordedAt = s.now()
 			s.quarantine.Forget(s.now())
-			s.record(ctx)
+			s.syncRecords(ctx)
 		}
 		s.wait(ctx)
 	}
 }
 
-func (s *suspects) wait(ctx context.Context) {
+func (s *quarantineSync) wait(ctx context.Context) {
 	var due <-chan time.Time
 	switch {
-	case s.untold():
-		due = time.After(spreadInterval)
+	case s.hasNews():
+		due = time.After(minBroadcastInterval)
 	case s.quarantine.Pending():
-		due = time.After(suspectInterval)
+		due = time.After(pendingInterval)
 	case s.quarantine.Size() > 0:
 		due = time.After(recordInterval)
 	}
@@ -161,9 +161,9 @@
 	}
 }
 
-// report reports the answers that broke off to the hosts that count for the whole fleet,
+// reportDue reports the answers that broke off to the hosts that count for the whole fleet,
 // and counts them here too: a host that is cut off from the others has only its own.
-func (s *suspects) report(ctx context.Context) {
+func (s *quarantineSync) reportDue(ctx context.Context) {
 	due, dropped := s.quarantine.Due(s.now(), s.board.AnsweredSince)
 	if dropped > 0 {
 		s.log.Warn("answers that broke off not counted: too many at once", "dropped", dropped)
@@ -171,45 +171,45 @@
 	if len(due) == 0 {
 		return
 	}
-	reports := make([]*report, 0, len(due))
+	reports := make([]*failureReport, 0, len(due))
 	for _, cut := range due {
-		s.count(cut, s.host)
-		reports = append(reports, newReport(cut, s.ranked(cut.Content), s.host))
+		s.countCut(cut, s.host)
+		reports = append(reports, newFailureReport(cut, s.rankedHosts(cut.Content), s.host))
 	}
 	go s.reportAll(ctx, reports)
 }
 
-// ranked gives the hosts in the order in which they count the ends under a request.
-func (s *suspects) ranked(content quarantine.Fingerprint) []string {
-	return fleet.Rank(suspectPrefix+content.String(), s.mesh.Members())
+// rankedHosts gives the hosts in the order in which they count the ends under a request.
+func (s *quarantineSync) rankedHosts(content quarantine.Fingerprint) []string {
+	return fleet.Rank(recordPrefix+content.String(), s.mesh.Members())
 }
 
 // reportAll sends reports, all that go to one host together.
-func (s *suspects) reportAll(ctx context.Context, reports []*report) {
+func (s *quarantineSync) reportAll(ctx context.Context, reports []*failureReport) {
 	for range reportRounds {
-		byHost := map[string][]*report{}
+		byHost := map[string][]*failureReport{}
 		for _, r := range reports {
-			for _, host := range r.next() {
+			for _, host := range r.nextHosts() {
 				byHost[host] = append(byHost[host], r)
 			}
 		}
 		if len(byHost) == 0 {
 			return
 		}
-		var round sync.WaitGroup
-		for host, those := range byHost {
-			round.Go(func() {
-				if s.reportTo(ctx, host, those) {
-					taken(those)
+		var wg sync.WaitGroup
+		for host, batch := range byHost {
+			wg.Go(func() {
+				if s.reportTo(ctx, host, batch) {
+					acknowledged(batch)
 				}
 			})
 		}
-		round.Wait()
+		wg.Wait()
 	}
 }
 
 // reportTo tells one host of answers that broke off, and says whether it has heard.
-func (s *suspects) reportTo(ctx context.Context, host string, reports []*report) bool {
+func (s *quarantineSync) reportTo(ctx context.Context, host string, reports []*failureReport) bool {
 	address, ok := s.mesh.AddressOf(host)
 	if !ok {
 		return false
@@ -217,9 +217,9 @@
 	now := s.now()
 	var params CutsParams
 	for _, r := range reports {
-		params.Cuts = append(params.Cuts, told(r.cut, now))
+		params.Cuts = append(params.Cuts, newCutParams(r.cut, now))
 	}
-	ctx, cancel := context.WithTimeout(ctx, suspectTimeout)
+	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	if err := s.pool.Call(ctx, address, methodCuts, params, nil); err != nil {
 		s.log.Info("answers that broke off not reported", "peer", host, "cuts", len(params.Cuts), "error", err.Error())
@@ -228,8 +228,8 @@
 	return true
 }
 
-// count counts an answer that broke off.
-func (s *suspects) count(cut quarantine.Cut, from string) {
+// countCut counts an answer that broke off.
+func (s *quarantineSync) countCut(cut quarantine.Cut, from string) {
 	counted := s.quarantine.Count(cut, s.now())
 	if counted.Ends > 1 || counted.Suspected {
 		s.log.Info("runners end under a request", "content", cut.Content.String(), "ends", counted.Ends, "runner", cut.Runner, "reported_by", from,
@@ -237,65 +237,65 @@
 	}
 }
 
-// untold says that something changed that others should know.
-func (s *suspects) untold() bool { return s.quarantine.Digest() != s.told }
+// hasNews says that something changed that others should know.
+func (s *quarantineSync) hasNews() bool { return s.quarantine.Digest() != s.broadcastDigest }
 
-// tell has heartbeats sent at once if something changed that others should know.
-func (s *suspects) tell() {
+// broadcastNews has heartbeats sent at once if something changed that others should know.
+func (s *quarantineSync) broadcastNews() {
 	now := s.now()
-	if !s.untold() || now.Sub(s.toldAt) < spreadInterval {
+	if !s.hasNews() || now.Sub(s.broadcastAt) < minBroadcastInterval {
 		return
 	}
-	s.told, s.toldAt = s.quarantine.Digest(), now
-	s.spread()
+	s.broadcastDigest, s.broadcastAt = s.quarantine.Digest(), now
+	s.broadcast()
 }
 
-// heard asks a peer for what it knows if that is not what this host knows. One peer is
+// onPeerDigest asks a peer for what it knows if that is not what this host knows. One peer is
 // asked at a time: all who have the news offer it at once, and say the same.
-func (s *suspects) heard(host string, digest uint64) {
-	if digest == 0 || digest == s.quarantine.Digest() || !s.asking.CompareAndSwap(false, true) {
+func (s *quarantineSync) onPeerDigest(host string, digest uint64) {
+	if digest == 0 || digest == s.quarantine.Digest() || !s.fetching.CompareAndSwap(false, true) {
 		return
 	}
 	go func() {
-		defer s.asking.Store(false)
-		s.ask(host)
+		defer s.fetching.Store(false)
+		s.fetchEntries(host)
 	}()
 }
 
-func (s *suspects) ask(host string) {
+func (s *quarantineSync) fetchEntries(host string) {
 	address, ok := s.mesh.AddressOf(host)
 	if !ok {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), suspectTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), quarantineTimeout)
 	defer cancel()
-	var result SuspectsResult
-	if err := s.pool.Call(ctx, address, methodSuspects, struct{}{}, &result); err != nil {
+	var result EntriesResult
+	if err := s.pool.Call(ctx, address, methodEntries, struct{}{}, &result); err != nil {
 		s.log.Info("peer not asked for requests that end runners", "peer", host, "error", err.Error())
 		return
 	}
-	for _, news := range s.quarantine.Merge(result.Entries, s.now()) {
-		s.logNews(news, host)
+	for _, update := range s.quarantine.Merge(result.Entries, s.now()) {
+		s.logUpdate(update, host)
 	}
 }
 
-func (s *suspects) logNews(news quarantine.Entry, from string) {
+func (s *quarantineSync) logUpdate(update quarantine.Entry, from string) {
 	message := "request kept from runners"
-	if news.Cleared {
+	if update.Cleared {
 		message = "request cleared: it was answered whole"
 	}
-	s.log.Info(message, "content", news.Content.String(), "round", news.Round, "age_ms", news.AgeMS, "ends", len(news.Ends), "from", from)
+	s.log.Info(message, "content", update.Content.String(), "round", update.Round, "age_ms", update.AgeMS, "ends", len(update.Ends), "from", from)
 }
 
-// recorded takes over lasting records.
-func (s *suspects) recorded(changes []registry.Change) {
+// applyRecords takes over lasting records.
+func (s *quarantineSync) applyRecords(changes []registry.Change) {
 	for _, change := range changes {
-		name, ok := strings.CutPrefix(change.Name, suspectPrefix)
+		name, ok := strings.CutPrefix(change.Name, recordPrefix)
 		if !ok || change.Removed {
 			continue
 		}
 		var content quarantine.Fingerprint
-		var record SuspectRecord
+		var record QuarantineRecord
 		if err := content.UnmarshalText([]byte(name)); err != nil {
 			s.log.Warn("record of a request not understood", "record", change.Name, "error", err.Error())
 			continue
@@ -310,32 +310,32 @@
 	}
 }
 
-// record keeps the lasting records as they should be. For each request the first of the
+// syncRecords keeps the lasting records as they should be. For each request the first of the
 // hosts that count for it does, so a host that is lost is stood in for once its lease ends.
-func (s *suspects) record(ctx context.Context) {
+func (s *quarantineSync) syncRecords(ctx context.Context) {
 	if s.quarantine.Size() == 0 {
 		return
 	}
 	lasting := s.quarantine.Lasting(s.now())
 	for _, e := range s.quarantine.Entries(s.now()) {
-		if ranked := s.ranked(e.Content); len(ranked) == 0 || ranked[0] != s.host {
+		if ranked := s.rankedHosts(e.Content); len(ranked) == 0 || ranked[0] != s.host {
 			continue
 		}
 		round, wanted := lasting[e.Content]
-		known, exists := s.records.Get(suspectPrefix + e.Content.String())
+		known, exists := s.records.Get(recordPrefix + e.Content.String())
 		switch {
 		case wanted && !exists:
-			s.create(ctx, e.Content, round)
+			s.createRecord(ctx, e.Content, round)
 		case !wanted && exists:
-			s.remove(ctx, known)
+			s.deleteRecord(ctx, known)
 		}
 	}
 }
 
-func (s *suspects) create(ctx context.Context, content quarantine.Fingerprint, round int) {
+func (s *quarantineSync) createRecord(ctx context.Context, content quarantine.Fingerprint, round int) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
-	record, err := s.store.Create(ctx, mesh.Kind, suspectPrefix+content.String(), SuspectRecord{Round: round})
+	record, err := s.store.Create(ctx, mesh.Kind, recordPrefix+content.String(), QuarantineRecord{Round: round})
 	if err != nil {
 		s.log.Info("request's record not written", "content", content.String(), "error", err.Error())
 		return
@@ -344,7 +344,7 @@
 	s.log.Info("request's record written", "content", content.String(), "round", round, "revision", record.Revision)
 }
 
-func (s *suspects) remove(ctx context.Context, record registry.Record) {
+func (s *quarantineSync) deleteRecord(ctx context.Context, record registry.Record) {
 	ctx, cancel := context.WithTimeout(ctx, recordTimeout)
 	defer cancel()
 	era := s.records.Position().Era
--- a/internal/entry/suspects_test.go
+++ b/internal/entry/suspects_test.go
@@ -64,7 +64,7 @@
 
 // suspectHost is one host of a fleet that tells each other of requests.
 type suspectHost struct {
-	*suspects
+	*quarantineSync
 	network *standin.Network
 	spreads atomic.Int32
 }
@@ -92,10 +92,10 @@
 			}
 			identity, key := peer.Identity{Host: name, Incarnation: "1"}, []byte("key")
 			pool := peer.NewPool(identity, key, network.Host(name).Dial, hclog.NewNullLogger())
-			host := &suspectHost{network: network, suspects: newSuspects(name, state, pool, store, board.New(), time.Now, hclog.NewNullLogger())}
-			host.spread = func() { host.spreads.Add(1) }
+			host := &suspectHost{network: network, quarantineSync: newQuarantineSync(name, state, pool, store, board.New(), time.Now, hclog.NewNullLogger())}
+			host.broadcast = func() { host.spreads.Add(1) }
 			host.records = registry.NewReplica()
-			host.records.OnChange = func(changes []registry.Change, _ bool) { host.recorded(changes) }
+			host.records.OnChange = func(changes []registry.Change, _ bool) { host.applyRecords(changes) }
 			mux := peer.NewMux()
 			host.register(mux)
 			listener, err := network.Host(name).Listen("1")
@@ -131,7 +131,7 @@
 				counting++
 			}
 		}
-		must.Eq(t, counters, counting)
+		must.Eq(t, countingHosts, counting)
 	})
 }
 
@@ -141,7 +141,7 @@
 func TestEndsAreCountedInPlaceOfLostHosts(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
 	withSuspects(t, names, func(hosts map[string]*suspectHost, _ *recordStore) {
-		ranked := hosts["a"].ranked(fatal)
+		ranked := hosts["a"].rankedHosts(fatal)
 		lost, left := ranked[:4], ranked[4:]
 		for _, name := range lost {
 			hosts[name].network.End(name)
@@ -166,10 +166,10 @@
 		for i := range 3 {
 			a.quarantine.Count(quarantine.Cut{Content: fatal, Runner: fmt.Sprintf("r%d", i), At: time.Now()}, time.Now())
 		}
-		b.heard("a", 0)
+		b.onPeerDigest("a", 0)
 		time.Sleep(100 * time.Millisecond)
 		must.Eq(t, 0, b.quarantine.Size(), must.Sprint("a peer that knows nothing"))
-		b.heard("a", a.quarantine.Digest())
+		b.onPeerDigest("a", a.quarantine.Digest())
 		time.Sleep(time.Second)
 		must.Eq(t, a.quarantine.Digest(), b.quarantine.Digest())
 		must.Eq(t, 1, b.spreads.Load())
@@ -195,7 +195,7 @@
 			store.down = false
 		})
 		time.Sleep(2 * time.Second)
-		name := suspectPrefix + fatal.String()
+		name := recordPrefix + fatal.String()
 		var record registry.Record
 		store.with(func() {
 			must.MapContainsKey(t, store.records, name)
@@ -203,14 +203,14 @@
 		})
 
 		fresh := quarantine.New()
-		restarted := &suspects{quarantine: fresh, now: time.Now, log: hclog.NewNullLogger()}
-		restarted.recorded([]registry.Change{
-			{Record: registry.Record{Name: suspectPrefix + "nonsense", Spec: json.RawMessage(`{"round":1}`)}},
+		restarted := &quarantineSync{quarantine: fresh, now: time.Now, log: hclog.NewNullLogger()}
+		restarted.applyRecords([]registry.Change{
+			{Record: registry.Record{Name: recordPrefix + "nonsense", Spec: json.RawMessage(`{"round":1}`)}},
 			{Record: registry.Record{Name: name, Spec: json.RawMessage("{}")}},
 			{Record: registry.Record{Name: "another", Spec: json.RawMessage(`{"round":1}`)}},
 		})
 		must.Eq(t, 0, fresh.Size(), must.Sprint("spoilt records, and those of others"))
-		restarted.recorded([]registry.Change{{Record: record}})
+		restarted.applyRecords([]registry.Change{{Record: record}})
 		_, held := fresh.Held(fatal, time.Now())
 		must.True(t, held)
 
--- a/internal/entry/telling.go
+++ b/internal/entry/telling.go
@@ -8,147 +8,149 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// TellParams tells an owner what became of requests on its runners.
-type TellParams struct {
-	Runners map[string]Told `json:"runners"`
+// OutcomesParams tells an owner what became of requests on its runners.
+type OutcomesParams struct {
+	Runners map[string]RunnerOutcomes `json:"runners"`
 }
 
-// Told is what a host tells of one runner.
-type Told struct {
-	Running int `json:"running"`
-	Good    int `json:"good,omitempty"`
-	Bad     int `json:"bad,omitempty"`
-	// Hard failures are those to connect at all.
-	Hard int `json:"hard,omitempty"`
+// RunnerOutcomes is what a host tells of one runner.
+type RunnerOutcomes struct {
+	Running   int `json:"running"`
+	Succeeded int `json:"good,omitempty"`
+	Failed    int `json:"bad,omitempty"`
+	// ConnectFailed failures are those to connect at all.
+	ConnectFailed int `json:"hard,omitempty"`
 	// Refused counts requests that the runner turned away.
 	Refused int `json:"refused,omitempty"`
-	// ReadingNS is the shortest time that an answer's beginning showed for a token of its
+	// PromptTokenNS is the shortest time that an answer's beginning showed for a token of its
 	// prompt, in nanoseconds.
-	ReadingNS int64 `json:"reading_ns,omitempty"`
+	PromptTokenNS int64 `json:"reading_ns,omitempty"`
 	// Ended counts the requests that have ended, by adapter.
 	Ended map[string]int `json:"ended,omitempty"`
 }
 
-// news says whether there is anything to tell beside the number of requests.
-func (t Told) news() bool { return t.Good+t.Bad+t.Hard+t.Refused+len(t.Ended) > 0 }
+// hasOutcomes says whether there is anything to tell beside the number of requests.
+func (t RunnerOutcomes) hasOutcomes() bool {
+	return t.Succeeded+t.Failed+t.ConnectFailed+t.Refused+len(t.Ended) > 0
+}
 
-// tolled is what was last told of a runner.
-type tolled struct {
+// reportedLoad is what was last told of a runner.
+type reportedLoad struct {
 	running int
 	at      time.Time
 }
 
 // Outcome implements serve.Owners.
-func (o *owners) Outcome(runner string, good, hard bool) {
+func (o *ownerClient) Outcome(runner string, good, hard bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	told := o.outcomes[runner]
+	outcomes := o.pending[runner]
 	switch {
 	case good:
-		told.Good++
+		outcomes.Succeeded++
 	case hard:
-		told.Hard++
+		outcomes.ConnectFailed++
 	default:
-		told.Bad++
+		outcomes.Failed++
 	}
-	o.outcomes[runner] = told
+	o.pending[runner] = outcomes
 }
 
 // Refused implements serve.Owners.
-func (o *owners) Refused(runner string) {
+func (o *ownerClient) Refused(runner string) {
 	o.board.Refused(runner, o.now())
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	told := o.outcomes[runner]
-	told.Refused++
-	o.outcomes[runner] = told
+	outcomes := o.pending[runner]
+	outcomes.Refused++
+	o.pending[runner] = outcomes
 }
 
 const (
-	// tellInterval is how often owners are told what became of requests, if anything
+	// outcomeInterval is how often owners are told what became of requests, if anything
 	// did. Told four times as often, ends of requests free places sooner, but what
 	// callers get stays the same (0.775 and 0.777 served on busy days).
-	tellInterval = 200 * time.Millisecond
-	// tellAgain is how often a number that did not change is told again, so that
+	outcomeInterval = 200 * time.Millisecond
+	// loadRefreshInterval is how often a number that did not change is told again, so that
 	// it does not count as that of a host that is gone.
-	tellAgain = time.Second
+	loadRefreshInterval = time.Second
 )
 
-// tell tells the owners what has changed on their runners. What an owner cannot be told
+// reportOutcomes tells the owners what has changed on their runners. What an owner cannot be told
 // is kept: without the word that requests have ended, it takes the places of their
 // adapters for used until the longest of them would be over.
-func (o *owners) tell(ctx context.Context, runners map[string]*site.Runner) {
+func (o *ownerClient) reportOutcomes(ctx context.Context, runners map[string]*site.Runner) {
 	own := o.board.Own()
-	byOwner := map[string]TellParams{}
+	byOwner := map[string]OutcomesParams{}
 	for id, runner := range runners {
-		_, address, err := o.find(runner)
+		_, address, err := o.locateOwner(runner)
 		if err != nil {
 			continue
 		}
-		told, changed := o.changed(id, own[id])
+		outcomes, changed := o.takePending(id, own[id])
 		if !changed || address == "" {
 			continue
 		}
 		if byOwner[address].Runners == nil {
-			byOwner[address] = TellParams{Runners: map[string]Told{}}
+			byOwner[address] = OutcomesParams{Runners: map[string]RunnerOutcomes{}}
 		}
-		byOwner[address].Runners[id] = told
+		byOwner[address].Runners[id] = outcomes
 	}
 	for address, params := range byOwner {
-		go o.tellOne(ctx, address, params)
+		go o.sendOutcomes(ctx, address, params)
 	}
 }
 
-func (o *owners) tellOne(ctx context.Context, address string, params TellParams) {
+func (o *ownerClient) sendOutcomes(ctx context.Context, address string, params OutcomesParams) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	if err := o.pool.Call(ctx, address, methodTell, params, nil); err != nil {
 		o.log.Debug("owner not told of its runners", "address", address, "error", err.Error())
-		o.keep(params)
+		o.restorePending(params)
 	}
 }
 
-// keep takes back what an owner was not told.
-func (o *owners) keep(params TellParams) {
+// restorePending takes back what an owner was not told.
+func (o *ownerClient) restorePending(params OutcomesParams) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for runner, told := range params.Runners {
-		kept := o.outcomes[runner]
-		kept.Good += told.Good
-		kept.Bad += told.Bad
-		kept.Hard += told.Hard
-		kept.Refused += told.Refused
+	for runner, outcomes := range params.Runners {
+		kept := o.pending[runner]
+		kept.Succeeded += outcomes.Succeeded
+		kept.Failed += outcomes.Failed
+		kept.ConnectFailed += outcomes.ConnectFailed
+		kept.Refused += outcomes.Refused
 		if kept.Ended == nil {
-			kept.Ended = told.Ended
+			kept.Ended = outcomes.Ended
 		} else {
-			for adapter, requests := range told.Ended {
+			for adapter, requests := range outcomes.Ended {
 				kept.Ended[adapter] += requests
 			}
 		}
-		o.outcomes[runner] = kept
-		delete(o.told, runner)
+		o.pending[runner] = kept
+		delete(o.reported, runner)
 	}
 }
 
-// changed gives what has to be told of a runner.
-func (o *owners) changed(runner string, running int) (Told, bool) {
+// takePending gives what has to be told of a runner.
+func (o *ownerClient) takePending(runner string, running int) (RunnerOutcomes, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	now := o.now()
-	told := o.outcomes[runner]
-	last := o.told[runner]
-	again := running > 0 && now.Sub(last.at) >= tellAgain
-	if !told.news() && running == last.running && !again {
-		return Told{}, false
+	outcomes := o.pending[runner]
+	last := o.reported[runner]
+	again := running > 0 && now.Sub(last.at) >= loadRefreshInterval
+	if !outcomes.hasOutcomes() && running == last.running && !again {
+		return RunnerOutcomes{}, false
 	}
-	delete(o.outcomes, runner)
-	o.told[runner] = tolled{running: running, at: now}
-	told.Running = running
-	return told, true
+	delete(o.pending, runner)
+	o.reported[runner] = reportedLoad{running: running, at: now}
+	outcomes.Running = running
+	return outcomes, true
 }
 
 // Began implements serve.Owners. It is told along with what comes of the request.
-func (o *owners) Began(runner *site.Runner, tokens int, first time.Duration) {
+func (o *ownerClient) Began(runner *site.Runner, tokens int, first time.Duration) {
 	perToken := adapters.ReadingOf(tokens, first)
 	if perToken <= 0 {
 		return
@@ -159,14 +161,14 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	told := o.outcomes[runner.ID]
-	if told.ReadingNS == 0 || int64(perToken) < told.ReadingNS {
-		told.ReadingNS = int64(perToken)
+	outcomes := o.pending[runner.ID]
+	if outcomes.PromptTokenNS == 0 || int64(perToken) < outcomes.PromptTokenNS {
+		outcomes.PromptTokenNS = int64(perToken)
 	}
-	o.outcomes[runner.ID] = told
+	o.pending[runner.ID] = outcomes
 }
 
-func (o *owners) takeEnded(runner string, ended map[string]int) {
+func (o *ownerClient) applyEnded(runner string, ended map[string]int) {
 	keeper, ok := o.owner.Keeper(runner)
 	if !ok || len(ended) == 0 {
 		return
@@ -178,26 +180,26 @@
 	keeper.Ended(byAdapter)
 }
 
-func (o *owners) takeTold(host string, params TellParams) {
+func (o *ownerClient) applyOutcomes(host string, params OutcomesParams) {
 	now := o.now()
-	for runner, told := range params.Runners {
-		o.board.PeerOn(host, runner, told.Running, now)
-		o.takeEnded(runner, told.Ended)
+	for runner, outcomes := range params.Runners {
+		o.board.PeerOn(host, runner, outcomes.Running, now)
+		o.applyEnded(runner, outcomes.Ended)
 		if keeper, ok := o.owner.Keeper(runner); ok {
-			keeper.Began(float64(told.ReadingNS))
+			keeper.Began(float64(outcomes.PromptTokenNS))
 		}
-		for range told.Good {
+		for range outcomes.Succeeded {
 			o.board.Good(runner, now)
 		}
-		for range told.Bad {
+		for range outcomes.Failed {
 			o.board.Bad(runner, false, now)
 		}
-		if told.Good == 0 {
-			for range told.Refused {
+		if outcomes.Succeeded == 0 {
+			for range outcomes.Refused {
 				o.board.Refused(runner, now)
 			}
 		}
-		if told.Hard > 0 {
+		if outcomes.ConnectFailed > 0 {
 			o.board.Bad(runner, true, now)
 		}
 	}
