--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// Methods that a runner's owner serves.
+// Peer methods served by the owner of a runner.
 const (
 	methodAdmit    = "runner.admit"
 	methodMissing  = "runner.missing"
@@ -19,27 +19,27 @@
 	methodPrefetch = "runner.prefetch"
 )
 
-// AdmitParams asks a runner's owner for the place of a request.
+// AdmitParams asks a runner's owner to admit a request. The fields correspond to those
+// of adapters.Admission.
 type AdmitParams struct {
 	Runner  string `json:"runner"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
 	Version int64  `json:"version,omitempty"`
-	// Tokens is the length of the prompt, Output the most tokens of the answer.
+	// Tokens is the prompt length, Output the maximum response length in tokens.
 	Tokens int `json:"tokens,omitempty"`
 	Output int `json:"output,omitempty"`
-	// Likely is the caller's estimate of the answer's tokens.
+	// Likely is the caller's estimate of the response length in tokens.
 	Likely int `json:"likely,omitempty"`
-	// PatienceMS is the longest wait for other prompts, WithinMS the time after
-	// which sending the request is of no use.
+	// PatienceMS is how long to wait for other prompts before trying another runner,
+	// WithinMS the time after which sending the request is of no use.
 	PatienceMS int64 `json:"patience_ms,omitempty"`
 	WithinMS   int64 `json:"within_ms,omitempty"`
-	// TargetMS is the time within which the first event has to be there.
+	// TargetMS is the time within which the first event is due.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// Running is the number of the asker's requests on the runner.
+	// Running is the number of requests of the calling host on the runner.
 	Running int `json:"running,omitempty"`
-	// Last: no other runner took the request. The others are those of
-	// adapters.Admission.
+	// Last reports that every other runner refused the request.
 	Last   bool `json:"last,omitempty"`
 	Home   bool `json:"home,omitempty"`
 	Anew   bool `json:"anew,omitempty"`
@@ -47,18 +47,19 @@
 	Barred bool `json:"barred,omitempty"`
 }
 
-// AdmitResult tells in how many milliseconds the request may be sent.
+// AdmitResult is the result of an admission.
 type AdmitResult struct {
+	// ReadyMS is the time in milliseconds until the request may be sent.
 	ReadyMS int64 `json:"ready_ms"`
-	// Again: the adapter is on its way; ask again once it is there.
+	// Again reports that the adapter is still loading; the caller asks again after ReadyMS.
 	Again bool `json:"again,omitempty"`
-	// Refusal is set where the request is not admitted. Elsewhere are other
+	// Refusal is set if the request is not admitted. Elsewhere lists other
 	// runners with the adapter.
 	Refusal   adapters.Refusal `json:"refusal,omitempty"`
 	Elsewhere []string         `json:"elsewhere,omitempty"`
 }
 
-// PlacedParams tells the owner of an adapter's home on which other runner the
+// PlacedParams tells the owner of an adapter's home runner on which other runner the
 // adapter was placed.
 type PlacedParams struct {
 	Home    string `json:"home"`
@@ -108,7 +109,7 @@
 	return AdmitResult{}, false
 }
 
-// register adds the methods that peers call.
+// register adds the peer methods that owners serve.
 func (o *ownerClient) register(mux *peer.Mux) {
 	peer.Handle(mux, methodAdmit, func(_ context.Context, from peer.Identity, p AdmitParams) (AdmitResult, error) {
 		admitted, err := o.admitLocal(p.Runner, p.admission())
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry puts one entry host together: callers in front, runners behind,
-// the platform's store beside it and the other hosts around it.
+// Package entry assembles an entry host, which proxies callers' requests to runners.
+// It connects the request path to the platform's store and to the peer hosts.
 package entry
 
 import (
@@ -28,23 +28,23 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Platform is what the host meets of the platform.
+// Platform holds the platform-specific dependencies of a host.
 type Platform struct {
 	Store   registry.Store
 	Decoder directory.Decoder
 	Dialect forward.Dialect
 	Engines adapters.Engines
-	// Kinds of the platform's records.
+	// Record kinds in the platform's store.
 	ConfigKind, RunnerKind, VersionKind string
 }
 
-// Config sets a host.
+// Config configures a host.
 type Config struct {
 	Host       string
 	DataCentre string
-	// PeerAddress is where peers reach this host.
+	// PeerAddress is the address at which peers reach this host.
 	PeerAddress string
-	// Seeds are addresses of hosts that a new process may ask first.
+	// Seeds are the addresses of hosts that a new process contacts first.
 	Seeds          []string
 	PeerKey        []byte
 	OrderGap       time.Duration
@@ -85,20 +85,21 @@
 	grace          atomic.Int64
 }
 
-// watchSchedule is how a kind of record is watched.
+// watchSchedule sets how often a kind of record is watched.
 type watchSchedule struct {
-	// maxWait is how long a watch waits, minInterval the least time between two.
+	// maxWait bounds one watch call; minInterval is the least time between two.
 	maxWait, minInterval time.Duration
-	// maxAge is the age from which a host no longer relies on what others passed
-	// on.
+	// maxAge is the age at which a host stops relying on records relayed by peers
+	// and asks the store itself.
 	maxAge time.Duration
 }
 
-// Configurations must be in force and leaving runners be left alone within two
-// seconds, new versions within five: a change that no watch hears of is seen
-// after wait by the hosts that watch, and after stale by one that nobody tells.
-// Runners' entries change with each adapter that comes or goes, several times a
-// second, and a call a change and host was four fifths of all calls to the store.
+// A configuration must be in force, and a leaving runner avoided, within two
+// seconds; a new version must be in force within five. A change that the watch
+// misses is seen after maxWait by the hosts that watch, and after maxAge by a host
+// that no peer informs. Runner entries change several times a second, with every
+// adapter loaded or evicted; at one call per change and host they accounted for
+// four fifths of all store calls, hence their longer minInterval.
 var (
 	configWatch  = watchSchedule{maxWait: 800 * time.Millisecond, minInterval: 200 * time.Millisecond, maxAge: 1500 * time.Millisecond}
 	runnerWatch  = watchSchedule{maxWait: 800 * time.Millisecond, minInterval: 800 * time.Millisecond, maxAge: 1600 * time.Millisecond}
@@ -106,11 +107,12 @@
 	fleetWatch   = watchSchedule{maxWait: 2 * time.Second, minInterval: 300 * time.Millisecond, maxAge: 4 * time.Second}
 )
 
-// reconcileInterval is how often owners, runners and readiness are looked at
-// without a cause.
+// reconcileInterval is how often owned runners and readiness are checked without
+// a change event.
 const reconcileInterval = 100 * time.Millisecond
 
-// New puts a host together. It does nothing yet.
+// New assembles a host. Nothing runs until Background, ServeCallers and ServePeers
+// are called.
 func New(cfg Config, platform Platform, dial DialFunc, now func() time.Time, log hclog.Logger) *Entry {
 	e := &Entry{cfg: cfg, log: log, now: now, started: now(), wake: make(chan struct{}, 1)}
 	e.grace.Store(int64(cfg.ShutdownGrace))
@@ -168,8 +170,8 @@
 	return e
 }
 
-// sharingHosts gives the number of hosts that share what the deployment bounds, 0 until
-// the store or a peer has told who they are.
+// sharingHosts returns the number of hosts among which deployment-wide bounds are
+// shared, 0 until the store or a peer has provided the host list.
 func (e *Entry) sharingHosts() int {
 	if e.mesh.Fleet().Revision() == 0 {
 		return 0
@@ -177,7 +179,7 @@
 	return e.state.Size()
 }
 
-// configVersion gives the version of the configuration in force, 0 without one.
+// configVersion returns the version of the configuration in force, 0 if there is none.
 func (e *Entry) configVersion() int64 {
 	if config := e.directory.Snapshot().Config; config != nil {
 		return config.Version
@@ -204,8 +206,8 @@
 	runners.Outage = e.outageEnded
 	versions := follower(platform.VersionKind, e.directory.Versions, versionWatch)
 	for kind, later := range map[string]*registry.Follower{platform.RunnerKind: runners, platform.VersionKind: versions} {
-		// A runner or a version that a host learns of a moment late costs a request one
-		// more try; a configuration or a host that it learns of late may cost more.
+		// Learning of a runner or a version a moment late costs a request one more
+		// attempt; a late configuration or host may cost more.
 		later.Copied = func() { e.mesh.Copied(kind) }
 	}
 	fleet := follower(mesh.Kind, e.mesh.Fleet(), fleetWatch)
@@ -215,8 +217,8 @@
 	e.followers = []*registry.Follower{follower(platform.ConfigKind, e.directory.Configs, configWatch), runners, versions, fleet}
 }
 
-// maxHarmlessOutage is an outage of the store after which no runner's entry can have
-// lapsed: entries last three heartbeats of a runner.
+// maxHarmlessOutage is the length up to which an outage of the store cannot let a
+// runner's entry expire: entries live for three heartbeats of a runner.
 const maxHarmlessOutage = time.Second
 
 func (e *Entry) outageEnded(length time.Duration) {
@@ -230,7 +232,7 @@
 	return ok && host == e.cfg.Host
 }
 
-// engineRunners gives the runners that need an owner.
+// engineRunners returns the runners that need an owner.
 func (e *Entry) engineRunners() []mesh.Runner {
 	snapshot := e.directory.Snapshot()
 	if snapshot.Config == nil {
@@ -261,9 +263,9 @@
 	}
 }
 
-// prefetchVersion has the new version of an adapter in use loaded where its requests
-// will go, before they come: the first of them would wait a quarter of a second.
-// The owner of a runner that holds the old version sees to it.
+// prefetchVersion loads the new version of an adapter in use on the runner that its
+// requests will be routed to, since the first of them would otherwise wait a quarter
+// of a second. Each host that owns a runner with the adapter does so.
 func (e *Entry) prefetchVersion(version site.AdapterVersion) {
 	snapshot := e.directory.Snapshot()
 	key := adapters.Key{Adapter: version.Adapter, Version: version.Version}
@@ -272,7 +274,7 @@
 			continue
 		}
 		if ranked := serve.Ranked(key.PlacementKey(), serve.WithModel(runners, key.Model)); len(ranked) > 0 {
-			e.log.Info("new version loaded ahead", "adapter", key.String(), "version", key.Version, "runner", ranked[0].ID)
+			e.log.Info("prefetching new adapter version", "adapter", key.String(), "version", key.Version, "runner", ranked[0].ID)
 			e.owners.prefetch(context.Background(), ranked[0], key)
 		}
 	}
@@ -293,7 +295,7 @@
 	e.server.Serve(ctx, w, route, request, arrived)
 }
 
-// Background keeps what the host knows up to date until the context ends.
+// Background runs the host's watches, peer exchange and reconciliation until ctx is done.
 func (e *Entry) Background(ctx context.Context) {
 	for _, follower := range e.followers {
 		go follower.Run(ctx)
@@ -326,8 +328,7 @@
 	}
 }
 
-// updateReadiness says that the host may receive callers once it knows a
-// configuration and the runners.
+// updateReadiness marks the host ready once it has a configuration and runners.
 func (e *Entry) updateReadiness(snapshot *directory.Snapshot) {
 	ready := snapshot.Config != nil && len(snapshot.Runners) > 0 && !e.stopping.Load()
 	if e.ready.Swap(ready) != ready {
@@ -335,32 +336,31 @@
 	}
 }
 
-// Ready says whether callers should come to this host.
+// Ready reports whether the load balancer should send callers to this host.
 func (e *Entry) Ready() bool { return e.ready.Load() && !e.stopping.Load() }
 
-// ServeCallers serves callers until the server is closed.
+// ServeCallers serves callers on listener until Shutdown.
 func (e *Entry) ServeCallers(listener net.Listener) error {
 	return e.callerServer.Serve(ingress.Listener(listener))
 }
 
-// ServePeers serves the other hosts until the listener closes.
+// ServePeers serves the other hosts until listener is closed.
 func (e *Entry) ServePeers(listener net.Listener) error { return e.peerServer.Serve(listener) }
 
 const (
-	// drainNotice is how long after the stop's begin new connections still come:
-	// the balancer asks once a second and takes a host out after two misses.
+	// drainNotice is how long new connections still arrive after shutdown begins:
+	// the balancer probes once a second and removes a host after two failed probes.
 	drainNotice = 2500 * time.Millisecond
-	// exitMargin is kept before the platform ends the process.
+	// exitMargin is left before the platform kills the process.
 	exitMargin = 300 * time.Millisecond
 )
 
-// Shutdown stops taking callers and waits until the requests that are under way
-// have their answers, within the grace that the platform gives.
+// Shutdown stops accepting callers and waits for the requests in flight, within the
+// platform's grace period.
 //
-// Requests go on being served for as long as the balancer sends new connections.
-// After that the listener and idle connections are closed, and what still comes
-// on open ones is refused: a stream begun then would not end before the process
-// does, and would be cut off.
+// Requests are still served while the balancer sends new connections. After that,
+// the listener and idle connections are closed, and new requests on open connections
+// are refused: a stream begun then would not finish before the process exits.
 func (e *Entry) Shutdown(ctx context.Context) {
 	start := e.now()
 	e.stopping.Store(true)
@@ -371,17 +371,17 @@
 	shutdownCtx, cancel := context.WithTimeout(ctx, max(0, grace))
 	defer cancel()
 	if err := e.callerServer.Shutdown(shutdownCtx); err != nil {
-		e.log.Warn("requests cut off at the end of the grace", "requests", e.openRequests.Load(), "error", err.Error())
+		e.log.Warn("requests aborted: the shutdown grace period ended", "requests", e.openRequests.Load(), "error", err.Error())
 	}
-	e.log.Info("requests ended", "left", e.openRequests.Load(), "took_ms", e.now().Sub(start).Milliseconds())
+	e.log.Info("requests drained", "left", e.openRequests.Load(), "took_ms", e.now().Sub(start).Milliseconds())
 }
 
-// SetShutdownGrace takes over the grace, which may change while the process runs. The
-// gap between orders of two hosts and the part of the retry budget are agreed
-// between processes and hold for a process's life.
+// SetShutdownGrace changes the grace period, which may change while the process runs.
+// The order gap and the retry budget's share are agreed between processes and stay
+// fixed for the life of a process.
 func (e *Entry) SetShutdownGrace(grace time.Duration) { e.grace.Store(int64(grace)) }
 
-// Vars gives the metrics.
+// Vars returns the metrics.
 func (e *Entry) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	counters := &e.server.Counters
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// ownerTimeout bounds an owner's answer, which takes a few milliseconds.
+	// ownerTimeout bounds a call to an owner, which usually takes a few milliseconds.
 	ownerTimeout = 250 * time.Millisecond
-	// ownerBackoff is how long a host that did not answer is not asked: its lease
-	// takes seconds to end, and each request would wait for the timeout.
+	// ownerBackoff is how long a host is not called after it failed to respond. Its
+	// lease takes seconds to expire, and each request would wait for the timeout.
 	ownerBackoff = time.Second
-	// placementTTL is how long an adapter is thought to stay on a runner whose owner
-	// cannot be asked.
+	// placementTTL is how long an adapter is assumed to stay on a runner whose owner
+	// is unreachable.
 	placementTTL = 20 * time.Second
 )
 
-// ownerClient is how this host speaks to the ownerClient of runners, itself included.
+// ownerClient calls the hosts that own runners, which may be this host itself.
 type ownerClient struct {
 	host  string
 	owner *adapters.Owner
@@ -38,10 +38,11 @@
 	backoff hostBackoff
 
 	mu sync.Mutex
-	// placements are adapters that lay on a runner when its owner last said so.
+	// placements holds, by runner, the adapters that its owner last confirmed on it.
 	placements map[string]map[site.Adapter]placement
-	// pending of requests since they were last told, by runner.
-	pending  map[string]RunnerOutcomes
+	// pending holds the outcomes not yet reported to the owner, by runner.
+	pending map[string]RunnerOutcomes
+	// reported holds the load last reported, by runner.
 	reported map[string]reportedLoad
 }
 
@@ -58,8 +59,8 @@
 	}
 }
 
-// errOwnerUnreachable: the runner has no owner that answers.
-var errOwnerUnreachable = errors.New("the runner's owner cannot be asked")
+// errOwnerUnreachable is returned if a runner has no owner or its owner does not respond.
+var errOwnerUnreachable = errors.New("the runner's owner is unreachable")
 
 // Admit implements serve.Owners.
 func (o *ownerClient) Admit(ctx context.Context, runner *site.Runner, ask adapters.Admission) (adapters.Admitted, error) {
@@ -81,8 +82,8 @@
 	if host == o.host {
 		return o.admitLocal(runner.ID, ask)
 	}
-	// A caller that leaves must not end the call: the connection, which other
-	// requests use, would be given up as one that does not answer.
+	// The call must not be canceled when the caller disconnects: the connection,
+	// which other requests share, would be closed as unresponsive.
 	callCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ownerTimeout)
 	defer cancel()
 	var result AdmitResult
@@ -100,8 +101,8 @@
 	return adapters.Admitted{At: o.now().Add(time.Duration(result.ReadyMS) * time.Millisecond), Again: result.Again}, nil
 }
 
-// locateOwner gives a runner's owner and its address, unless it is known not to
-// answer.
+// locateOwner returns a runner's owner and the owner's address, which is empty for
+// this host. It fails if the owner is backed off.
 func (o *ownerClient) locateOwner(runner *site.Runner) (host, address string, err error) {
 	host, ok := o.mesh.OwnerOf(runner.Address)
 	if !ok {
@@ -123,11 +124,11 @@
 	return host
 }
 
-// noteUnreachable notes that a host does not answer.
+// noteUnreachable backs off from a host that did not respond.
 func (o *ownerClient) noteUnreachable(host string, err error) error {
 	now := o.now()
 	if !o.backoff.active(host, now) {
-		o.log.Warn("owner does not answer", "owner", host, "rest_ms", ownerBackoff.Milliseconds(), "error", err.Error())
+		o.log.Warn("runner owner unreachable, backing off", "owner", host, "rest_ms", ownerBackoff.Milliseconds(), "error", err.Error())
 	}
 	o.backoff.set(host, now.Add(ownerBackoff))
 	return errOwnerUnreachable
@@ -152,7 +153,8 @@
 	versions[key.Adapter] = placement{version: key.Version, at: o.now()}
 }
 
-// recentlyPlaced says whether a request may be sent to a runner without its owner.
+// recentlyPlaced reports whether a request may be sent to a runner without asking its
+// owner: it needs no adapter, or its adapter was on the runner within placementTTL.
 func (o *ownerClient) recentlyPlaced(runner string, key adapters.Key) bool {
 	if key.Name == "" {
 		return true
@@ -181,7 +183,7 @@
 		defer cancel()
 		params := AdmitParams{Runner: runner.ID, Model: key.Model, Adapter: key.Name}
 		if err := o.pool.Call(ctx, address, methodMissing, params, nil); err != nil {
-			o.log.Debug("owner not told of a missing adapter", "runner", runner.ID, "adapter", key.String(), "error", err.Error())
+			o.log.Debug("could not report a missing adapter to its runner's owner", "runner", runner.ID, "adapter", key.String(), "error", err.Error())
 		}
 	}()
 }
@@ -197,8 +199,8 @@
 	go func() { _ = o.notifyHome(context.Background(), home, key, runner) }()
 }
 
-// notifyHome tells an adapter's home that the adapter lies on another runner. An error
-// says that the home does not know it.
+// notifyHome informs the owner of an adapter's home runner that the adapter is loaded on
+// another runner. It returns an error if the home was not informed.
 func (o *ownerClient) notifyHome(ctx context.Context, home *site.Runner, key adapters.Key, runner *site.Runner) error {
 	params := PlacedParams{Home: home.ID, Model: key.Model, Adapter: key.Name, Version: key.Version, Runner: runner.ID}
 	host, address, err := o.locateOwner(home)
@@ -212,7 +214,7 @@
 		err = o.pool.Call(ctx, address, methodPlaced, params, nil)
 	}
 	if err != nil {
-		o.log.Debug("home not told of a placed adapter", "home", home.ID, "runner", runner.ID, "adapter", key.String(), "error", err.Error())
+		o.log.Debug("could not notify the adapter's home runner of a placement", "home", home.ID, "runner", runner.ID, "adapter", key.String(), "error", err.Error())
 	}
 	return err
 }
@@ -242,7 +244,7 @@
 	o.pending[runner.ID] = outcomes
 }
 
-// prefetch has a runner load an adapter that nobody has asked for yet.
+// prefetch asks a runner's owner to load an adapter ahead of any request for it.
 func (o *ownerClient) prefetch(ctx context.Context, runner *site.Runner, key adapters.Key) {
 	host, address, err := o.locateOwner(runner)
 	if err != nil {
@@ -256,7 +258,7 @@
 	defer cancel()
 	params := AdmitParams{Runner: runner.ID, Model: key.Model, Adapter: key.Name, Version: key.Version}
 	if err := o.pool.Call(ctx, address, methodPrefetch, params, nil); err != nil {
-		o.log.Debug("owner not asked to load ahead", "runner", runner.ID, "adapter", key.String(), "error", err.Error())
+		o.log.Debug("could not ask the runner's owner to prefetch", "runner", runner.ID, "adapter", key.String(), "error", err.Error())
 	}
 }
 
@@ -266,7 +268,7 @@
 	}
 }
 
-// forget drops a runner that is gone.
+// forget drops the state of a runner that is gone.
 func (o *ownerClient) forget(runner string) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/internal/entry/rehome.go
+++ b/internal/entry/rehome.go
@@ -11,22 +11,22 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// homeNotifyInterval is how often this host looks whether the homes of what lies on
-// its runners know of it. Nothing is sent unless a home is new.
+// homeNotifyInterval is how often this host checks for adapters on its runners whose
+// home runner was not notified. Nothing is sent unless a home is new.
 const homeNotifyInterval = time.Second
 
-// homeNotifier tells the homes of adapters which of them lie on this host's runners.
+// homeNotifier tells the home runners of adapters which of them are loaded on this
+// host's runners.
 //
-// The failure it answers: all hosts lose power, or a runner comes back after a
-// crash, and homes know nothing of what lies on the other runners. Each adapter
-// that is asked for is then fetched once more, just when the weight store is busy
-// with what the crash has cost. After a total loss a hundred of 300 copies came
-// from this. A home that could not be told, since nobody owns it yet, is told again:
-// a runner is listed some tenths of a second before it has an owner.
+// After all hosts lose power, or a runner restarts after a crash, homes do not know
+// which adapters are loaded on other runners. Each requested adapter would then be
+// fetched again, just when the weight store is busy recovering; after a total loss a
+// hundred of 300 copies were such duplicates. A home without an owner is notified again
+// later: a runner is listed some tenths of a second before it has an owner.
 type homeNotifier struct {
 	owner  *adapters.Owner
 	owners *ownerClient
-	// notified is the home that was notified of an adapter on a runner.
+	// notified holds, by runner and adapter, the home that was last notified.
 	notified map[string]map[adapters.Key]string
 }
 
@@ -34,7 +34,7 @@
 	return &homeNotifier{owner: owner, owners: owners, notified: map[string]map[adapters.Key]string{}}
 }
 
-// run tells the homes that do not know yet.
+// run notifies the homes that were not notified yet.
 func (r *homeNotifier) run(ctx context.Context, snapshot *directory.Snapshot) {
 	if snapshot.Config == nil {
 		return
@@ -72,7 +72,7 @@
 	r.notified[runner.ID] = current
 }
 
-// homeOf gives the runner that comes first in an adapter's order.
+// homeOf returns an adapter's home: the runner that ranks first for it.
 func homeOf(key adapters.Key, runners []*site.Runner) *site.Runner {
 	holders := serve.WithModel(runners, key.Model)
 	addresses := make([]string, 0, len(holders))
--- a/internal/entry/telling.go
+++ b/internal/entry/telling.go
@@ -8,33 +8,35 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// OutcomesParams tells an owner what became of requests on its runners.
+// OutcomesParams reports to an owner the outcomes of requests on its runners.
 type OutcomesParams struct {
 	Runners map[string]RunnerOutcomes `json:"runners"`
 }
 
-// RunnerOutcomes is what a host tells of one runner.
+// RunnerOutcomes is a host's load on one runner and the outcomes of its requests there
+// since its last report.
 type RunnerOutcomes struct {
+	// Running is the number of requests in flight.
 	Running   int `json:"running"`
 	Succeeded int `json:"good,omitempty"`
 	Failed    int `json:"bad,omitempty"`
-	// ConnectFailed failures are those to connect at all.
+	// ConnectFailed counts failures to connect.
 	ConnectFailed int `json:"hard,omitempty"`
-	// Refused counts requests that the runner turned away.
+	// Refused counts requests that the runner refused.
 	Refused int `json:"refused,omitempty"`
-	// PromptTokenNS is the shortest time that an answer's beginning showed for a token of its
-	// prompt, in nanoseconds.
+	// PromptTokenNS is the shortest prompt processing time per token observed, in
+	// nanoseconds.
 	PromptTokenNS int64 `json:"reading_ns,omitempty"`
 	// Ended counts the requests that have ended, by adapter.
 	Ended map[string]int `json:"ended,omitempty"`
 }
 
-// hasOutcomes says whether there is anything to tell beside the number of requests.
+// hasOutcomes reports whether any of the counters of outcomes is set.
 func (t RunnerOutcomes) hasOutcomes() bool {
 	return t.Succeeded+t.Failed+t.ConnectFailed+t.Refused+len(t.Ended) > 0
 }
 
-// reportedLoad is what was last told of a runner.
+// reportedLoad is the load last reported for a runner.
 type reportedLoad struct {
 	running int
 	at      time.Time
@@ -67,18 +69,18 @@
 }
 
 const (
-	// outcomeInterval is how often owners are told what became of requests, if anything
-	// did. Told four times as often, ends of requests free places sooner, but what
-	// callers get stays the same (0.775 and 0.777 served on busy days).
+	// outcomeInterval is how often outcomes are reported to owners, if there are any.
+	// Reporting four times as often frees slots sooner but makes no difference to
+	// callers (0.775 and 0.777 served on busy days).
 	outcomeInterval = 200 * time.Millisecond
-	// loadRefreshInterval is how often a number that did not change is told again, so that
-	// it does not count as that of a host that is gone.
+	// loadRefreshInterval is how often an unchanged load is reported again, so that
+	// the owner does not discard it as that of a host that is gone.
 	loadRefreshInterval = time.Second
 )
 
-// reportOutcomes tells the owners what has changed on their runners. What an owner cannot be told
-// is kept: without the word that requests have ended, it takes the places of their
-// adapters for used until the longest of them would be over.
+// reportOutcomes reports to owners what has changed on their runners. Reports that cannot
+// be delivered are kept: an owner that does not learn that requests have ended considers
+// the slots of their adapters in use until the longest of them would be over.
 func (o *ownerClient) reportOutcomes(ctx context.Context, runners map[string]*site.Runner) {
 	own := o.board.Own()
 	byOwner := map[string]OutcomesParams{}
@@ -105,12 +107,12 @@
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
 	if err := o.pool.Call(ctx, address, methodTell, params, nil); err != nil {
-		o.log.Debug("owner not told of its runners", "address", address, "error", err.Error())
+		o.log.Debug("could not report outcomes to the owner", "address", address, "error", err.Error())
 		o.restorePending(params)
 	}
 }
 
-// restorePending takes back what an owner was not told.
+// restorePending merges an undelivered report into the pending outcomes.
 func (o *ownerClient) restorePending(params OutcomesParams) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -132,7 +134,7 @@
 	}
 }
 
-// takePending gives what has to be told of a runner.
+// takePending removes and returns what is to be reported for a runner, if anything.
 func (o *ownerClient) takePending(runner string, running int) (RunnerOutcomes, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -149,7 +151,7 @@
 	return outcomes, true
 }
 
-// Began implements serve.Owners. It is told along with what comes of the request.
+// Began implements serve.Owners. The measurement is reported together with the outcomes.
 func (o *ownerClient) Began(runner *site.Runner, tokens int, first time.Duration) {
 	perToken := adapters.ReadingOf(tokens, first)
 	if perToken <= 0 {
