--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -15,7 +15,7 @@
 	methodAdmit    = "runner.admit"
 	methodMissing  = "runner.missing"
 	methodPlaced   = "runner.placed"
-	methodTell     = "runner.tell"
+	methodOutcomes = "runner.tell"
 	methodPrefetch = "runner.prefetch"
 )
 
@@ -135,7 +135,7 @@
 		o.prefetchLocal(p.Runner, p.admission().Key)
 		return struct{}{}, nil
 	})
-	peer.Handle(mux, methodTell, func(_ context.Context, from peer.Identity, p OutcomesParams) (struct{}, error) {
+	peer.Handle(mux, methodOutcomes, func(_ context.Context, from peer.Identity, p OutcomesParams) (struct{}, error) {
 		o.applyOutcomes(from.Host, p)
 		return struct{}{}, nil
 	})
--- a/internal/entry/counting.go
+++ b/internal/entry/counting.go
@@ -8,14 +8,15 @@
 	"github.com/pkg/errors"
 )
 
-// leasedCounter is what this host counts for all hosts, as the one that comes first for it.
+// leasedCounter counts for the whole fleet those parts for which this host ranks first,
+// while its lease gives it the right to.
 type leasedCounter struct {
 	host    string
 	mesh    *mesh.State
 	counter *quota.Counter
-	// keyOf names a part for the choice of the host that counts it.
+	// keyOf returns the ranking key that selects the counting host of a part.
 	keyOf func(key string, part int) string
-	// lastRecomposed is when hosts had last joined or left as the counter last followed them.
+	// lastRecomposed is the time of the last membership change that was applied.
 	lastRecomposed time.Time
 }
 
@@ -23,9 +24,9 @@
 	return &leasedCounter{host: host, mesh: state, counter: quota.NewCounter(), keyOf: keyOf}
 }
 
-var errNotCountingHost = errors.New("this host does not count it")
+var errNotCountingHost = errors.New("this host does not hold the right to count this part")
 
-// countingRight gives this host's countingRight to count a part, if it has it.
+// countingRight returns this host's right to count a part, or errNotCountingHost.
 func (c *leasedCounter) countingRight(key string, part int, now time.Time) (quota.Right, error) {
 	right, ok := c.mesh.RightTo(c.keyOf(key, part), now)
 	if !ok {
@@ -34,13 +35,13 @@
 	return quota.Right{Since: right.Since, Epoch: right.Epoch}, nil
 }
 
-// countingHost gives the host that counts a part, and where it can be reached.
+// countingHost returns the host that counts a part and its address.
 func (c *leasedCounter) countingHost(key string, part int) (host, address string) {
 	return c.mesh.FirstFor(c.keyOf(key, part))
 }
 
-// dropReassigned follows the hosts that joined or left: a part that another host counted in the
-// meantime is counted anew.
+// dropReassigned drops the counts of parts that moved to other hosts when hosts joined or
+// left. If such a part comes back, its count starts anew.
 func (c *leasedCounter) dropReassigned() {
 	recomposed := c.mesh.Recomposed()
 	if recomposed.Equal(c.lastRecomposed) {
--- a/internal/entry/owners_test.go
+++ b/internal/entry/owners_test.go
@@ -54,7 +54,7 @@
 		peer.Handle(mux, methodAdmit, func(context.Context, peer.Identity, AdmitParams) (AdmitResult, error) {
 			return AdmitResult{ReadyMS: 20}, nil
 		})
-		peer.Handle(mux, methodTell, func(_ context.Context, _ peer.Identity, p OutcomesParams) (struct{}, error) {
+		peer.Handle(mux, methodOutcomes, func(_ context.Context, _ peer.Identity, p OutcomesParams) (struct{}, error) {
 			owner.with(func() { owner.told = append(owner.told, p.Runners[far.ID]) })
 			return struct{}{}, nil
 		})
--- a/internal/entry/pressure.go
+++ b/internal/entry/pressure.go
@@ -16,46 +16,49 @@
 )
 
 const (
-	// methodLimit asks for one request of a runner's limit.
+	// methodLimit requests permission to send one request under a runner's rate limit.
 	methodLimit = "limit.take"
-	// limitPrefix marks keys of runners' limits, for the choice of the host that counts one.
+	// limitPrefix is the prefix of the ranking keys that select the counting host of a
+	// runner's limit.
 	limitPrefix = "limit."
-	// limitBurst is for how long a limit may be saved up. The platform allows half as much
-	// again in any four seconds, and five requests.
+	// limitBurst is how long an unused limit accumulates. The platform tolerates half as
+	// much again in any four seconds, plus five requests.
 	limitBurst = time.Second
-	// minProbeRate is what a runner gets that names a lower limit or none at all, in requests a
-	// second: only an answer can say that the limit is over.
+	// minProbeRate is the rate, in requests per second, at which a runner with a lower or
+	// zero limit is still probed: only a response can report that the limit has ended.
 	minProbeRate = 0.2
-	// limitRetryPause is how long a runner is passed over whose counting host does not answer or
-	// does not count yet.
+	// limitRetryPause is how long a runner is skipped whose counting host does not respond
+	// or does not count yet.
 	limitRetryPause = 300 * time.Millisecond
-	// reassignInterval is how often the limits are looked over that this host counts.
+	// reassignInterval is how often counts of reassigned limits are dropped.
 	reassignInterval = time.Second
 )
 
-// LimitParams asks the host that counts a runner's limit for one request.
+// LimitParams asks the host that counts a runner's limit for permission to send one request.
 type LimitParams struct {
-	// Instance names the runner whatever lifetime of it the asker believes in.
+	// Instance identifies the runner across restarts: the calling host may know of another
+	// lifetime of it.
 	Instance string `json:"instance"`
-	// Limit is what the asker knows.
+	// Limit is the limit as the calling host knows it.
 	Limit board.Limit `json:"limit"`
 }
 
-// LimitResult answers it.
+// LimitResult is the result of a request for permission.
 type LimitResult struct {
 	Granted bool `json:"granted,omitempty"`
-	// WaitMS is when to ask again, where it is not granted.
+	// WaitMS is the time until to ask again, if it is not granted.
 	WaitMS int64 `json:"wait_ms,omitempty"`
-	// Limit is what the host that counts knows.
+	// Limit is the limit as the counting host knows it.
 	Limit board.Limit `json:"limit"`
 }
 
-// backpressure is how this host keeps to what runners ask of the hosts in their answers.
+// backpressure applies the rate limits, pauses and leave announcements that runners signal
+// in their responses.
 //
-// What a runner takes from all hosts together is one token bucket, counted by one host
-// under its lease. A host that cannot ask that one sends nothing: hosts that are cut off
-// from each other, each with a part for itself, would together send more than the runner
-// takes, or, with parts small enough, nothing that is of use.
+// A runner's limit for all hosts together is one token bucket, counted by one host under
+// its lease. A host that cannot reach the counting host sends nothing: with a share for
+// each host, partitioned hosts would together exceed the limit, or the shares would be too
+// small to be of use.
 type backpressure struct {
 	board     *board.Board
 	directory *directory.Directory
@@ -85,7 +88,7 @@
 	})
 }
 
-// run follows the hosts that join and leave until the context ends.
+// run drops the counts of reassigned limits until ctx is done.
 func (p *backpressure) run(ctx context.Context) {
 	timing.Every(ctx, reassignInterval, p.counting.dropReassigned)
 }
@@ -95,8 +98,9 @@
 	p.applySignal(runner.ID, signal, sent, "request "+id)
 }
 
-// applyEngineSignal takes what an engine's report or its answer to an order says. That it names
-// no limit ends none: these answers are not of the part of the engine that runs requests.
+// applyEngineSignal applies the signal in an engine's load report or response to an order.
+// If it names no limit, a known limit stays: these responses do not come from the part of
+// the engine that runs requests.
 func (p *backpressure) applyEngineSignal(runner string, signal *board.Signal) {
 	p.applySignal(runner, signal, time.Time{}, "report or order")
 }
@@ -106,18 +110,18 @@
 	change := p.board.Signalled(runner, *signal, sent, now)
 	p.logLimit(runner, change.LimitChange, from, 0)
 	if change.RestBegan {
-		p.log.Info("runner asks for rest", "runner", runner, "from", from, "rest_ms", signal.Rest.Milliseconds())
+		p.log.Info("runner requested a pause", "runner", runner, "from", from, "rest_ms", signal.Rest.Milliseconds())
 	}
 	if signal.Leaving && p.directory.Leaves(runner) {
-		p.log.Info("runner says that it leaves", "runner", runner, "from", from)
+		p.log.Info("runner announced that it is leaving", "runner", runner, "from", from)
 	}
 	if change.Unread {
-		p.log.Warn("runner's word not understood", "runner", runner, "from", from, "said", signal.Unread)
+		p.log.Warn("malformed backpressure signal from runner", "runner", runner, "from", from, "said", signal.Unread)
 	}
 }
 
-// applyPeerLimit takes over what a peer tells of a runner's limit. Of runners that this host
-// does not know, nothing is kept: nobody would forget it.
+// applyPeerLimit applies a runner's limit that a peer reports. Limits of unknown runners
+// are ignored, since nothing would ever remove them.
 func (p *backpressure) applyPeerLimit(limit board.Limit, host string) {
 	if _, known := p.directory.Snapshot().Runners[limit.Runner]; !known {
 		return
@@ -126,16 +130,16 @@
 	p.logLimit(limit.Runner, change, "host "+host, time.Duration(limit.AgeMS)*time.Millisecond)
 }
 
-// applyPeerLeaving takes over that a runner leaves, as a peer heard.
+// applyPeerLeaving applies a peer's report that a runner is leaving.
 func (p *backpressure) applyPeerLeaving(runner, host string) {
 	if _, known := p.directory.Snapshot().Runners[runner]; known && p.directory.Leaves(runner) {
-		p.log.Info("runner says that it leaves", "runner", runner, "from", "host "+host)
+		p.log.Info("runner announced that it is leaving", "runner", runner, "from", "host "+host)
 	}
 }
 
 func (p *backpressure) logLimit(runner string, change board.LimitChange, from string, age time.Duration) {
 	if change.Changed {
-		p.log.Info("runner's limit changed", "runner", runner, "from", from, "age_ms", age.Milliseconds(), "before_per_s", change.Before, "after_per_s", change.After)
+		p.log.Info("runner rate limit changed", "runner", runner, "from", from, "age_ms", age.Milliseconds(), "before_per_s", change.Before, "after_per_s", change.After)
 	}
 }
 
@@ -158,7 +162,8 @@
 	return wait, false
 }
 
-// takeFromLimit asks the host that counts the runner's limit.
+// takeFromLimit asks the counting host of the runner's limit for permission to send one
+// request. If it is refused, the returned duration is the time until to ask again.
 func (p *backpressure) takeFromLimit(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
 	params := LimitParams{Instance: runner.Instance, Limit: p.board.LimitOf(runner.ID, p.now())}
 	host, address := p.counting.countingHost(runner.Instance, 0)
@@ -180,7 +185,8 @@
 	return time.Duration(result.WaitMS) * time.Millisecond, result.Granted
 }
 
-// call asks another host. A caller that leaves does not end the call, as with admissions.
+// call asks another host. As with admissions, a caller that disconnects does not cancel
+// the call.
 func (p *backpressure) call(ctx context.Context, address string, params LimitParams) (LimitResult, error) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ownerTimeout)
 	defer cancel()
@@ -193,10 +199,10 @@
 	if !peer.Refused(err) && host != p.counting.host {
 		p.backoff.set(host, p.now().Add(ownerBackoff))
 	}
-	p.log.Info("runner's limit not counted", "runner", runner.ID, "counting_host", host, "passed_over_ms", limitRetryPause.Milliseconds(), "error", err.Error())
+	p.log.Info("could not take from runner rate limit", "runner", runner.ID, "counting_host", host, "passed_over_ms", limitRetryPause.Milliseconds(), "error", err.Error())
 }
 
-// grant answers as the host that counts the runner's limit, if this one is.
+// grant handles a request for permission for a limit that this host counts.
 func (p *backpressure) grant(params LimitParams) (LimitResult, error) {
 	now := p.now()
 	right, err := p.counting.countingRight(params.Instance, 0, now)
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -17,50 +17,52 @@
 )
 
 const (
-	// methodQuota asks for units of a part of a quota.
+	// methodQuota requests units of a part of a quota.
 	methodQuota = "quota.ask"
-	// quotaTimeout bounds an ask, as ownerTimeout does an admission.
+	// quotaTimeout bounds a call to a counting host, as ownerTimeout does an admission.
 	quotaTimeout = 250 * time.Millisecond
-	// maxHedgeDelay and leastPatience bound how long one counting host is waited for
-	// before the next is asked as well; targetShare of a request's target latency lies
-	// between them. What the first grants later is kept for the next request.
+	// maxHedgeDelay and minHedgeDelay bound how long to wait for one counting host before
+	// the next is asked as well. Between them, the delay is the request's target latency
+	// divided by targetDivisor. A late grant is kept for the next request.
 	maxHedgeDelay = 100 * time.Millisecond
 	minHedgeDelay = 30 * time.Millisecond
 	targetDivisor = 4
-	// maxUnitWait bounds how long a request waits for units that come soon; targetShare of
-	// its target latency does too.
+	// maxUnitWait bounds how long a request waits for units that become available soon; so
+	// does its target latency divided by targetDivisor.
 	maxUnitWait = 200 * time.Millisecond
-	// quotaBackoff is how long a host that did not answer is passed over while others count.
+	// quotaBackoff is how long a host that did not respond is skipped in favour of others.
 	quotaBackoff = 500 * time.Millisecond
-	// unknownRetryPause is the pause before all parts are asked once more, where none is counted
-	// at the moment: after a loss of all hosts each counts again within a second.
+	// unknownRetryPause is the pause before all parts are asked again if none is counted at
+	// the moment. After a loss of all hosts each part is counted again within a second.
 	unknownRetryPause = 50 * time.Millisecond
-	// unknownRetryAfter is when a caller should come back where no part is counted.
+	// unknownRetryAfter is when callers are told to retry if no part is counted.
 	unknownRetryAfter = 300 * time.Millisecond
-	// returnInterval is how often units that lie unused are looked for.
+	// returnInterval is how often unused units are returned.
 	returnInterval = 250 * time.Millisecond
 )
 
-// QuotaParams asks the host that counts a part of a workspace's quota for units of it.
+// QuotaParams requests units of a part of a workspace's quota from its counting host.
 type QuotaParams struct {
 	Workspace string `json:"workspace"`
 	Part      int    `json:"part"`
-	// Cost, Ahead and Back are in the quota's units: what the request at hand needs, what
-	// the host will likely need besides, and what it gives back.
+	// Cost, Ahead and Back are in the quota's units: the cost of the request at hand, what
+	// the host will likely need in addition, and what it returns.
 	Cost  float64 `json:"cost,omitempty"`
 	Ahead float64 `json:"ahead,omitempty"`
 	Back  float64 `json:"back,omitempty"`
 }
 
-// QuotaResult answers it.
+// QuotaResult is the result of a request for units.
 type QuotaResult struct {
 	Granted float64 `json:"granted,omitempty"`
-	// WaitMS is when the cost may be granted, where it was not.
-	WaitMS int64   `json:"wait_ms,omitempty"`
-	Level  float64 `json:"level"`
+	// WaitMS is the time until the cost may be granted, if it was not.
+	WaitMS int64 `json:"wait_ms,omitempty"`
+	// Level is the number of units left in the part.
+	Level float64 `json:"level"`
 }
 
-// quotaManager is how the hosts keep workspaces to their quotaManager together.
+// quotaManager enforces the quotas of workspaces together with the other hosts. Each part
+// of a quota is counted by one host; the others request units from it.
 type quotaManager struct {
 	host       string
 	mesh       *mesh.State
@@ -72,7 +74,7 @@
 	backoff    hostBackoff
 	now        func() time.Time
 	log        hclog.Logger
-	// nextPart spreads asks over the parts.
+	// nextPart selects the part to ask first, round-robin.
 	nextPart atomic.Uint32
 	usages   quota.Usages
 }
@@ -95,14 +97,14 @@
 }
 
 var (
-	errNoCounter = errors.New("no host counts this part of the quota")
-	errNoQuota   = errors.New("this host knows no quota of the workspace")
+	errNoCounter = errors.New("no reachable host counts this part of the quota")
+	errNoQuota   = errors.New("no quota known for this workspace")
 )
 
-// answerAsk answers an ask as the host that counts the part, if this one is.
+// answerAsk handles a request for units of a part that this host counts.
 func (q *quotaManager) answerAsk(ask quota.Ask) (quota.Answer, error) {
 	if ask.Part < 0 || ask.Part >= quota.Parts || !(ask.Cost >= 0) || !(ask.Ahead >= 0) || !(ask.Back >= 0) {
-		return quota.Answer{}, errors.Errorf("part %d, cost %g, ahead %g, back %g", ask.Part, ask.Cost, ask.Ahead, ask.Back)
+		return quota.Answer{}, errors.Errorf("invalid quota request: part %d, cost %g, ahead %g, back %g", ask.Part, ask.Cost, ask.Ahead, ask.Back)
 	}
 	now := q.now()
 	right, err := q.counting.countingRight(ask.Key, ask.Part, now)
@@ -139,11 +141,11 @@
 	return charge
 }
 
-// chargeWithRetry asks until it has an answer that stands. A request whose units come within a share
-// of its target latency waits for them.
+// chargeWithRetry retries a charge while units can still become available within a fraction
+// of the request's target latency.
 //
-// After a loss of all hosts buckets begin empty. Callers far below their quotas were sent
-// away in the first second, although their units came a moment later.
+// After a loss of all hosts, buckets start empty. Without the retries, callers far below
+// their quotas were refused in the first second although units came a moment later.
 func (q *quotaManager) chargeWithRetry(ctx context.Context, workspace *site.Workspace, cost float64, target time.Duration) serve.Charge {
 	charge := serve.Charge{Workspace: workspace.Name, Cost: cost, Window: q.tolerance.Window}
 	until := q.now().Add(min(target/targetDivisor, maxUnitWait))
@@ -163,7 +165,7 @@
 	}
 }
 
-// chargeOnce charges once: from what the host was granted before, or by asking.
+// chargeOnce charges units granted before, or else requests new ones.
 func (q *quotaManager) chargeOnce(ctx context.Context, workspace *site.Workspace, target time.Duration, charge *serve.Charge) {
 	now := q.now()
 	if part, ok := q.allowances.Spend(workspace.Name, charge.Cost, now); ok {
@@ -177,8 +179,7 @@
 	q.askParts(ctx, workspace, min(max(minHedgeDelay, target/targetDivisor), maxHedgeDelay), charge)
 }
 
-// askParts asks for the units part by part: until one grants them, or all that are counted
-// refuse.
+// askParts requests the units from one part after the other until one grants them.
 func (q *quotaManager) askParts(ctx context.Context, workspace *site.Workspace, hedgeDelay time.Duration, charge *serve.Charge) {
 	ask := quota.Ask{Key: workspace.Name, Cost: charge.Cost, Ahead: q.allowances.Ahead(workspace.Name, q.now())}
 	firstPart := int(q.nextPart.Add(1))
@@ -206,7 +207,7 @@
 	}
 }
 
-// askPart asks the host that counts a part, and gives its name.
+// askPart requests units from the counting host of a part and returns that host's name.
 func (q *quotaManager) askPart(ctx context.Context, ask quota.Ask, hedgeDelay time.Duration) (quota.Answer, string, error) {
 	host, address := q.counting.countingHost(ask.Key, ask.Part)
 	switch {
@@ -239,8 +240,8 @@
 	err    error
 }
 
-// call asks another host. The call does not end with the request that it is for: what it
-// brings is of use to the next one.
+// call requests units from another host. It is not canceled with the request that it is
+// for, since the next request can use the units.
 func (q *quotaManager) call(address string, ask quota.Ask) askResult {
 	ctx, cancel := context.WithTimeout(context.Background(), quotaTimeout)
 	defer cancel()
@@ -253,17 +254,17 @@
 	return askResult{answer: quota.Answer{Granted: result.Granted, Wait: wait, Level: result.Level}}
 }
 
-// noteCallResult leaves a host that cannot be reached alone for a time. One that answers that
-// it does not count the part is asked again, since it soon may.
+// noteCallResult backs off from a host that cannot be reached. A host that responds that it
+// does not count the part is asked again, since it may count it soon.
 func (q *quotaManager) noteCallResult(host string, err error) {
 	if err == nil || peer.Refused(err) {
 		return
 	}
 	q.backoff.set(host, q.now().Add(quotaBackoff))
-	q.log.Info("host that counts for a quota not reached", "peer", host, "error", err.Error())
+	q.log.Info("quota counting host unreachable", "peer", host, "error", err.Error())
 }
 
-// keepLateGrant keeps what an answer brings that was not waited for.
+// keepLateGrant keeps units granted after the hedge delay for later requests.
 func (q *quotaManager) keepLateGrant(ask quota.Ask, answers <-chan askResult) {
 	if result := <-answers; result.err == nil && result.answer.Granted > 0 {
 		q.allowances.Granted(ask.Key, ask.Part, result.answer.Granted, q.now())
@@ -278,7 +279,7 @@
 	}
 }
 
-// run gives back what lies unused and forgets what other hosts count.
+// run returns unused units and drops the counts of reassigned parts until ctx is done.
 func (q *quotaManager) run(ctx context.Context) {
 	timing.Every(ctx, returnInterval, func() {
 		q.counting.dropReassigned()
@@ -288,15 +289,16 @@
 	})
 }
 
-// returnUnits returns units once. Without an answer they count as spent: given back twice,
-// they would be granted twice.
+// returnUnits returns units without retrying. If the call fails they count as spent:
+// returned twice, they would be granted twice.
 func (q *quotaManager) returnUnits(ctx context.Context, back quota.Ask) {
 	if _, host, err := q.askPart(ctx, back, quotaTimeout); err != nil {
-		q.log.Debug("units not given back", "workspace", back.Key, "part", back.Part, "units", back.Back, "peer", host, "error", err.Error())
+		q.log.Debug("could not return unused quota units", "workspace", back.Key, "part", back.Part, "units", back.Back, "peer", host, "error", err.Error())
 	}
 }
 
-// workspaceUse gives the workspaces that sent requests to this host, with their quotas in force.
+// workspaceUse returns the usage of each workspace that sent requests to this host, with
+// the quota in force.
 func (q *quotaManager) workspaceUse() map[string]quota.WorkspaceUse {
 	var workspaces *site.Workspaces
 	if config := q.directory.Snapshot().Config; config != nil {
--- a/internal/entry/report.go
+++ b/internal/entry/report.go
@@ -6,16 +6,16 @@
 	"github.com/cherrystage/cherrystage/internal/quarantine"
 )
 
-// failureReport is one answer that broke off, on its way to the hosts that count for the fleet.
+// failureReport is a truncated response that is being reported to its counting hosts.
 type failureReport struct {
 	cut quarantine.Cut
-	// untried are those that were not tried yet, in their order.
+	// untried holds the hosts not tried yet, by rank.
 	untried []string
-	// acksNeeded is how many of them still have to hear.
+	// acksNeeded is how many hosts still have to receive the report.
 	acksNeeded atomic.Int32
 }
 
-// newFailureReport makes a report to the first hosts of a ranking; self needs none.
+// newFailureReport returns a report to the first hosts of a ranking, apart from self.
 func newFailureReport(cut quarantine.Cut, ranked []string, self string) *failureReport {
 	r := &failureReport{cut: cut}
 	r.acksNeeded.Store(countingHosts)
@@ -30,7 +30,7 @@
 	return r
 }
 
-// nextHosts gives the hosts to try nextHosts: as many as still have to hear.
+// nextHosts returns the hosts to try next, as many as still have to receive the report.
 func (r *failureReport) nextHosts() []string {
 	count := min(int(r.acksNeeded.Load()), len(r.untried))
 	next := r.untried[:count]
@@ -38,7 +38,7 @@
 	return next
 }
 
-// acknowledged notes that a host has heard of these.
+// acknowledged records that one host has received the reports.
 func acknowledged(reports []*failureReport) {
 	for _, r := range reports {
 		r.acksNeeded.Add(-1)
--- a/internal/entry/resting.go
+++ b/internal/entry/resting.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// hostBackoff are hosts that did not answer, until they are asked again. It is safe for
-// concurrent use.
+// hostBackoff holds the hosts that did not respond and until when each is not called
+// again. It is safe for concurrent use.
 type hostBackoff struct {
 	mu    sync.Mutex
 	until map[string]time.Time
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -12,32 +12,32 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// status is what hosts tell each other in heartbeats. Each host hears some
-// others, so it is a sample of the fleet.
+// status is the state that hosts exchange in heartbeats. Each host hears from some
+// others only, so what it receives is a sample of the fleet.
 type status struct {
-	// Running counts the sender's requests by runner, for services whose runners
-	// have no owner.
+	// Running holds the sender's number of requests by runner, for services whose
+	// runners have no owner.
 	Running map[string]int `json:"running,omitempty"`
-	// SuspectMS names runners that the sender avoids, and for how much longer.
+	// SuspectMS holds the runners that the sender avoids, with the remaining time.
 	SuspectMS map[string]int64 `json:"suspect_ms,omitempty"`
-	// Transit is the number of adapters on their way to the sender's runners.
+	// Transit is the number of adapters being loaded on the sender's runners.
 	Transit int `json:"transit,omitempty"`
-	// Runners, Load and Slots sum up the runners that the sender owns.
+	// Runners, Load and Slots are totals of the runners that the sender owns.
 	Runners int `json:"runners,omitempty"`
 	Load    int `json:"load,omitempty"`
 	Slots   int `json:"slots,omitempty"`
-	// PromptTokenNS are the nanoseconds that each of these takes for a token of a prompt.
+	// PromptTokenNS holds the prompt processing time per token of each of these runners.
 	PromptTokenNS []int64 `json:"reading_ns,omitempty"`
-	// Quarantine is the digest of what the sender knows of requests that end runners, 0
-	// where that is nothing.
+	// Quarantine is the digest of the sender's quarantine, 0 if it is empty.
 	Quarantine uint64 `json:"quarantine,omitempty"`
-	// Limits are what runners named as their limits, as far as the sender knows.
+	// Limits holds the rate limits of runners that the sender knows of.
 	Limits []board.Limit `json:"limits,omitempty"`
-	// Leaving are runners that leave by their own word while their entries do not say so.
+	// Leaving holds the runners that announced that they are leaving but whose entries do
+	// not show it yet.
 	Leaving []string `json:"leaving,omitempty"`
 }
 
-// statusTTL is how long what a peer told holds.
+// statusTTL is how long a peer's status is valid.
 const statusTTL = 2 * time.Second
 
 // peerStatuses implements mesh.Statuses.
@@ -45,12 +45,12 @@
 	board     *board.Board
 	owner     *adapters.Owner
 	directory *directory.Directory
-	// localDigest gives this host's digest; quarantinedAt takes over a peer's.
+	// localDigest returns the digest of this host's quarantine; onDigest handles a peer's.
 	localDigest func() uint64
 	onDigest    func(host string, digest uint64)
-	// onLimit takes over what a peer knows of a runner's limit.
-	onLimit func(told board.Limit, host string)
-	// onLeaving takes over that a runner leaves.
+	// onLimit handles a runner's limit as a peer knows it.
+	onLimit func(limit board.Limit, host string)
+	// onLeaving handles a peer's report that a runner is leaving.
 	onLeaving func(runner, host string)
 	now       func() time.Time
 	log       hclog.Logger
@@ -91,7 +91,7 @@
 func (s *peerStatuses) StatusFrom(host string, raw json.RawMessage) {
 	var received status
 	if err := json.Unmarshal(raw, &received); err != nil {
-		s.log.Warn("peer's status not understood", "peer", host, "error", err.Error())
+		s.log.Warn("malformed status from peer", "peer", host, "error", err.Error())
 		return
 	}
 	s.onDigest(host, received.Quarantine)
@@ -118,7 +118,7 @@
 	s.peers[host] = receivedStatus{status: received, at: now}
 }
 
-// recentTotals adds up what peers told lately.
+// recentTotals returns the sums over the valid statuses of peers.
 func (s *peerStatuses) recentTotals() status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -138,12 +138,12 @@
 	return total
 }
 
-// minReadings is the number of runners below which what most of them do is a guess.
+// minReadings is the number of runners below which a typical time cannot be derived.
 const minReadings = 3
 
-// typicalPromptTokenNS gives the time that most runners take for a token of a prompt, in
-// nanoseconds, as far as this host hears: that of the third of them that is faster, so
-// that some slow ones among few do not count as usual.
+// typicalPromptTokenNS returns the typical prompt processing time per token in nanoseconds,
+// or 0 if too few runners are known. It is the lower tercile of the known runners, so that
+// some slow ones among few do not count as typical.
 func (s *peerStatuses) typicalPromptTokenNS() float64 {
 	readings := s.recentTotals().PromptTokenNS
 	for _, perToken := range s.owner.Readings() {
@@ -156,13 +156,14 @@
 	return float64(readings[len(readings)/3])
 }
 
-// peersInTransit gives the adapters on their way to peers' runners, and these runners.
+// peersInTransit returns the number of adapters being loaded on peers' runners, and the
+// number of these runners.
 func (s *peerStatuses) peersInTransit() (transit, runners int) {
 	total := s.recentTotals()
 	return total.Transit, total.Runners
 }
 
-// utilization gives how full the runners are that this host knows of.
+// utilization returns the ratio of load to slots over the runners known to this host.
 func (s *peerStatuses) utilization() float64 {
 	total := s.recentTotals()
 	load, slots := s.owner.Full()
--- a/internal/entry/suspects.go
+++ b/internal/entry/suspects.go
@@ -18,46 +18,46 @@
 )
 
 const (
-	// countingHosts is the number of hosts that count the ends of runners under a request. Any
-	// of them suffices: two may be lost with what they counted.
+	// countingHosts is the number of hosts that count the runner crashes caused by a request.
+	// Any one of them suffices, so two may be lost together with their counts.
 	countingHosts = 3
-	// pendingInterval is how often cuts are looked at while some wait.
+	// pendingInterval is how often truncated responses are checked while some are pending.
 	pendingInterval = 100 * time.Millisecond
-	// recordInterval is how often lasting records are looked at while there is anything
-	// to keep.
+	// recordInterval is how often persistent records are synced while the quarantine is
+	// not empty.
 	recordInterval = time.Second
-	// quarantineTimeout bounds a report or a question to a peer. A packet that is lost on the
-	// way is sent again in some 250 ms.
+	// quarantineTimeout bounds a call to a peer. A lost packet is retransmitted after
+	// about 250 ms.
 	quarantineTimeout = 400 * time.Millisecond
 	// recordTimeout bounds a write to the store.
 	recordTimeout = time.Second
-	// reportRounds is how often hosts further down are tried in place of those that do not
-	// answer. With half of the hosts lost or behind a cut, one request in eight finds none of
-	// its first three; in four rounds one in 4,096 finds none. They take 1.6 of the three
-	// seconds in which hosts are to agree.
+	// reportRounds is the number of rounds in which lower-ranked hosts replace those that do
+	// not respond. With half of the hosts lost or partitioned off, one request in eight
+	// reaches none of its first three; after four rounds one in 4,096 reaches none. They take
+	// 1.6 of the three seconds in which hosts are to agree.
 	reportRounds = 4
-	// minBroadcastInterval is the least time between two rounds of heartbeats out of turn, five
-	// messages each, however much there is to tell.
+	// minBroadcastInterval is the least time between two rounds of extra heartbeats, which
+	// send five messages each.
 	minBroadcastInterval = 100 * time.Millisecond
 )
 
-// Methods by which hosts tell each other of requests that end runners.
+// Peer methods that exchange quarantined requests.
 const (
 	methodCuts    = "quarantine.cuts"
 	methodEntries = "quarantine.list"
 )
 
-// CutsParams reports answers that broke off.
+// CutsParams reports truncated responses.
 type CutsParams struct {
 	Cuts []CutParams `json:"cuts"`
 }
 
-// CutParams is one answer that broke off.
+// CutParams is a truncated response.
 type CutParams struct {
 	Content quarantine.Fingerprint `json:"content"`
 	Runner  string                 `json:"runner"`
 	AgeMS   int64                  `json:"age_ms"`
-	// LastedMS is how long the runner had had the request.
+	// LastedMS is how long the runner had been processing the request.
 	LastedMS int64 `json:"lasted_ms"`
 }
 
@@ -72,21 +72,23 @@
 	return CutParams{Content: cut.Content, Runner: cut.Runner, AgeMS: now.Sub(cut.At).Milliseconds(), LastedMS: cut.Lasted.Milliseconds()}
 }
 
-// EntriesResult tells what a host knows of requests that end runners.
+// EntriesResult holds a host's quarantine entries.
 type EntriesResult struct {
 	Entries []quarantine.Entry `json:"entries"`
 }
 
-// recordPrefix begins the names of lasting records of requests that are kept from
-// runners. They share the kind of hosts and owners.
+// recordPrefix is the name prefix of persistent records of quarantined requests. They
+// share a record kind with hosts and owners.
 const recordPrefix = "content."
 
-// QuarantineRecord is a lasting record. The content's fingerprint is its name.
+// QuarantineRecord is the persistent record of a quarantined request. Its name is
+// recordPrefix and the content's fingerprint.
 type QuarantineRecord struct {
 	Round int `json:"round"`
 }
 
-// quarantineSync is how this host and its peers tell each other of requests that end runners.
+// quarantineSync keeps this host's quarantine of requests that crash runners in sync with
+// those of its peers and with the store.
 type quarantineSync struct {
 	host       string
 	quarantine *quarantine.Quarantine
@@ -96,16 +98,16 @@
 	board      *board.Board
 	now        func() time.Time
 	log        hclog.Logger
-	// broadcast has heartbeats sent at once.
+	// broadcast sends heartbeats at once.
 	broadcast func()
-	// records holds the lasting records.
+	// records holds the persistent records.
 	records *registry.Replica
 
-	// broadcastDigest is the digest that was last spread, and when. They are run's.
+	// broadcastDigest is the digest last broadcast, at broadcastAt. Only run uses them.
 	broadcastDigest uint64
 	broadcastAt     time.Time
 
-	// fetching says that a peer is being asked.
+	// fetching is set while entries are fetched from a peer.
 	fetching atomic.Bool
 }
 
@@ -128,7 +130,7 @@
 	})
 }
 
-// run reports, tells and records until the context ends. It sleeps while there is nothing
+// run reports, broadcasts and records until ctx is done. It sleeps while there is nothing
 // to do.
 func (s *quarantineSync) run(ctx context.Context) {
 	var recordedAt time.Time
@@ -161,12 +163,12 @@
 	}
 }
 
-// reportDue reports the answers that broke off to the hosts that count for the whole fleet,
-// and counts them here too: a host that is cut off from the others has only its own.
+// reportDue reports truncated responses to their counting hosts. It counts them locally as
+// well, since a host that is partitioned off has only its own counts.
 func (s *quarantineSync) reportDue(ctx context.Context) {
 	due, dropped := s.quarantine.Due(s.now(), s.board.AnsweredSince)
 	if dropped > 0 {
-		s.log.Warn("answers that broke off not counted: too many at once", "dropped", dropped)
+		s.log.Warn("dropped reports of truncated responses: too many at once", "dropped", dropped)
 	}
 	if len(due) == 0 {
 		return
@@ -179,12 +181,12 @@
 	go s.reportAll(ctx, reports)
 }
 
-// rankedHosts gives the hosts in the order in which they count the ends under a request.
+// rankedHosts returns all hosts by their rank as counting hosts of a request.
 func (s *quarantineSync) rankedHosts(content quarantine.Fingerprint) []string {
 	return fleet.Rank(recordPrefix+content.String(), s.mesh.Members())
 }
 
-// reportAll sends reports, all that go to one host together.
+// reportAll sends the reports, batched by host.
 func (s *quarantineSync) reportAll(ctx context.Context, reports []*failureReport) {
 	for range reportRounds {
 		byHost := map[string][]*failureReport{}
@@ -208,7 +210,7 @@
 	}
 }
 
-// reportTo tells one host of answers that broke off, and says whether it has heard.
+// reportTo sends reports to one host and returns whether it received them.
 func (s *quarantineSync) reportTo(ctx context.Context, host string, reports []*failureReport) bool {
 	address, ok := s.mesh.AddressOf(host)
 	if !ok {
@@ -222,25 +224,25 @@
 	ctx, cancel := context.WithTimeout(ctx, quarantineTimeout)
 	defer cancel()
 	if err := s.pool.Call(ctx, address, methodCuts, params, nil); err != nil {
-		s.log.Info("answers that broke off not reported", "peer", host, "cuts", len(params.Cuts), "error", err.Error())
+		s.log.Info("could not report truncated responses", "peer", host, "cuts", len(params.Cuts), "error", err.Error())
 		return false
 	}
 	return true
 }
 
-// countCut counts an answer that broke off.
+// countCut counts a truncated response.
 func (s *quarantineSync) countCut(cut quarantine.Cut, from string) {
 	counted := s.quarantine.Count(cut, s.now())
 	if counted.Ends > 1 || counted.Suspected {
-		s.log.Info("runners end under a request", "content", cut.Content.String(), "ends", counted.Ends, "runner", cut.Runner, "reported_by", from,
+		s.log.Info("request crashes runners", "content", cut.Content.String(), "ends", counted.Ends, "runner", cut.Runner, "reported_by", from,
 			"age_ms", s.now().Sub(cut.At).Milliseconds(), "lasted_ms", cut.Lasted.Milliseconds(), "suspected", counted.Suspected)
 	}
 }
 
-// hasNews says that something changed that others should know.
+// hasNews reports whether the quarantine changed since the last broadcast.
 func (s *quarantineSync) hasNews() bool { return s.quarantine.Digest() != s.broadcastDigest }
 
-// broadcastNews has heartbeats sent at once if something changed that others should know.
+// broadcastNews sends heartbeats at once if the quarantine changed.
 func (s *quarantineSync) broadcastNews() {
 	now := s.now()
 	if !s.hasNews() || now.Sub(s.broadcastAt) < minBroadcastInterval {
@@ -250,8 +252,9 @@
 	s.broadcast()
 }
 
-// onPeerDigest asks a peer for what it knows if that is not what this host knows. One peer is
-// asked at a time: all who have the news offer it at once, and say the same.
+// onPeerDigest fetches a peer's entries if its digest differs from this host's. It fetches
+// from one peer at a time: all peers that have a change announce it at once, with the same
+// content.
 func (s *quarantineSync) onPeerDigest(host string, digest uint64) {
 	if digest == 0 || digest == s.quarantine.Digest() || !s.fetching.CompareAndSwap(false, true) {
 		return
@@ -271,7 +274,7 @@
 	defer cancel()
 	var result EntriesResult
 	if err := s.pool.Call(ctx, address, methodEntries, struct{}{}, &result); err != nil {
-		s.log.Info("peer not asked for requests that end runners", "peer", host, "error", err.Error())
+		s.log.Info("could not fetch quarantine entries", "peer", host, "error", err.Error())
 		return
 	}
 	for _, update := range s.quarantine.Merge(result.Entries, s.now()) {
@@ -280,14 +283,14 @@
 }
 
 func (s *quarantineSync) logUpdate(update quarantine.Entry, from string) {
-	message := "request kept from runners"
+	message := "request quarantined"
 	if update.Cleared {
-		message = "request cleared: it was answered whole"
+		message = "request cleared: it received a complete response"
 	}
 	s.log.Info(message, "content", update.Content.String(), "round", update.Round, "age_ms", update.AgeMS, "ends", len(update.Ends), "from", from)
 }
 
-// applyRecords takes over lasting records.
+// applyRecords applies persistent records to the quarantine.
 func (s *quarantineSync) applyRecords(changes []registry.Change) {
 	for _, change := range changes {
 		name, ok := strings.CutPrefix(change.Name, recordPrefix)
@@ -297,21 +300,22 @@
 		var content quarantine.Fingerprint
 		var record QuarantineRecord
 		if err := content.UnmarshalText([]byte(name)); err != nil {
-			s.log.Warn("record of a request not understood", "record", change.Name, "error", err.Error())
+			s.log.Warn("malformed quarantine record", "record", change.Name, "error", err.Error())
 			continue
 		}
 		if err := json.Unmarshal(change.Spec, &record); err != nil || record.Round < 1 {
-			s.log.Warn("record of a request not understood", "record", change.Name, "spec", string(change.Spec))
+			s.log.Warn("malformed quarantine record", "record", change.Name, "spec", string(change.Spec))
 			continue
 		}
 		if s.quarantine.Recorded(content, record.Round, s.now()) {
-			s.log.Info("request kept from runners", "content", content.String(), "round", record.Round, "from", "a record in the store")
+			s.log.Info("request quarantined", "content", content.String(), "round", record.Round, "from", "a record in the store")
 		}
 	}
 }
 
-// syncRecords keeps the lasting records as they should be. For each request the first of the
-// hosts that count for it does, so a host that is lost is stood in for once its lease ends.
+// syncRecords creates and deletes persistent records as the quarantine requires. The
+// first-ranked counting host of a request does so; if that host is lost, the next one takes
+// over once its lease expires.
 func (s *quarantineSync) syncRecords(ctx context.Context) {
 	if s.quarantine.Size() == 0 {
 		return
@@ -337,11 +341,11 @@
 	defer cancel()
 	record, err := s.store.Create(ctx, mesh.Kind, recordPrefix+content.String(), QuarantineRecord{Round: round})
 	if err != nil {
-		s.log.Info("request's record not written", "content", content.String(), "error", err.Error())
+		s.log.Info("could not write quarantine record", "content", content.String(), "error", err.Error())
 		return
 	}
 	s.records.Put(record)
-	s.log.Info("request's record written", "content", content.String(), "round", round, "revision", record.Revision)
+	s.log.Info("quarantine record written", "content", content.String(), "round", round, "revision", record.Revision)
 }
 
 func (s *quarantineSync) deleteRecord(ctx context.Context, record registry.Record) {
@@ -349,9 +353,9 @@
 	defer cancel()
 	era := s.records.Position().Era
 	if err := s.store.Delete(ctx, mesh.Kind, record.Name, record.Revision); err != nil && !registry.NotFound(err) {
-		s.log.Info("request's record not removed", "record", record.Name, "error", err.Error())
+		s.log.Info("could not delete quarantine record", "record", record.Name, "error", err.Error())
 		return
 	}
 	s.records.Drop(record.Name, era)
-	s.log.Info("request's record removed", "record", record.Name)
+	s.log.Info("quarantine record deleted", "record", record.Name)
 }
--- a/internal/entry/telling.go
+++ b/internal/entry/telling.go
@@ -106,7 +106,7 @@
 func (o *ownerClient) sendOutcomes(ctx context.Context, address string, params OutcomesParams) {
 	ctx, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
-	if err := o.pool.Call(ctx, address, methodTell, params, nil); err != nil {
+	if err := o.pool.Call(ctx, address, methodOutcomes, params, nil); err != nil {
 		o.log.Debug("could not report outcomes to the owner", "address", address, "error", err.Error())
 		o.restorePending(params)
 	}
