--- a/internal/entry/owners_test.go
+++ b/internal/entry/owners_test.go
@@ -21,41 +21,41 @@
 	"github.com/shoenig/test/must"
 )
 
-// remote is a runner's owner on another host, as this host reaches it.
-type remote struct {
-	mu     sync.Mutex
-	silent bool
-	dials  int
-	told   []RunnerOutcomes
+// fakeOwner is the owner of a runner on another host.
+type fakeOwner struct {
+	mu       sync.Mutex
+	silent   bool
+	dials    int
+	received []RunnerOutcomes
 }
 
-func (r *remote) with(do func()) {
+func (r *fakeOwner) locked(do func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	do()
 }
 
-// all gives what the owner was told.
-func (r *remote) all() []RunnerOutcomes {
+// reports returns the outcomes that the owner received.
+func (r *fakeOwner) reports() []RunnerOutcomes {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return slices.Clone(r.told)
+	return slices.Clone(r.received)
 }
 
-var far = &site.Runner{ID: "i-r", Instance: "i-r", Address: "r:80", Service: "llm", Slots: 12}
+var remoteRunner = &site.Runner{ID: "i-r", Instance: "i-r", Address: "r:80", Service: "llm", Slots: 12}
 
-// withOwner runs a test of a host "a" that asks the owner "b" of a runner.
-func withOwner(t *testing.T, run func(o *ownerClient, owner *remote)) {
+// withRemoteOwner runs a test in which host "a" calls host "b", the owner of a runner.
+func withRemoteOwner(t *testing.T, run func(o *ownerClient, owner *fakeOwner)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := standin.NewNetwork()
-		owner := &remote{}
+		owner := &fakeOwner{}
 		mux := peer.NewMux()
 		peer.Handle(mux, methodAdmit, func(context.Context, peer.Identity, AdmitParams) (AdmitResult, error) {
 			return AdmitResult{ReadyMS: 20}, nil
 		})
 		peer.Handle(mux, methodOutcomes, func(_ context.Context, _ peer.Identity, p OutcomesParams) (struct{}, error) {
-			owner.with(func() { owner.told = append(owner.told, p.Runners[far.ID]) })
+			owner.locked(func() { owner.received = append(owner.received, p.Runners[remoteRunner.ID]) })
 			return struct{}{}, nil
 		})
 		key := []byte("key")
@@ -65,7 +65,7 @@
 		go func() { _ = server.Serve(listener) }()
 		dial := func(ctx context.Context, proto, address string) (net.Conn, error) {
 			silent := false
-			owner.with(func() { owner.dials++; silent = owner.silent })
+			owner.locked(func() { owner.dials++; silent = owner.silent })
 			if silent {
 				<-ctx.Done()
 				return nil, ctx.Err()
@@ -96,85 +96,84 @@
 	return registry.Change{Record: registry.Record{Name: name, Revision: 1, Spec: raw}}
 }
 
-func askFor(name string) adapters.Admission {
+func admissionFor(name string) adapters.Admission {
 	return adapters.Admission{Key: adapters.Key{Adapter: site.Adapter{Model: "m", Name: name}}, Tokens: 800, Within: time.Second}
 }
 
-// A runner's owner falls silent. The first request waits a quarter of a second for it,
-// those of the next second do not wait at all: for an adapter that lay on the runner they
-// are sent without the owner's word, for others they look elsewhere. After the second the
-// owner is asked again.
-func TestSilentOwnerRests(t *testing.T) {
-	withOwner(t, func(o *ownerClient, owner *remote) {
+// When a runner's owner stops responding, the first request waits a quarter of a second
+// for it. During the next second, requests do not wait: those for an adapter known to be on
+// the runner are admitted without the owner, others fail. Then the owner is called again.
+func TestUnreachableOwnerBackoff(t *testing.T) {
+	withRemoteOwner(t, func(o *ownerClient, owner *fakeOwner) {
 		ctx := context.Background()
-		admitted, err := o.Admit(ctx, far, askFor("known"))
+		admitted, err := o.Admit(ctx, remoteRunner, admissionFor("known"))
 		must.NoError(t, err)
 		must.Eq(t, 20*time.Millisecond, time.Until(admitted.At))
-		owner.with(func() { owner.silent = true; owner.dials = 0 })
+		owner.locked(func() { owner.silent = true; owner.dials = 0 })
 		o.pool.Close()
 
 		begin := time.Now()
-		_, err = o.Admit(ctx, far, askFor("cold"))
+		_, err = o.Admit(ctx, remoteRunner, admissionFor("cold"))
 		must.ErrorIs(t, err, errOwnerUnreachable)
 		must.Eq(t, ownerTimeout, time.Since(begin))
 		for range 5 {
-			_, err = o.Admit(ctx, far, askFor("cold"))
+			_, err = o.Admit(ctx, remoteRunner, admissionFor("cold"))
 			must.ErrorIs(t, err, errOwnerUnreachable)
-			admitted, err = o.Admit(ctx, far, askFor("known"))
+			admitted, err = o.Admit(ctx, remoteRunner, admissionFor("known"))
 			must.NoError(t, err)
 			must.Eq(t, time.Now(), admitted.At)
 		}
 		must.Eq(t, ownerTimeout, time.Since(begin))
 		must.Eq(t, 1, owner.dials)
 
-		owner.with(func() { owner.silent = false })
+		owner.locked(func() { owner.silent = false })
 		time.Sleep(ownerBackoff + time.Millisecond)
-		_, err = o.Admit(ctx, far, askFor("cold"))
+		_, err = o.Admit(ctx, remoteRunner, admissionFor("cold"))
 		must.NoError(t, err)
 	})
 }
 
-// Requests end while their runner's owner does not answer. The owner hears of it as soon
-// as it answers again; lost, their adapters would hold places that nobody uses.
-func TestEndsAreToldOnceTheOwnerAnswers(t *testing.T) {
-	withOwner(t, func(o *ownerClient, owner *remote) {
-		runners := map[string]*site.Runner{far.ID: far}
+// Requests end while their runner's owner does not respond. The owner must receive these
+// ends once it responds again; otherwise their adapters would occupy unused slots.
+func TestEndedRequestsAreReportedAfterOutage(t *testing.T) {
+	withRemoteOwner(t, func(o *ownerClient, owner *fakeOwner) {
+		runners := map[string]*site.Runner{remoteRunner.ID: remoteRunner}
 		adapter := site.Adapter{Model: "m", Name: "a"}
-		owner.with(func() { owner.silent = true })
-		o.Ended(far, adapter)
-		o.Outcome(far.ID, true, false)
+		owner.locked(func() { owner.silent = true })
+		o.Ended(remoteRunner, adapter)
+		o.Outcome(remoteRunner.ID, true, false)
 		o.reportOutcomes(context.Background(), runners)
 		time.Sleep(ownerTimeout + time.Millisecond)
-		o.Ended(far, adapter)
-		must.SliceEmpty(t, owner.all())
+		o.Ended(remoteRunner, adapter)
+		must.SliceEmpty(t, owner.reports())
 
-		owner.with(func() { owner.silent = false })
+		owner.locked(func() { owner.silent = false })
 		o.reportOutcomes(context.Background(), runners)
 		time.Sleep(time.Millisecond)
-		must.Len(t, 1, owner.all())
-		must.Eq(t, map[string]int{"m/a": 2}, owner.all()[0].Ended)
-		must.Eq(t, 1, owner.all()[0].Succeeded)
+		must.Len(t, 1, owner.reports())
+		must.Eq(t, map[string]int{"m/a": 2}, owner.reports()[0].Ended)
+		must.Eq(t, 1, owner.reports()[0].Succeeded)
 		o.reportOutcomes(context.Background(), runners)
 		time.Sleep(time.Millisecond)
-		must.Len(t, 1, owner.all(), must.Sprint("nothing is told twice"))
+		must.Len(t, 1, owner.reports(), must.Sprint("outcomes are reported once"))
 	})
 }
 
-// A host's number of requests on a runner does not change for a while. It is told again
-// each second, so that it is not forgotten as that of a host that is gone.
-func TestSteadyLoadIsToldAgain(t *testing.T) {
-	withOwner(t, func(o *ownerClient, owner *remote) {
-		runners := map[string]*site.Runner{far.ID: far}
-		o.board.Begin(far.ID, time.Now())
+// An unchanged number of requests on a runner is reported again each second, so that the
+// owner does not discard it as that of a host that is gone.
+func TestUnchangedLoadIsReportedAgain(t *testing.T) {
+	withRemoteOwner(t, func(o *ownerClient, owner *fakeOwner) {
+		runners := map[string]*site.Runner{remoteRunner.ID: remoteRunner}
+		o.board.Begin(remoteRunner.ID, time.Now())
 		for range 15 {
 			o.reportOutcomes(context.Background(), runners)
 			time.Sleep(outcomeInterval)
 		}
-		must.Len(t, 3, owner.all())
-		must.Eq(t, 1, owner.all()[2].Running)
-		o.board.End(far.ID)
+		must.Len(t, 3, owner.reports())
+		must.Eq(t, 1, owner.reports()[2].Running)
+		o.board.End(remoteRunner.ID)
 		o.reportOutcomes(context.Background(), runners)
 		time.Sleep(time.Millisecond)
-		must.Eq(t, 0, owner.all()[3].Running)
+		must.Eq(t, 0, owner.reports()[3].Running)
 	})
 }
--- a/internal/entry/rhythm_test.go
+++ b/internal/entry/rhythm_test.go
@@ -8,58 +8,58 @@
 	"github.com/shoenig/test/must"
 )
 
-// deployment is what the worst case of a change depends on.
+// deployment holds the parameters that determine the worst-case propagation delay.
 type deployment struct {
 	name       string
 	hosts      int
 	mbps, core float64
-	// inForce bounds configurations and runners that leave, version new versions.
-	inForce, version time.Duration
+	// configBound applies to configurations and leaving runners, versionBound to new versions.
+	configBound, versionBound time.Duration
 }
 
 var deployments = []deployment{
 	{"nine hosts", 9, 1000, 0.4, 2 * time.Second, 5 * time.Second},
 	{"twenty hosts", 20, 1000, 0.4, 2 * time.Second, 5 * time.Second},
-	{"88 hosts, narrowest links, least of a core", 88, 10, 0.192, 3 * time.Second, 5 * time.Second},
+	{"88 hosts, narrowest links, smallest core share", 88, 10, 0.192, 3 * time.Second, 5 * time.Second},
 	{"195 hosts", 195, 20, 0.192, 4 * time.Second, 5 * time.Second},
 	{"460 hosts", 460, 20, 0.192, 4 * time.Second, 5 * time.Second},
 }
 
-// What a store's answer costs a host.
+// Cost of a response from the store.
 const (
-	// largestRecord is the most that the store holds in one record, changedEntries the size
-	// of runners' entries and versions that change within a second.
-	largestRecord  = 1 << 20
-	changedEntries = 64 << 10
-	// readingPerByte is of a whole core, for a configuration from the store.
-	readingPerByte = 60 * time.Nanosecond
-	// storeAnswer is what the store takes, with the way there and back.
-	storeAnswer = 20 * time.Millisecond
+	// maxRecordBytes is the store's maximum record size, changedEntryBytes the size of the
+	// runner entries and versions that change within a second.
+	maxRecordBytes    = 1 << 20
+	changedEntryBytes = 64 << 10
+	// parsePerByte is the time to parse a configuration on a whole core.
+	parsePerByte = 60 * time.Nanosecond
+	// storeLatency includes the network round trip.
+	storeLatency = 20 * time.Millisecond
 )
 
-// The worst case from a change's acknowledgement until a host goes by it, where nobody gives
-// it to the host: it asks the store itself before its knowledge is too old, gets the answer
-// over its own link, and reads it with its share of a core. On no deployment may the terms
-// add up to more than the bound.
-func TestWorstCaseIsBelowTheBound(t *testing.T) {
+// Worst-case delay from the acknowledgement of a change until a host applies it, if no peer
+// relays it: the host queries the store before its data exceeds the maximum age, receives the
+// response over its own link, and parses it with its share of a core. On every deployment the
+// sum must stay below the bound.
+func TestWorstCasePropagationDelay(t *testing.T) {
 	for _, d := range deployments {
 		t.Run(d.name, func(t *testing.T) {
 			for _, change := range []struct {
-				name   string
-				rhythm watchSchedule
-				bytes  float64
-				bound  time.Duration
+				name     string
+				schedule watchSchedule
+				bytes    float64
+				bound    time.Duration
 			}{
-				{"configuration", configWatch, largestRecord, d.inForce},
-				{"runner leaves", runnerWatch, changedEntries, d.inForce},
-				{"version", versionWatch, changedEntries, d.version},
+				{"configuration", configWatch, maxRecordBytes, d.configBound},
+				{"runner leaves", runnerWatch, changedEntryBytes, d.configBound},
+				{"version", versionWatch, changedEntryBytes, d.versionBound},
 			} {
 				terms := map[string]time.Duration{
-					"knowledge too old":  change.rhythm.maxAge,
-					"the last turn":      mesh.LongestWait(d.hosts),
-					"the store's answer": storeAnswer,
-					"the host's link":    time.Duration(change.bytes * 8 / d.mbps * float64(time.Microsecond)),
-					"reading":            time.Duration(change.bytes * float64(readingPerByte) / d.core),
+					"maximum age":             change.schedule.maxAge,
+					"longest wait for a turn": mesh.LongestWait(d.hosts),
+					"store latency":           storeLatency,
+					"link transfer":           time.Duration(change.bytes * 8 / d.mbps * float64(time.Microsecond)),
+					"parsing":                 time.Duration(change.bytes * float64(parsePerByte) / d.core),
 				}
 				sum := time.Duration(0)
 				for _, takes := range terms {
--- a/internal/entry/status_test.go
+++ b/internal/entry/status_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func newStatuses(now *time.Time) *peerStatuses {
+func newPeerStatuses(now *time.Time) *peerStatuses {
 	clock := func() time.Time { return *now }
 	return &peerStatuses{
 		board: board.New(), now: clock, log: hclog.NewNullLogger(), peers: map[string]receivedStatus{}, onDigest: func(string, uint64) {},
@@ -19,46 +19,46 @@
 	}
 }
 
-func (s *peerStatuses) hear(t *testing.T, host string, told status) {
+func (s *peerStatuses) receive(t *testing.T, host string, told status) {
 	t.Helper()
 	raw, err := json.Marshal(told)
 	must.NoError(t, err)
 	s.StatusFrom(host, raw)
 }
 
-// A third of the runners is slow, and a host hears of a few. What it takes for usual is
-// what the faster of them do: with the slow ones for usual nobody would be told apart,
-// and their callers' streams would pause. What is old or too little counts for nothing.
-func TestUsualReadingIsThatOfMostRunners(t *testing.T) {
+// A third of the runners is slow, and a host knows of a few runners only. The typical time
+// must be that of the faster ones: otherwise slow runners would not be recognized and their
+// callers' streams would pause. Expired or too few measurements yield no typical time.
+func TestTypicalPromptTokenTime(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newStatuses(&now)
-	s.hear(t, "a", status{PromptTokenNS: []int64{36_000, 26_000}})
+	s := newPeerStatuses(&now)
+	s.receive(t, "a", status{PromptTokenNS: []int64{36_000, 26_000}})
 	must.Eq(t, 0, s.typicalPromptTokenNS(), must.Sprint("two runners are too few"))
-	s.hear(t, "b", status{PromptTokenNS: []int64{27_000}})
-	s.hear(t, "c", status{})
+	s.receive(t, "b", status{PromptTokenNS: []int64{27_000}})
+	s.receive(t, "c", status{})
 	must.Eq(t, 27_000, s.typicalPromptTokenNS())
-	s.hear(t, "d", status{PromptTokenNS: []int64{37_000, 25_000, 38_000}})
+	s.receive(t, "d", status{PromptTokenNS: []int64{37_000, 25_000, 38_000}})
 	must.Eq(t, 27_000, s.typicalPromptTokenNS())
 	now = now.Add(statusTTL + time.Millisecond)
 	must.Eq(t, 0, s.typicalPromptTokenNS())
 }
 
-// Requests on a plain service's runner end. The peer that told of them tells of none any
-// more, and the runner counts as free at once, not when the peer's word is forgotten.
-func TestPeersRequestsThatEndedAreForgotten(t *testing.T) {
+// When a peer's requests on a runner of a plain service end, its next status omits the
+// runner. The runner must count as free at once, not only when the old status expires.
+func TestEndedRequestsOfPeersAreForgotten(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newStatuses(&now)
-	s.hear(t, "a", status{Running: map[string]int{"r": 4}})
+	s := newPeerStatuses(&now)
+	s.receive(t, "a", status{Running: map[string]int{"r": 4}})
 	must.Eq(t, 4, s.board.View("r", now).Load)
-	s.hear(t, "a", status{})
+	s.receive(t, "a", status{})
 	must.Eq(t, 0, s.board.View("r", now).Load)
 }
 
-// A peer tells something that this host does not understand. What it told before stands.
-func TestStatusThatIsNotUnderstood(t *testing.T) {
+// A malformed status from a peer is ignored and its previous status stays valid.
+func TestMalformedStatusIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := newStatuses(&now)
-	s.hear(t, "a", status{Transit: 3, Runners: 2, Load: 6, Slots: 24})
+	s := newPeerStatuses(&now)
+	s.receive(t, "a", status{Transit: 3, Runners: 2, Load: 6, Slots: 24})
 	s.StatusFrom("a", json.RawMessage(`{"transit":"many"}`))
 	transit, runners := s.peersInTransit()
 	must.Eq(t, 3, transit)
--- a/internal/entry/suspects_test.go
+++ b/internal/entry/suspects_test.go
@@ -22,7 +22,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// recordStore keeps records; while down it refuses every call.
+// recordStore is an in-memory store. While down is set, Create fails.
 type recordStore struct {
 	registry.Store
 	mu      sync.Mutex
@@ -55,22 +55,22 @@
 	return nil
 }
 
-// with looks at the store or changes a fault.
-func (s *recordStore) with(do func()) {
+// locked runs do while holding the store's lock.
+func (s *recordStore) locked(do func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	do()
 }
 
-// suspectHost is one host of a fleet that tells each other of requests.
-type suspectHost struct {
+// quarantineHost is one host of a fleet that exchanges quarantine entries.
+type quarantineHost struct {
 	*quarantineSync
-	network *standin.Network
-	spreads atomic.Int32
+	network    *standin.Network
+	broadcasts atomic.Int32
 }
 
-// withSuspects runs a test with hosts that know each other and share a store.
-func withSuspects(t *testing.T, names []string, run func(hosts map[string]*suspectHost, store *recordStore)) {
+// withQuarantineHosts runs a test with hosts that know of each other and share a store.
+func withQuarantineHosts(t *testing.T, names []string, run func(hosts map[string]*quarantineHost, store *recordStore)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := standin.NewNetwork()
@@ -82,7 +82,7 @@
 			synctest.Wait()
 		}()
 		store := &recordStore{records: map[string]registry.Record{}}
-		hosts := map[string]*suspectHost{}
+		hosts := map[string]*quarantineHost{}
 		for _, name := range names {
 			state := mesh.NewState(name, mesh.Timing{Lease: mesh.UsualLease, OrderGap: time.Second, Margin: mesh.UsualMargin}, time.Now())
 			for i, other := range names {
@@ -92,8 +92,8 @@
 			}
 			identity, key := peer.Identity{Host: name, Incarnation: "1"}, []byte("key")
 			pool := peer.NewPool(identity, key, network.Host(name).Dial, hclog.NewNullLogger())
-			host := &suspectHost{network: network, quarantineSync: newQuarantineSync(name, state, pool, store, board.New(), time.Now, hclog.NewNullLogger())}
-			host.broadcast = func() { host.spreads.Add(1) }
+			host := &quarantineHost{network: network, quarantineSync: newQuarantineSync(name, state, pool, store, board.New(), time.Now, hclog.NewNullLogger())}
+			host.broadcast = func() { host.broadcasts.Add(1) }
 			host.records = registry.NewReplica()
 			host.records.OnChange = func(changes []registry.Change, _ bool) { host.applyRecords(changes) }
 			mux := peer.NewMux()
@@ -109,25 +109,25 @@
 	})
 }
 
-const fatal = quarantine.Fingerprint(7)
+const poison = quarantine.Fingerprint(7)
 
-// cutOff has a request's answer broken off on a host, at the end of a runner.
-func (h *suspectHost) cutOff(runner int) {
-	h.quarantine.CutOff(quarantine.Cut{Content: fatal, Runner: fmt.Sprintf("r%d", runner), At: time.Now(), Lasted: 50 * time.Millisecond})
+// truncate simulates a response on this host that is truncated by a crash of a runner.
+func (h *quarantineHost) truncate(runner int) {
+	h.quarantine.CutOff(quarantine.Cut{Content: poison, Runner: fmt.Sprintf("r%d", runner), At: time.Now(), Lasted: 50 * time.Millisecond})
 }
 
-// Each of three hosts sees one runner end under a request. None of them alone has seen
-// enough; the hosts that count for the fleet have, whichever of them are asked.
-func TestEndsAreCountedForTheFleet(t *testing.T) {
-	withSuspects(t, []string{"a", "b", "c", "d", "e"}, func(hosts map[string]*suspectHost, _ *recordStore) {
+// Each of three hosts sees one runner crash under a request. No host alone has seen enough
+// crashes, but each counting host of the request has.
+func TestCrashesAreCountedAcrossHosts(t *testing.T) {
+	withQuarantineHosts(t, []string{"a", "b", "c", "d", "e"}, func(hosts map[string]*quarantineHost, _ *recordStore) {
 		for i, name := range []string{"a", "b", "c"} {
-			hosts[name].cutOff(i)
+			hosts[name].truncate(i)
 			time.Sleep(time.Second)
 		}
 		time.Sleep(time.Second)
 		counting := 0
 		for _, host := range hosts {
-			if _, held := host.quarantine.Held(fatal, time.Now()); held {
+			if _, held := host.quarantine.Held(poison, time.Now()); held {
 				counting++
 			}
 		}
@@ -135,69 +135,69 @@
 	})
 }
 
-// The hosts that count for a request are lost at once, or lie behind a cut, and their
-// leases have not ended yet. Those that come next in their order count in their place, the
-// same for all hosts that report, so that the ends still come together.
-func TestEndsAreCountedInPlaceOfLostHosts(t *testing.T) {
+// The counting hosts of a request are lost or partitioned off at once, before their leases
+// expire. The next-ranked hosts count in their place. They are the same for all reporting
+// hosts, so that the crashes are still added up.
+func TestCrashesAreCountedInPlaceOfLostHosts(t *testing.T) {
 	names := []string{"a", "b", "c", "d", "e", "f", "g", "h"}
-	withSuspects(t, names, func(hosts map[string]*suspectHost, _ *recordStore) {
-		ranked := hosts["a"].rankedHosts(fatal)
-		lost, left := ranked[:4], ranked[4:]
+	withQuarantineHosts(t, names, func(hosts map[string]*quarantineHost, _ *recordStore) {
+		ranked := hosts["a"].rankedHosts(poison)
+		lost, remaining := ranked[:4], ranked[4:]
 		for _, name := range lost {
 			hosts[name].network.End(name)
 		}
-		for i, name := range left[:3] {
-			hosts[name].cutOff(i)
+		for i, name := range remaining[:3] {
+			hosts[name].truncate(i)
 			time.Sleep(time.Second)
 		}
 		time.Sleep(time.Second)
-		for _, name := range left[:2] {
-			_, held := hosts[name].quarantine.Held(fatal, time.Now())
+		for _, name := range remaining[:2] {
+			_, held := hosts[name].quarantine.Held(poison, time.Now())
 			must.True(t, held, must.Sprint(name))
 		}
 	})
 }
 
-// A host hears by a heartbeat that a peer knows what it does not. It asks the peer, once,
-// and passes on that there is news.
-func TestHostAsksForWhatItLacks(t *testing.T) {
-	withSuspects(t, []string{"a", "b"}, func(hosts map[string]*suspectHost, _ *recordStore) {
+// A heartbeat tells a host that a peer has entries that it lacks. The host fetches them
+// once and broadcasts the change.
+func TestHostFetchesMissingEntries(t *testing.T) {
+	withQuarantineHosts(t, []string{"a", "b"}, func(hosts map[string]*quarantineHost, _ *recordStore) {
 		a, b := hosts["a"], hosts["b"]
 		for i := range 3 {
-			a.quarantine.Count(quarantine.Cut{Content: fatal, Runner: fmt.Sprintf("r%d", i), At: time.Now()}, time.Now())
+			a.quarantine.Count(quarantine.Cut{Content: poison, Runner: fmt.Sprintf("r%d", i), At: time.Now()}, time.Now())
 		}
 		b.onPeerDigest("a", 0)
 		time.Sleep(100 * time.Millisecond)
-		must.Eq(t, 0, b.quarantine.Size(), must.Sprint("a peer that knows nothing"))
+		must.Eq(t, 0, b.quarantine.Size(), must.Sprint("a peer with an empty quarantine"))
 		b.onPeerDigest("a", a.quarantine.Digest())
 		time.Sleep(time.Second)
 		must.Eq(t, a.quarantine.Digest(), b.quarantine.Digest())
-		must.Eq(t, 1, b.spreads.Load())
-		_, held := b.quarantine.Held(fatal, time.Now())
+		must.Eq(t, 1, b.broadcasts.Load())
+		_, held := b.quarantine.Held(poison, time.Now())
 		must.True(t, held)
 	})
 }
 
-// A request is kept from runners while the store is down. Its record is written once the
-// store is back, by one of the hosts, and removed when the request is cleared.
-func TestLastingRecord(t *testing.T) {
-	withSuspects(t, []string{"a", "b", "c"}, func(hosts map[string]*suspectHost, store *recordStore) {
-		store.with(func() { store.down = true })
+// A request is quarantined while the store is down. One of the hosts writes its record once
+// the store is back, and deletes it when the request is cleared.
+func TestPersistentRecord(t *testing.T) {
+	withQuarantineHosts(t, []string{"a", "b", "c"}, func(hosts map[string]*quarantineHost, store *recordStore) {
+		store.locked(func() { store.down = true })
 		for i := range 3 {
 			for _, host := range hosts {
-				host.cutOff(i)
+				host.truncate(i)
 			}
 			time.Sleep(time.Second)
 		}
 		time.Sleep(3 * time.Second)
-		store.with(func() {
-			must.LessEq(t, 5, store.calls, must.Sprint("one host asks, once a second"))
+		store.locked(func() {
+			must.LessEq(t, 5, store.calls, must.Sprint("one host tries, once a second"))
 			store.down = false
 		})
 		time.Sleep(2 * time.Second)
-		name := recordPrefix + fatal.String()
+		name := recordPrefix + poison.String()
 		var record registry.Record
-		store.with(func() {
+		store.locked(func() {
 			must.MapContainsKey(t, store.records, name)
 			record = store.records[name]
 		})
@@ -209,27 +209,27 @@
 			{Record: registry.Record{Name: name, Spec: json.RawMessage("{}")}},
 			{Record: registry.Record{Name: "another", Spec: json.RawMessage(`{"round":1}`)}},
 		})
-		must.Eq(t, 0, fresh.Size(), must.Sprint("spoilt records, and those of others"))
+		must.Eq(t, 0, fresh.Size(), must.Sprint("malformed and unrelated records"))
 		restarted.applyRecords([]registry.Change{{Record: record}})
-		_, held := fresh.Held(fatal, time.Now())
+		_, held := fresh.Held(poison, time.Now())
 		must.True(t, held)
 
 		for _, host := range hosts {
-			host.quarantine.Completed(fatal, time.Now())
+			host.quarantine.Completed(poison, time.Now())
 		}
 		time.Sleep(2 * time.Second)
-		store.with(func() { must.MapEmpty(t, store.records) })
+		store.locked(func() { must.MapEmpty(t, store.records) })
 	})
 }
 
-// At the target size a runner's end cuts 75 answers, which are reported by their hosts to
-// three others each; what a host is told of one is bounded.
-func TestSizeOfWhatHostsTell(t *testing.T) {
+// At the target size, a runner's crash truncates 75 responses, each of which its host
+// reports to three others, so the size of a report must be bounded.
+func TestSizeOfQuarantineMessages(t *testing.T) {
 	runner := "i-" + strings.Repeat("f", 10) + "~1700000000000"
-	cut, err := json.Marshal(CutParams{Content: fatal, Runner: runner, AgeMS: 1000, LastedMS: 12000})
+	cut, err := json.Marshal(CutParams{Content: poison, Runner: runner, AgeMS: 1000, LastedMS: 12000})
 	must.NoError(t, err)
 	must.LessEq(t, 110, len(cut), must.Sprint(string(cut)))
-	entry := quarantine.Entry{Content: fatal, Round: 1, AgeMS: 600_000, LastedMS: 12_000}
+	entry := quarantine.Entry{Content: poison, Round: 1, AgeMS: 600_000, LastedMS: 12_000}
 	for range 8 {
 		entry.Ends = append(entry.Ends, quarantine.End{Runner: runner, AgeMS: 600_000})
 	}
