--- a/internal/entry/backoff.go
+++ b/internal/entry/backoff.go
@@ -12,21 +12,21 @@
 	until map[string]time.Time
 }
 
-func (r *hostBackoff) set(host string, until time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if r.until == nil {
-		r.until = map[string]time.Time{}
+func (b *hostBackoff) set(host string, until time.Time) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if b.until == nil {
+		b.until = map[string]time.Time{}
 	}
-	r.until[host] = until
+	b.until[host] = until
 }
 
-func (r *hostBackoff) active(host string, now time.Time) bool {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	until, ok := r.until[host]
+func (b *hostBackoff) active(host string, now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	until, ok := b.until[host]
 	if ok && !now.Before(until) {
-		delete(r.until, host)
+		delete(b.until, host)
 	}
 	return ok && now.Before(until)
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -194,7 +194,7 @@
 }
 
 func (e *Entry) createFollowers(platform Platform) {
-	follower := func(kind string, sink registry.Sink, schedule watchSchedule) *registry.Follower {
+	newFollower := func(kind string, sink registry.Sink, schedule watchSchedule) *registry.Follower {
 		return &registry.Follower{
 			Store: platform.Store, Kind: kind, Sink: sink, Wait: schedule.maxWait, Pace: schedule.minInterval, Now: e.now, Log: e.log,
 			Due:       func() time.Duration { return e.mesh.Due(kind, schedule.maxAge) },
@@ -202,19 +202,19 @@
 			Confirmed: func(asOf time.Time) { e.mesh.Confirmed(kind, asOf) },
 		}
 	}
-	runners := follower(platform.RunnerKind, e.directory.Runners, runnerWatch)
+	runners := newFollower(platform.RunnerKind, e.directory.Runners, runnerWatch)
 	runners.Outage = e.outageEnded
-	versions := follower(platform.VersionKind, e.directory.Versions, versionWatch)
-	for kind, later := range map[string]*registry.Follower{platform.RunnerKind: runners, platform.VersionKind: versions} {
+	versions := newFollower(platform.VersionKind, e.directory.Versions, versionWatch)
+	for kind, follower := range map[string]*registry.Follower{platform.RunnerKind: runners, platform.VersionKind: versions} {
 		// Learning of a runner or a version a moment late costs a request one more
 		// attempt; a late configuration or host may cost more.
-		later.Copied = func() { e.mesh.Copied(kind) }
+		follower.Copied = func() { e.mesh.Copied(kind) }
 	}
-	fleet := follower(mesh.Kind, e.mesh.Fleet(), fleetWatch)
-	for _, later := range []*registry.Follower{runners, versions, fleet} {
-		later.Hold = func() bool { return e.directory.Configs.Revision() == 0 }
+	fleet := newFollower(mesh.Kind, e.mesh.Fleet(), fleetWatch)
+	for _, follower := range []*registry.Follower{runners, versions, fleet} {
+		follower.Hold = func() bool { return e.directory.Configs.Revision() == 0 }
 	}
-	e.followers = []*registry.Follower{follower(platform.ConfigKind, e.directory.Configs, configWatch), runners, versions, fleet}
+	e.followers = []*registry.Follower{newFollower(platform.ConfigKind, e.directory.Configs, configWatch), runners, versions, fleet}
 }
 
 // maxHarmlessOutage is the length up to which an outage of the store cannot let a
--- a/internal/entry/outcomes.go
+++ b/internal/entry/outcomes.go
@@ -32,8 +32,8 @@
 }
 
 // hasOutcomes reports whether any of the counters of outcomes is set.
-func (t RunnerOutcomes) hasOutcomes() bool {
-	return t.Succeeded+t.Failed+t.ConnectFailed+t.Refused+len(t.Ended) > 0
+func (r RunnerOutcomes) hasOutcomes() bool {
+	return r.Succeeded+r.Failed+r.ConnectFailed+r.Refused+len(r.Ended) > 0
 }
 
 // reportedLoad is the load last reported for a runner.
@@ -117,19 +117,19 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for runner, outcomes := range params.Runners {
-		kept := o.pending[runner]
-		kept.Succeeded += outcomes.Succeeded
-		kept.Failed += outcomes.Failed
-		kept.ConnectFailed += outcomes.ConnectFailed
-		kept.Refused += outcomes.Refused
-		if kept.Ended == nil {
-			kept.Ended = outcomes.Ended
+		merged := o.pending[runner]
+		merged.Succeeded += outcomes.Succeeded
+		merged.Failed += outcomes.Failed
+		merged.ConnectFailed += outcomes.ConnectFailed
+		merged.Refused += outcomes.Refused
+		if merged.Ended == nil {
+			merged.Ended = outcomes.Ended
 		} else {
 			for adapter, requests := range outcomes.Ended {
-				kept.Ended[adapter] += requests
+				merged.Ended[adapter] += requests
 			}
 		}
-		o.pending[runner] = kept
+		o.pending[runner] = merged
 		delete(o.reported, runner)
 	}
 }
@@ -141,8 +141,8 @@
 	now := o.now()
 	outcomes := o.pending[runner]
 	last := o.reported[runner]
-	again := running > 0 && now.Sub(last.at) >= loadRefreshInterval
-	if !outcomes.hasOutcomes() && running == last.running && !again {
+	refresh := running > 0 && now.Sub(last.at) >= loadRefreshInterval
+	if !outcomes.hasOutcomes() && running == last.running && !refresh {
 		return RunnerOutcomes{}, false
 	}
 	delete(o.pending, runner)
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -161,8 +161,8 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	k, ok := o.placements[runner][key.Adapter]
-	return ok && k.version >= key.Version && o.now().Sub(k.at) < placementTTL
+	known, ok := o.placements[runner][key.Adapter]
+	return ok && known.version >= key.Version && o.now().Sub(known.at) < placementTTL
 }
 
 // Missing implements serve.Owners.
--- a/internal/entry/rehome.go
+++ b/internal/entry/rehome.go
@@ -35,13 +35,13 @@
 }
 
 // run notifies the homes that were not notified yet.
-func (r *homeNotifier) run(ctx context.Context, snapshot *directory.Snapshot) {
+func (n *homeNotifier) run(ctx context.Context, snapshot *directory.Snapshot) {
 	if snapshot.Config == nil {
 		return
 	}
-	for id := range r.notified {
-		if _, ok := r.owner.Keeper(id); !ok {
-			delete(r.notified, id)
+	for id := range n.notified {
+		if _, ok := n.owner.Keeper(id); !ok {
+			delete(n.notified, id)
 		}
 	}
 	for service, runners := range snapshot.ByService {
@@ -49,38 +49,38 @@
 			continue
 		}
 		for _, runner := range runners {
-			if keeper, ok := r.owner.Keeper(runner.ID); ok {
-				r.notify(ctx, runner, keeper.Holding(snapshot.Versions), runners)
+			if keeper, ok := n.owner.Keeper(runner.ID); ok {
+				n.notify(ctx, runner, keeper.Holding(snapshot.Versions), runners)
 			}
 		}
 	}
 }
 
-func (r *homeNotifier) notify(ctx context.Context, runner *site.Runner, held []adapters.Key, runners []*site.Runner) {
-	before := r.notified[runner.ID]
-	current := make(map[adapters.Key]string, len(held))
-	for _, key := range held {
+func (n *homeNotifier) notify(ctx context.Context, runner *site.Runner, loaded []adapters.Key, runners []*site.Runner) {
+	before := n.notified[runner.ID]
+	current := make(map[adapters.Key]string, len(loaded))
+	for _, key := range loaded {
 		home := homeOf(key, runners)
 		if home == nil {
 			continue
 		}
-		known := home.ID == runner.ID || before[key] == home.ID || r.owners.notifyHome(ctx, home, key, runner) == nil
-		if known {
+		informed := home.ID == runner.ID || before[key] == home.ID || n.owners.notifyHome(ctx, home, key, runner) == nil
+		if informed {
 			current[key] = home.ID
 		}
 	}
-	r.notified[runner.ID] = current
+	n.notified[runner.ID] = current
 }
 
 // homeOf returns an adapter's home: the runner that ranks first for it.
 func homeOf(key adapters.Key, runners []*site.Runner) *site.Runner {
-	holders := serve.WithModel(runners, key.Model)
-	addresses := make([]string, 0, len(holders))
-	for _, runner := range holders {
+	candidates := serve.WithModel(runners, key.Model)
+	addresses := make([]string, 0, len(candidates))
+	for _, runner := range candidates {
 		addresses = append(addresses, runner.Address)
 	}
 	first := fleet.First(key.PlacementKey(), addresses)
-	for _, runner := range holders {
+	for _, runner := range candidates {
 		if runner.Address == first {
 			return runner
 		}
