--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -111,7 +111,7 @@
 
 const poison = quarantine.Fingerprint(7)
 
-// truncate simulates a response on this host that is truncated by a crash of a runner.
+// truncate simulates a response on this host that a runner crash truncated.
 func (h *quarantineHost) truncate(runner int) {
 	h.quarantine.CutOff(quarantine.Cut{Content: poison, Runner: fmt.Sprintf("r%d", runner), At: time.Now(), Lasted: 50 * time.Millisecond})
 }
@@ -233,7 +233,7 @@
 	for range 8 {
 		entry.Ends = append(entry.Ends, quarantine.End{Runner: runner, AgeMS: 600_000})
 	}
-	told, err := json.Marshal(entry)
+	encoded, err := json.Marshal(entry)
 	must.NoError(t, err)
-	must.LessEq(t, 600, len(told), must.Sprint(string(told)))
+	must.LessEq(t, 600, len(encoded), must.Sprint(string(encoded)))
 }
