--- a/internal/entry/calls.go
+++ b/internal/entry/calls.go
@@ -10,36 +10,36 @@
 	"github.com/pkg/errors"
 )
 
-// Methods that a runner's owner serves.
+// Peer methods served by the owner of a runner.
 const (
-	methodAdmit   = "runner.admit"
-	methodMissing = "runner.missing"
-	methodPlaced  = "runner.placed"
-	methodTell    = "runner.tell"
-	methodAhead   = "runner.prefetch"
+	methodAdmit    = "runner.admit"
+	methodMissing  = "runner.missing"
+	methodPlaced   = "runner.placed"
+	methodOutcomes = "runner.tell"
+	methodPrefetch = "runner.prefetch"
 )
 
-// AdmitParams asks a runner's owner for the place of a request.
+// AdmitParams asks a runner's owner to admit a request. The fields correspond to those
+// of adapters.Admission.
 type AdmitParams struct {
 	Runner  string `json:"runner"`
 	Model   string `json:"model"`
 	Adapter string `json:"adapter,omitempty"`
 	Version int64  `json:"version,omitempty"`
-	// Tokens is the length of the prompt, Output the most tokens of the answer.
+	// Tokens is the prompt length, Output the maximum response length in tokens.
 	Tokens int `json:"tokens,omitempty"`
 	Output int `json:"output,omitempty"`
-	// Likely is the caller's estimate of the answer's tokens.
+	// Likely is the caller's estimate of the response length in tokens.
 	Likely int `json:"likely,omitempty"`
-	// PatienceMS is the longest wait for other prompts, WithinMS the time after
-	// which sending the request is of no use.
+	// PatienceMS is how long to wait for other prompts before trying another runner,
+	// WithinMS the time after which sending the request is of no use.
 	PatienceMS int64 `json:"patience_ms,omitempty"`
 	WithinMS   int64 `json:"within_ms,omitempty"`
-	// TargetMS is the time within which the first event has to be there.
+	// TargetMS is the time within which the first event is due.
 	TargetMS int64 `json:"target_ms,omitempty"`
-	// Running is the number of the asker's requests on the runner.
+	// Running is the number of requests of the calling host on the runner.
 	Running int `json:"running,omitempty"`
-	// Last: no other runner took the request. The others are those of
-	// adapters.Admission.
+	// Last reports that every other runner refused the request.
 	Last   bool `json:"last,omitempty"`
 	Home   bool `json:"home,omitempty"`
 	Anew   bool `json:"anew,omitempty"`
@@ -47,18 +47,19 @@
 	Barred bool `json:"barred,omitempty"`
 }
 
-// AdmitResult tells in how many milliseconds the request may be sent.
+// AdmitResult is the result of an admission.
 type AdmitResult struct {
+	// ReadyMS is the time in milliseconds until the request may be sent.
 	ReadyMS int64 `json:"ready_ms"`
-	// Again: the adapter is on its way; ask again once it is there.
+	// Again reports that the adapter is still loading; the caller asks again after ReadyMS.
 	Again bool `json:"again,omitempty"`
-	// Refusal is set where the request is not admitted. Elsewhere are other
+	// Refusal is set if the request is not admitted. Elsewhere lists other
 	// runners with the adapter.
 	Refusal   adapters.Refusal `json:"refusal,omitempty"`
 	Elsewhere []string         `json:"elsewhere,omitempty"`
 }
 
-// PlacedParams tells the owner of an adapter's home on which other runner the
+// PlacedParams tells the owner of an adapter's home runner on which other runner the
 // adapter was placed.
 type PlacedParams struct {
 	Home    string `json:"home"`
@@ -89,14 +90,14 @@
 	}
 }
 
-func (r AdmitResult) refusal() error {
+func (r AdmitResult) refusalError() error {
 	if len(r.Elsewhere) == 0 {
 		return r.Refusal
 	}
 	return &adapters.ReplicatedError{Refusal: r.Refusal, Runners: r.Elsewhere}
 }
 
-func refused(err error) (AdmitResult, bool) {
+func refusalResult(err error) (AdmitResult, bool) {
 	var replicated *adapters.ReplicatedError
 	if errors.As(err, &replicated) {
 		return AdmitResult{Refusal: replicated.Refusal, Elsewhere: replicated.Runners}, true
@@ -108,11 +109,11 @@
 	return AdmitResult{}, false
 }
 
-// register adds the methods that peers call.
-func (o *owners) register(mux *peer.Mux) {
+// register adds the peer methods that owners serve.
+func (o *ownerClient) register(mux *peer.Mux) {
 	peer.Handle(mux, methodAdmit, func(_ context.Context, from peer.Identity, p AdmitParams) (AdmitResult, error) {
-		admitted, err := o.admitHere(p.Runner, p.admission())
-		if result, ok := refused(err); ok {
+		admitted, err := o.admitLocal(p.Runner, p.admission())
+		if result, ok := refusalResult(err); ok {
 			return result, nil
 		}
 		if !admitted.AskAgain {
@@ -121,21 +122,21 @@
 		return AdmitResult{ReadyMS: max(0, admitted.At.Sub(o.now()).Milliseconds()), Again: admitted.AskAgain}, nil
 	})
 	peer.Handle(mux, methodMissing, func(_ context.Context, _ peer.Identity, p AdmitParams) (struct{}, error) {
-		o.missingHere(p.Runner, p.admission().Key.Adapter)
+		o.missingLocal(p.Runner, p.admission().Key.Adapter)
 		return struct{}{}, nil
 	})
 	peer.Handle(mux, methodPlaced, func(_ context.Context, _ peer.Identity, p PlacedParams) (struct{}, error) {
-		if err := o.placedHere(p); err != nil {
+		if err := o.placedLocal(p); err != nil {
 			return struct{}{}, peer.NewRefusal(err)
 		}
 		return struct{}{}, nil
 	})
-	peer.Handle(mux, methodAhead, func(_ context.Context, _ peer.Identity, p AdmitParams) (struct{}, error) {
-		o.prefetchHere(p.Runner, p.admission().Key)
+	peer.Handle(mux, methodPrefetch, func(_ context.Context, _ peer.Identity, p AdmitParams) (struct{}, error) {
+		o.prefetchLocal(p.Runner, p.admission().Key)
 		return struct{}{}, nil
 	})
-	peer.Handle(mux, methodTell, func(_ context.Context, from peer.Identity, p TellParams) (struct{}, error) {
-		o.takeTold(from.Host, p)
+	peer.Handle(mux, methodOutcomes, func(_ context.Context, from peer.Identity, p OutcomesParams) (struct{}, error) {
+		o.applyOutcomes(from.Host, p)
 		return struct{}{}, nil
 	})
 }
--- /dev/null
+++ b/internal/entry/counter.go
@@ -0,0 +1,55 @@
+package entry
+
+import (
+	"time"
+
+	"github.com/cherrystage/cherrystage/internal/mesh"
+	"github.com/cherrystage/cherrystage/internal/quota"
+	"github.com/pkg/errors"
+)
+
+// leasedCounter counts for the whole fleet those parts for which this host ranks first,
+// while its lease gives it the right to.
+type leasedCounter struct {
+	host    string
+	mesh    *mesh.State
+	counter *quota.Counter
+	// keyOf returns the ranking key that selects the counting host of a part.
+	keyOf func(key string, part int) string
+	// lastRecomposed is the time of the last membership change that was applied.
+	lastRecomposed time.Time
+}
+
+func newLeasedCounter(host string, state *mesh.State, keyOf func(key string, part int) string) *leasedCounter {
+	return &leasedCounter{host: host, mesh: state, counter: quota.NewCounter(), keyOf: keyOf}
+}
+
+var errNotCountingHost = errors.New("this host does not hold the right to count this part")
+
+// countingRight returns this host's right to count a part, or errNotCountingHost.
+func (c *leasedCounter) countingRight(key string, part int, now time.Time) (quota.Ownership, error) {
+	right, ok := c.mesh.Leads(c.keyOf(key, part), now)
+	if !ok {
+		return quota.Ownership{}, errNotCountingHost
+	}
+	return quota.Ownership{Since: right.Since, Epoch: right.Epoch}, nil
+}
+
+// countingHost returns the host that counts a part and its address.
+func (c *leasedCounter) countingHost(key string, part int) (host, address string) {
+	return c.mesh.LeaderFor(c.keyOf(key, part))
+}
+
+// dropReassigned drops the counts of parts that moved to other hosts when hosts joined or
+// left. If such a part comes back, its count starts anew.
+func (c *leasedCounter) dropReassigned() {
+	recomposed := c.mesh.MembershipChangedAt()
+	if recomposed.Equal(c.lastRecomposed) {
+		return
+	}
+	c.lastRecomposed = recomposed
+	c.counter.Retain(func(key string, part int) bool {
+		host, _ := c.countingHost(key, part)
+		return host == c.host
+	})
+}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,5 +1,5 @@
-// Package entry puts one entry host together: callers in front, runners behind,
-// the platform's store beside it and the other hosts around it.
+// Package entry assembles an entry host, which proxies callers' requests to runners.
+// It connects the request path to the platform's store and to the peer hosts.
 package entry
 
 import (
@@ -28,23 +28,23 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Platform is what the host meets of the platform.
+// Platform holds the platform-specific dependencies of a host.
 type Platform struct {
 	Store   registry.Store
 	Decoder directory.Decoder
 	Dialect forward.Dialect
 	Engines adapters.Engines
-	// Kinds of the platform's records.
+	// Record kinds in the platform's store.
 	ConfigKind, RunnerKind, VersionKind string
 }
 
-// Config sets a host.
+// Config configures a host.
 type Config struct {
 	Host       string
 	DataCentre string
-	// PeerAddress is where peers reach this host.
+	// PeerAddress is the address at which peers reach this host.
 	PeerAddress string
-	// Seeds are addresses of hosts that a new process may ask first.
+	// Seeds are the addresses of hosts that a new process contacts first.
 	Seeds          []string
 	PeerKey        []byte
 	OrderGap       time.Duration
@@ -59,83 +59,85 @@
 
 // Entry is one entry host. It is safe for concurrent use.
 type Entry struct {
-	cfg       Config
-	log       hclog.Logger
-	now       func() time.Time
-	directory *directory.Directory
-	followers []*registry.Follower
-	board     *board.Board
-	state     *mesh.State
-	mesh      *mesh.Service
-	owner     *adapters.Owner
-	owners    *owners
-	suspects  *suspects
-	quotas    *quotas
-	pressure  *pressure
-	server    *serve.Server
-	client    *forward.Client
-	callers   *http.Server
-	peers     *peer.Server
-	started   time.Time
-	stopping  atomic.Bool
-	refusing  atomic.Bool
-	ready     atomic.Bool
-	changed   chan struct{}
-	requests  atomic.Int64
-	grace     atomic.Int64
+	cfg            Config
+	log            hclog.Logger
+	now            func() time.Time
+	directory      *directory.Directory
+	followers      []*registry.Follower
+	board          *board.Board
+	state          *mesh.State
+	mesh           *mesh.Service
+	owner          *adapters.Owner
+	owners         *ownerClient
+	quarantineSync *quarantineSync
+	quotas         *quotaManager
+	backpressure   *backpressure
+	server         *serve.Server
+	client         *forward.Client
+	callerServer   *http.Server
+	peerServer     *peer.Server
+	started        time.Time
+	stopping       atomic.Bool
+	rejecting      atomic.Bool
+	ready          atomic.Bool
+	wake           chan struct{}
+	openRequests   atomic.Int64
+	grace          atomic.Int64
 }
 
-// rhythm is how a kind of record is watched.
-type rhythm struct {
-	// wait is how long a watch waits, pace the least time between two.
-	wait, pace time.Duration
-	// stale is the age from which a host no longer relies on what others passed
-	// on.
-	stale time.Duration
+// watchSchedule sets how often a kind of record is watched.
+type watchSchedule struct {
+	// maxWait bounds one watch call; minInterval is the least time between two.
+	maxWait, minInterval time.Duration
+	// maxAge is the age at which a host stops relying on records relayed by peers
+	// and asks the store itself.
+	maxAge time.Duration
 }
 
-// Configurations must be in force and leaving runners be left alone within two
-// seconds, new versions within five: a change that no watch hears of is seen
-// after wait by the hosts that watch, and after stale by one that nobody tells.
-// Runners' entries change with each adapter that comes or goes, several times a
-// second, and a call a change and host was four fifths of all calls to the store.
+// A configuration must be in force, and a leaving runner avoided, within two
+// seconds; a new version must be in force within five. A change that the watch
+// misses is seen after maxWait by the hosts that watch, and after maxAge by a host
+// that no peer informs. Runner entries change several times a second, with every
+// adapter loaded or evicted; at one call per change and host they accounted for
+// four fifths of all store calls, hence their longer minInterval.
 var (
-	configRhythm  = rhythm{wait: 800 * time.Millisecond, pace: 200 * time.Millisecond, stale: 1500 * time.Millisecond}
-	runnerRhythm  = rhythm{wait: 800 * time.Millisecond, pace: 800 * time.Millisecond, stale: 1600 * time.Millisecond}
-	versionRhythm = rhythm{wait: 2 * time.Second, pace: 500 * time.Millisecond, stale: 3500 * time.Millisecond}
-	fleetRhythm   = rhythm{wait: 2 * time.Second, pace: 300 * time.Millisecond, stale: 4 * time.Second}
+	configWatch  = watchSchedule{maxWait: 800 * time.Millisecond, minInterval: 200 * time.Millisecond, maxAge: 1500 * time.Millisecond}
+	runnerWatch  = watchSchedule{maxWait: 800 * time.Millisecond, minInterval: 800 * time.Millisecond, maxAge: 1600 * time.Millisecond}
+	versionWatch = watchSchedule{maxWait: 2 * time.Second, minInterval: 500 * time.Millisecond, maxAge: 3500 * time.Millisecond}
+	fleetWatch   = watchSchedule{maxWait: 2 * time.Second, minInterval: 300 * time.Millisecond, maxAge: 4 * time.Second}
 )
 
-// reconcileInterval is how often owners, runners and readiness are looked at
-// without a cause.
+// reconcileInterval is how often owned runners and readiness are checked without
+// a change event.
 const reconcileInterval = 100 * time.Millisecond
 
-// New puts a host together. It does nothing yet.
+// New assembles a host. Nothing runs until Background, ServeCallers and ServePeers
+// are called.
 func New(cfg Config, platform Platform, dial DialFunc, now func() time.Time, log hclog.Logger) *Entry {
-	e := &Entry{cfg: cfg, log: log, now: now, started: now(), changed: make(chan struct{}, 1)}
+	e := &Entry{cfg: cfg, log: log, now: now, started: now(), wake: make(chan struct{}, 1)}
 	e.grace.Store(int64(cfg.ShutdownGrace))
 	identity := peer.Identity{Host: cfg.Host, Incarnation: newIncarnation()}
 	pool := peer.NewPool(identity, cfg.PeerKey, peer.Dialer(dial), log)
 	e.directory = directory.New(platform.Decoder, now, log)
 	e.directory.OnRunner = func(runner *site.Runner, gone bool) { e.runnerChanged(runner, gone) }
-	e.directory.OnVersion = func(version site.AdapterVersion) { go e.loadAhead(version) }
+	e.directory.OnVersion = func(version site.AdapterVersion) { go e.prefetchVersion(version) }
 	e.board = board.New()
 	e.state = mesh.NewState(cfg.Host, mesh.Timing{Lease: mesh.DefaultLease, OrderGap: cfg.OrderGap, Margin: mesh.DefaultMargin}, now())
-	e.owners = newOwners(cfg.Host, e.state, pool, e.board, now, log)
-	e.pressure = newPressure(cfg.Host, e.state, pool, e.board, e.directory, now, log)
-	e.suspects = newSuspects(cfg.Host, e.state, pool, platform.Store, e.board, now, log)
-	e.quotas = newQuotas(cfg.Host, e.state, pool, e.directory, cfg.QuotaTolerance, now, log)
-	told := &statuses{
-		board: e.board, directory: e.directory, now: now, log: log, peers: map[string]heard{},
-		quarantined: e.suspects.quarantine.Digest, quarantinedAt: e.suspects.heard, limitAt: e.pressure.peerLimit, leavingAt: e.pressure.peerLeaving,
+	e.owners = newOwnerClient(cfg.Host, e.state, pool, e.board, now, log)
+	e.backpressure = newBackpressure(cfg.Host, e.state, pool, e.board, e.directory, now, log)
+	e.quarantineSync = newQuarantineSync(cfg.Host, e.state, pool, platform.Store, e.board, now, log)
+	e.quotas = newQuotaManager(cfg.Host, e.state, pool, e.directory, cfg.QuotaTolerance, now, log)
+	statuses := &peerStatuses{
+		board: e.board, directory: e.directory, now: now, log: log, peers: map[string]receivedStatus{},
+		localDigest: e.quarantineSync.quarantine.Digest, onDigest: e.quarantineSync.onPeerDigest, onLimit: e.backpressure.applyPeerLimit, onLeaving: e.backpressure.applyPeerLeaving,
 	}
 	e.owner = adapters.NewOwner(adapters.OwnerDeps{
 		Host: cfg.Host, Engines: platform.Engines, Authority: e.state,
-		Owns: e.owns, PeerFetches: told.crowd, RunnerView: e.board.View, Utilization: told.share, TypicalPrefill: told.reading,
-		HostCount: e.state.Size, ModelLoads: cfg.LoadLimit, OnRestart: e.directory.Restarted, OnSignal: e.pressure.engineSignalled, Now: now, Log: log,
+		Owns: e.owns, PeerFetches: statuses.peersInTransit, RunnerView: e.board.View, Utilization: statuses.utilization, TypicalPrefill: statuses.typicalPromptTokenNS,
+		HostCount: e.state.Size, ModelLoads: cfg.LoadLimit, OnRestart: e.directory.Restarted, OnSignal: e.backpressure.applyEngineSignal, Now: now, Log: log,
 	})
 	e.owners.owner = e.owner
-	told.owner = e.owner
+	statuses.owner = e.owner
 	e.mesh = mesh.NewService(mesh.Deps{
 		Self: identity, Address: cfg.PeerAddress, Seeds: cfg.Seeds, DataCentre: cfg.DataCentre, State: e.state, Store: platform.Store,
 		Kinds: map[string]*registry.Replica{
@@ -143,41 +145,41 @@
 			platform.RunnerKind:  e.directory.Runners,
 			platform.VersionKind: e.directory.Versions,
 		},
-		Pool: pool, Statuses: told, Runners: e.engines, OtherChanges: e.suspects.recorded, Now: now, Log: log,
+		Pool: pool, Statuses: statuses, Runners: e.engineRunners, OtherChanges: e.quarantineSync.applyRecords, Now: now, Log: log,
 	})
-	e.suspects.spread, e.suspects.records = e.mesh.HeartbeatNow, e.mesh.Fleet()
-	e.follow(platform)
+	e.quarantineSync.broadcast, e.quarantineSync.records = e.mesh.HeartbeatNow, e.mesh.Fleet()
+	e.createFollowers(platform)
 	mux := peer.NewMux()
 	e.mesh.Register(mux)
 	e.owners.register(mux)
-	e.suspects.register(mux)
+	e.quarantineSync.register(mux)
 	e.quotas.register(mux)
-	e.pressure.register(mux)
-	e.peers = peer.NewServer(identity, cfg.PeerKey, mux, log)
+	e.backpressure.register(mux)
+	e.peerServer = peer.NewServer(identity, cfg.PeerKey, mux, log)
 	e.client = forward.NewClient(platform.Dialect, dial)
 	e.server = serve.New(serve.Deps{
-		DataCentre: cfg.DataCentre, Directory: e.directory, Board: e.board, Owners: e.owners, Backpressure: e.pressure,
-		Client: e.client, Quarantine: e.suspects.quarantine, RetryLimit: cfg.RetryLimit, Quotas: e.quotas, Ages: func() (config, runners time.Duration) {
+		DataCentre: cfg.DataCentre, Directory: e.directory, Board: e.board, Owners: e.owners, Backpressure: e.backpressure,
+		Client: e.client, Quarantine: e.quarantineSync.quarantine, RetryLimit: cfg.RetryLimit, Quotas: e.quotas, Ages: func() (config, runners time.Duration) {
 			return e.mesh.Age(platform.ConfigKind), e.mesh.Age(platform.RunnerKind)
-		}, HostCount: e.sharers, Now: now, Log: log,
+		}, HostCount: e.sharingHosts, Now: now, Log: log,
 	})
-	e.callers = (&ingress.Ingress{
-		Dialect: platform.Dialect, Directory: e.directory, Serve: e.serve, Now: now, Log: log, Closing: e.stopping.Load, Refusing: e.refusing.Load,
+	e.callerServer = (&ingress.Ingress{
+		Dialect: platform.Dialect, Directory: e.directory, Serve: e.serve, Now: now, Log: log, Closing: e.stopping.Load, Refusing: e.rejecting.Load,
 		ConfigAge: func() time.Duration { return e.mesh.Age(platform.ConfigKind) },
 	}).Server()
 	return e
 }
 
-// sharers gives the number of hosts that share what the deployment bounds, 0 until
-// the store or a peer has told who they are.
-func (e *Entry) sharers() int {
+// sharingHosts returns the number of hosts among which deployment-wide bounds are
+// shared, 0 until the store or a peer has provided the host list.
+func (e *Entry) sharingHosts() int {
 	if e.mesh.Fleet().Revision() == 0 {
 		return 0
 	}
 	return e.state.Size()
 }
 
-// configVersion gives the version of the configuration in force, 0 without one.
+// configVersion returns the version of the configuration in force, 0 if there is none.
 func (e *Entry) configVersion() int64 {
 	if config := e.directory.Snapshot().Config; config != nil {
 		return config.Version
@@ -191,36 +193,36 @@
 	return hex.EncodeToString(raw[:])
 }
 
-func (e *Entry) follow(platform Platform) {
-	follower := func(kind string, sink registry.Sink, rhythm rhythm) *registry.Follower {
+func (e *Entry) createFollowers(platform Platform) {
+	newFollower := func(kind string, sink registry.Sink, schedule watchSchedule) *registry.Follower {
 		return &registry.Follower{
-			Store: platform.Store, Kind: kind, Sink: sink, Wait: rhythm.wait, MinInterval: rhythm.pace, Now: e.now, Log: e.log,
-			WatchDelay:    func() time.Duration { return e.mesh.WatchDelay(kind, rhythm.stale) },
+			Store: platform.Store, Kind: kind, Sink: sink, Wait: schedule.maxWait, MinInterval: schedule.minInterval, Now: e.now, Log: e.log,
+			WatchDelay:    func() time.Duration { return e.mesh.WatchDelay(kind, schedule.maxAge) },
 			MaxRetryPause: func() time.Duration { return e.mesh.MaxRetryPause(kind) },
 			OnConfirmed:   func(asOf time.Time) { e.mesh.Confirmed(kind, asOf) },
 		}
 	}
-	runners := follower(platform.RunnerKind, e.directory.Runners, runnerRhythm)
+	runners := newFollower(platform.RunnerKind, e.directory.Runners, runnerWatch)
 	runners.OnOutageEnd = e.outageEnded
-	versions := follower(platform.VersionKind, e.directory.Versions, versionRhythm)
-	for kind, later := range map[string]*registry.Follower{platform.RunnerKind: runners, platform.VersionKind: versions} {
-		// A runner or a version that a host learns of a moment late costs a request one
-		// more try; a configuration or a host that it learns of late may cost more.
-		later.OnStaleList = func() { e.mesh.ListedStale(kind) }
+	versions := newFollower(platform.VersionKind, e.directory.Versions, versionWatch)
+	for kind, follower := range map[string]*registry.Follower{platform.RunnerKind: runners, platform.VersionKind: versions} {
+		// Learning of a runner or a version a moment late costs a request one more
+		// attempt; a late configuration or host may cost more.
+		follower.OnStaleList = func() { e.mesh.ListedStale(kind) }
 	}
-	fleet := follower(mesh.Kind, e.mesh.Fleet(), fleetRhythm)
-	for _, later := range []*registry.Follower{runners, versions, fleet} {
-		later.DeferList = func() bool { return e.directory.Configs.Revision() == 0 }
+	fleet := newFollower(mesh.Kind, e.mesh.Fleet(), fleetWatch)
+	for _, follower := range []*registry.Follower{runners, versions, fleet} {
+		follower.DeferList = func() bool { return e.directory.Configs.Revision() == 0 }
 	}
-	e.followers = []*registry.Follower{follower(platform.ConfigKind, e.directory.Configs, configRhythm), runners, versions, fleet}
+	e.followers = []*registry.Follower{newFollower(platform.ConfigKind, e.directory.Configs, configWatch), runners, versions, fleet}
 }
 
-// shortOutage is an outage of the store after which no runner's entry can have
-// lapsed: entries last three heartbeats of a runner.
-const shortOutage = time.Second
+// maxHarmlessOutage is the length up to which an outage of the store cannot let a
+// runner's entry expire: entries live for three heartbeats of a runner.
+const maxHarmlessOutage = time.Second
 
 func (e *Entry) outageEnded(length time.Duration) {
-	if length >= shortOutage {
+	if length >= maxHarmlessOutage {
 		e.directory.OutageEnded()
 	}
 }
@@ -230,23 +232,23 @@
 	return ok && host == e.cfg.Host
 }
 
-// engines gives the runners that need an owner.
-func (e *Entry) engines() []mesh.Runner {
+// engineRunners returns the runners that need an owner.
+func (e *Entry) engineRunners() []mesh.Runner {
 	snapshot := e.directory.Snapshot()
 	if snapshot.Config == nil {
 		return nil
 	}
-	var engines []mesh.Runner
+	var needOwner []mesh.Runner
 	for name, runners := range snapshot.ByService {
 		service := snapshot.Config.Services[name]
 		if service == nil || service.Engine == nil {
 			continue
 		}
 		for _, runner := range runners {
-			engines = append(engines, mesh.Runner{Address: runner.Address, DataCentre: runner.DataCentre})
+			needOwner = append(needOwner, mesh.Runner{Address: runner.Address, DataCentre: runner.DataCentre})
 		}
 	}
-	return engines
+	return needOwner
 }
 
 func (e *Entry) runnerChanged(runner *site.Runner, gone bool) {
@@ -256,24 +258,24 @@
 		e.owner.RunnerRemoved(runner.ID)
 	}
 	select {
-	case e.changed <- struct{}{}:
+	case e.wake <- struct{}{}:
 	default:
 	}
 }
 
-// loadAhead has the new version of an adapter in use loaded where its requests
-// will go, before they come: the first of them would wait a quarter of a second.
-// The owner of a runner that holds the old version sees to it.
-func (e *Entry) loadAhead(version site.AdapterVersion) {
+// prefetchVersion loads the new version of an adapter in use on the runner that its
+// requests will be routed to, since the first of them would otherwise wait a quarter
+// of a second. Each host that owns a runner with the adapter does so.
+func (e *Entry) prefetchVersion(version site.AdapterVersion) {
 	snapshot := e.directory.Snapshot()
 	key := adapters.Key{Adapter: version.Adapter, Version: version.Version}
 	for service, runners := range snapshot.ByService {
 		if !snapshot.IsEngine(service) || !e.holdsAny(runners, version.Adapter) {
 			continue
 		}
-		if order := serve.RankRunners(key.PlacementKey(), serve.WithModel(runners, key.Model)); len(order) > 0 {
-			e.log.Info("new version loaded ahead", "adapter", key.String(), "version", key.Version, "runner", order[0].ID)
-			e.owners.prefetch(context.Background(), order[0], key)
+		if ranked := serve.RankRunners(key.PlacementKey(), serve.WithModel(runners, key.Model)); len(ranked) > 0 {
+			e.log.Info("prefetching new adapter version", "adapter", key.String(), "version", key.Version, "runner", ranked[0].ID)
+			e.owners.prefetch(context.Background(), ranked[0], key)
 		}
 	}
 }
@@ -288,105 +290,103 @@
 }
 
 func (e *Entry) serve(ctx context.Context, w http.ResponseWriter, route *site.Route, request *forward.Request, arrived time.Time) {
-	e.requests.Add(1)
-	defer e.requests.Add(-1)
+	e.openRequests.Add(1)
+	defer e.openRequests.Add(-1)
 	e.server.Serve(ctx, w, route, request, arrived)
 }
 
-// Background keeps what the host knows up to date until the context ends.
+// Background runs the host's watches, peer exchange and reconciliation until ctx is done.
 func (e *Entry) Background(ctx context.Context) {
 	for _, follower := range e.followers {
 		go follower.Run(ctx)
 	}
 	go e.mesh.Run(ctx)
-	go e.suspects.run(ctx)
+	go e.quarantineSync.run(ctx)
 	go e.quotas.run(ctx)
-	go e.pressure.run(ctx)
-	go timing.Every(ctx, tellInterval, func() { e.owners.tell(ctx, e.directory.Snapshot().Runners) })
-	rehome := newRehome(e.owner, e.owners)
-	go timing.Every(ctx, rehomeInterval, func() { rehome.run(ctx, e.directory.Snapshot()) })
+	go e.backpressure.run(ctx)
+	go timing.Every(ctx, outcomeInterval, func() { e.owners.reportOutcomes(ctx, e.directory.Snapshot().Runners) })
+	notifier := newHomeNotifier(e.owner, e.owners)
+	go timing.Every(ctx, homeNotifyInterval, func() { notifier.run(ctx, e.directory.Snapshot()) })
 	for ctx.Err() == nil {
 		e.directory.Expire()
 		snapshot := e.directory.Snapshot()
 		if snapshot.Config != nil {
 			e.owner.Reconcile(ctx, snapshot.Config, snapshot.ByService)
 		}
-		e.checkReady(snapshot)
-		e.pause(ctx)
+		e.updateReadiness(snapshot)
+		e.waitForChange(ctx)
 	}
 }
 
-func (e *Entry) pause(ctx context.Context) {
+func (e *Entry) waitForChange(ctx context.Context) {
 	timer := time.NewTimer(reconcileInterval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-e.changed:
+	case <-e.wake:
 	case <-timer.C:
 	}
 }
 
-// checkReady says that the host may receive callers once it knows a
-// configuration and the runners.
-func (e *Entry) checkReady(snapshot *directory.Snapshot) {
+// updateReadiness marks the host ready once it has a configuration and runners.
+func (e *Entry) updateReadiness(snapshot *directory.Snapshot) {
 	ready := snapshot.Config != nil && len(snapshot.Runners) > 0 && !e.stopping.Load()
 	if e.ready.Swap(ready) != ready {
 		e.log.Info("readiness changed", "ready", ready, "config_known", snapshot.Config != nil, "runners", len(snapshot.Runners))
 	}
 }
 
-// Ready says whether callers should come to this host.
+// Ready reports whether the load balancer should send callers to this host.
 func (e *Entry) Ready() bool { return e.ready.Load() && !e.stopping.Load() }
 
-// ServeCallers serves callers until the server is closed.
+// ServeCallers serves callers on listener until Shutdown.
 func (e *Entry) ServeCallers(listener net.Listener) error {
-	return e.callers.Serve(ingress.WrapListener(listener))
+	return e.callerServer.Serve(ingress.WrapListener(listener))
 }
 
-// ServePeers serves the other hosts until the listener closes.
-func (e *Entry) ServePeers(listener net.Listener) error { return e.peers.Serve(listener) }
+// ServePeers serves the other hosts until listener is closed.
+func (e *Entry) ServePeers(listener net.Listener) error { return e.peerServer.Serve(listener) }
 
 const (
-	// leaveNotice is how long after the stop's begin new connections still come:
-	// the balancer asks once a second and takes a host out after two misses.
-	leaveNotice = 2500 * time.Millisecond
-	// leaveMargin is kept before the platform ends the process.
-	leaveMargin = 300 * time.Millisecond
+	// drainNotice is how long new connections still arrive after shutdown begins:
+	// the balancer probes once a second and removes a host after two failed probes.
+	drainNotice = 2500 * time.Millisecond
+	// exitMargin is left before the platform kills the process.
+	exitMargin = 300 * time.Millisecond
 )
 
-// Shutdown stops taking callers and waits until the requests that are under way
-// have their answers, within the grace that the platform gives.
+// Shutdown stops accepting callers and waits for the requests in flight, within the
+// platform's grace period.
 //
-// Requests go on being served for as long as the balancer sends new connections.
-// After that the listener and idle connections are closed, and what still comes
-// on open ones is refused: a stream begun then would not end before the process
-// does, and would be cut off.
+// Requests are still served while the balancer sends new connections. After that,
+// the listener and idle connections are closed, and new requests on open connections
+// are refused: a stream begun then would not finish before the process exits.
 func (e *Entry) Shutdown(ctx context.Context) {
-	begin := e.now()
+	start := e.now()
 	e.stopping.Store(true)
 	e.ready.Store(false)
-	timing.Sleep(ctx, leaveNotice)
-	e.refusing.Store(true)
-	grace := time.Duration(e.grace.Load()) - leaveMargin - e.now().Sub(begin)
-	closing, cancel := context.WithTimeout(ctx, max(0, grace))
+	timing.Sleep(ctx, drainNotice)
+	e.rejecting.Store(true)
+	grace := time.Duration(e.grace.Load()) - exitMargin - e.now().Sub(start)
+	shutdownCtx, cancel := context.WithTimeout(ctx, max(0, grace))
 	defer cancel()
-	if err := e.callers.Shutdown(closing); err != nil {
-		e.log.Warn("requests cut off at the end of the grace", "requests", e.requests.Load(), "error", err.Error())
+	if err := e.callerServer.Shutdown(shutdownCtx); err != nil {
+		e.log.Warn("requests aborted: the shutdown grace period ended", "requests", e.openRequests.Load(), "error", err.Error())
 	}
-	e.log.Info("requests ended", "left", e.requests.Load(), "took_ms", e.now().Sub(begin).Milliseconds())
+	e.log.Info("requests drained", "left", e.openRequests.Load(), "took_ms", e.now().Sub(start).Milliseconds())
 }
 
-// SetShutdownGrace takes over the grace, which may change while the process runs. The
-// gap between orders of two hosts and the part of the retry budget are agreed
-// between processes and hold for a process's life.
+// SetShutdownGrace changes the grace period, which may change while the process runs.
+// The order gap and the retry budget's share are agreed between processes and stay
+// fixed for the life of a process.
 func (e *Entry) SetShutdownGrace(grace time.Duration) { e.grace.Store(int64(grace)) }
 
-// Vars gives the metrics.
+// Vars returns the metrics.
 func (e *Entry) Vars() *expvar.Map {
 	vars := new(expvar.Map).Init()
 	counters := &e.server.Counters
 	for name, value := range map[string]func() int64{
-		"requests_open":      e.requests.Load,
+		"requests_open":      e.openRequests.Load,
 		"requests_served":    counters.Served.Load,
 		"requests_refused":   counters.Refused.Load,
 		"requests_failed":    counters.Failed.Load,
@@ -395,15 +395,15 @@
 		"quarantine_refused": counters.Quarantined.Load,
 		"quota_refused":      counters.OverQuota.Load,
 		"connections_dialed": e.client.Dialed,
-		"limit_granted":      e.pressure.granted.Load,
-		"limit_refused":      e.pressure.refused.Load,
+		"limit_granted":      e.backpressure.granted.Load,
+		"limit_refused":      e.backpressure.refused.Load,
 	} {
 		vars.Set(name, expvar.Func(func() any { return value() }))
 	}
 	vars.Set("first_byte_ms", &counters.FirstByte)
 	vars.Set("runners_known", expvar.Func(func() any { return len(e.directory.Snapshot().Runners) }))
-	vars.Set("quarantine_size", expvar.Func(func() any { return e.suspects.quarantine.Size() }))
-	vars.Set("workspaces", expvar.Func(func() any { return e.quotas.use() }))
+	vars.Set("quarantine_size", expvar.Func(func() any { return e.quarantineSync.quarantine.Size() }))
+	vars.Set("workspaces", expvar.Func(func() any { return e.quotas.workspaceUse() }))
 	vars.Set("quota_parts_counted", expvar.Func(func() any { return e.quotas.counting.counter.Size() }))
 	vars.Set("runners_limited", expvar.Func(func() any { return e.board.LimitedCount() }))
 	vars.Set("config_version", expvar.Func(func() any { return e.configVersion() }))
