--- a/internal/adapters/admission.go
+++ b/internal/adapters/admission.go
@@ -77,37 +77,37 @@
 	AskAgain bool
 }
 
-// soon is how close to its adapter's arrival a request gets its turn.
-const soon = 5 * time.Millisecond
+// turnLead is how close to its adapter's arrival a request gets its turn.
+const turnLead = 5 * time.Millisecond
 
 // Admit gives the time at which a request may be sent: once its adapter is
 // there and the prompts before it are read. It does not wait.
-func (k *Controller) Admit(ask AdmissionRequest) (AdmissionResult, error) {
-	now := k.Now()
+func (c *Controller) Admit(ask AdmissionRequest) (AdmissionResult, error) {
+	now := c.Now()
 	// A prompt is read before the first event. Of the requests that were sent just in
 	// time for a prompt of usual length, those with prompts of 7,000 tokens were late
 	// seven times as often as those with fewer than 1,000 (0.29 and 0.04 of them).
-	ask.LatencyBudget -= readingTime(ask.PromptTokens)
-	view := k.RunnerView(k.runner.ID, now)
-	limits := placing.LimitsFor(k.runner.Slots, k.Utilization())
-	usual := k.TypicalPrefill()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.adaptPace(usual)
-	admitted, err := AdmissionResult{}, k.busy(ask, view, limits)
+	ask.LatencyBudget -= prefillTime(ask.PromptTokens)
+	view := c.RunnerView(c.runner.ID, now)
+	limits := placing.LimitsFor(c.runner.Slots, c.Utilization())
+	typical := c.TypicalPrefill()
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.updatePace(typical)
+	admitted, err := AdmissionResult{}, c.checkLoad(ask, view, limits)
 	if err == nil {
-		admitted, err = k.admit(ask, now)
+		admitted, err = c.admit(ask, now)
 	}
 	if err != nil && ask.Home && !ask.Retry {
-		err = k.named(ask.Key, err)
+		err = c.withReplicas(ask.Key, err)
 	}
 	return admitted, err
 }
 
-// named adds the other runners of an adapter to a refusal; the lock is held.
-func (k *Controller) named(key Key, err error) error {
+// withReplicas adds the other runners of an adapter to a refusal; the lock is held.
+func (c *Controller) withReplicas(key Key, err error) error {
 	var refusal Refusal
-	runners := k.replicas.Named(key)
+	runners := c.replicas.Pick(key)
 	if len(runners) == 0 || !errors.As(err, &refusal) {
 		return err
 	}
@@ -115,118 +115,118 @@
 }
 
 // AddReplica notes that an adapter whose home this runner is was placed on another.
-func (k *Controller) AddReplica(key Key, runner string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.replicas.Placed(key, runner)
+func (c *Controller) AddReplica(key Key, runner string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.replicas.Add(key, runner)
 }
 
 // RunnerRemoved notes that a runner's lifetime has ended.
-func (k *Controller) RunnerRemoved(runner string) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.replicas.Keep(func(other string) bool { return other != runner })
+func (c *Controller) RunnerRemoved(runner string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.replicas.Retain(func(other string) bool { return other != runner })
 }
 
 // admit is Admit with the lock held.
-func (k *Controller) admit(ask AdmissionRequest, now time.Time) (AdmissionResult, error) {
-	if k.refusing != nil {
-		return AdmissionResult{}, k.refusing
+func (c *Controller) admit(ask AdmissionRequest, now time.Time) (AdmissionResult, error) {
+	if c.refusal != nil {
+		return AdmissionResult{}, c.refusal
 	}
-	if k.pacer.Wait(ask.PromptTokens, now) > promptPatience(ask) {
+	if c.pacer.Wait(ask.PromptTokens, now) > maxPromptWait(ask) {
 		return AdmissionResult{}, ErrPromptBacklog
 	}
 	readyAt := now
 	if ask.Key.Name != "" {
 		var err error
-		if readyAt, err = k.want(ask, now); err != nil {
+		if readyAt, err = c.requestLoad(ask, now); err != nil {
 			return AdmissionResult{}, err
 		}
 	}
-	if readyAt.Sub(now) > soon {
+	if readyAt.Sub(now) > turnLead {
 		return AdmissionResult{At: readyAt, AskAgain: true}, nil
 	}
-	sendAt := k.pacer.Admit(ask.PromptTokens, now)
+	sendAt := c.pacer.Admit(ask.PromptTokens, now)
 	if sendAt.Before(readyAt) {
 		sendAt = readyAt
 	}
-	k.slots.Begin(ask.Key.Adapter, Run{At: sendAt, Likely: likelyRun(ask), Longest: longestRun(ask)})
+	c.slots.BeginRun(ask.Key.Adapter, Run{SentAt: sendAt, Expected: expectedRunTime(ask), Max: maxRunTime(ask)})
 	return AdmissionResult{At: sendAt}, nil
 }
 
-// promptPatience is how long a request waits for the prompts before it: as long
+// maxPromptWait is how long a request waits for the prompts before it: as long
 // as it can still be on time, since on another runner its adapter may have to be
 // loaded. A request that no other runner took, or whose adapter was loaded for it
 // here, waits as long as it is of use.
-func promptPatience(ask AdmissionRequest) time.Duration {
+func maxPromptWait(ask AdmissionRequest) time.Duration {
 	if ask.LastResort || ask.Waited {
 		return ask.MaxWait
 	}
 	return min(ask.MaxWait, max(ask.PromptWait, ask.LatencyBudget*3/4))
 }
 
-// slowToken is what a token of an answer takes at most, on a runner whose batch
+// maxTokenTime is what a token of an answer takes at most, on a runner whose batch
 // is full and that reads prompts meanwhile; the usual is 6 to 8 ms.
-const slowToken = 12 * time.Millisecond
+const maxTokenTime = 12 * time.Millisecond
 
-// longestRun is how long an answer takes at most.
-func longestRun(ask AdmissionRequest) time.Duration {
-	return readingTime(ask.PromptTokens) + time.Duration(ask.MaxOutputTokens)*slowToken
+// maxRunTime is how long an answer takes at most.
+func maxRunTime(ask AdmissionRequest) time.Duration {
+	return prefillTime(ask.PromptTokens) + time.Duration(ask.MaxOutputTokens)*maxTokenTime
 }
 
-// likelyRun is how long an answer takes on a runner that keeps the usual pace.
-func likelyRun(ask AdmissionRequest) time.Duration {
+// expectedRunTime is how long an answer takes on a runner that keeps the usual pace.
+func expectedRunTime(ask AdmissionRequest) time.Duration {
 	tokens := ask.ExpectedOutputTokens
 	if tokens <= 0 {
-		tokens = ask.MaxOutputTokens / unhintedShare
+		tokens = ask.MaxOutputTokens / unhintedDivisor
 	}
-	return readingTime(ask.PromptTokens) + time.Duration(min(tokens, ask.MaxOutputTokens))*usualToken
+	return prefillTime(ask.PromptTokens) + time.Duration(min(tokens, ask.MaxOutputTokens))*typicalTokenTime
 }
 
-// unhintedShare of the most tokens is taken for an answer whose length nobody
+// unhintedDivisor of the most tokens is taken for an answer whose length nobody
 // estimates.
-const unhintedShare = 2
+const unhintedDivisor = 2
 
-// noticeablySlow is the slowness from which on a runner is told of in the log.
-const noticeablySlow = 1.2
+// slowThreshold is the slowness from which on a runner is told of in the log.
+const slowThreshold = 1.2
 
-// adaptPace hands prompts out as fast as the runner reads them beside the others; the
+// updatePace hands prompts out as fast as the runner reads them beside the others; the
 // lock is held.
-func (k *Controller) adaptPace(usual float64) {
-	before := k.pacer.slow
-	k.pacer.slow = slowness(k.reading.PerToken(), usual)
-	if (before >= noticeablySlow) == (k.pacer.slow >= noticeablySlow) {
+func (c *Controller) updatePace(typical float64) {
+	before := c.pacer.slowness
+	c.pacer.slowness = slowness(c.prefill.PerToken(), typical)
+	if (before >= slowThreshold) == (c.pacer.slowness >= slowThreshold) {
 		return
 	}
-	k.log.Info("pace of prompts changed", "slowness", k.pacer.slow, "token_ns", k.reading.PerToken(), "usual_token_ns", usual, "answers", k.reading.answers)
+	c.log.Info("pace of prompts changed", "slowness", c.pacer.slowness, "token_ns", c.prefill.PerToken(), "usual_token_ns", typical, "answers", c.prefill.samples)
 }
 
 // ObservePrefill notes how long a token of a prompt took to be read, in nanoseconds, by the
 // beginning of an answer.
-func (k *Controller) ObservePrefill(perToken float64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.reading.Observe(perToken)
+func (c *Controller) ObservePrefill(perToken float64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.prefill.Observe(perToken)
 }
 
 // PrefillPerToken gives the runner's time for a token of a prompt in nanoseconds, 0
 // while it is not known.
-func (k *Controller) PrefillPerToken() float64 {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.reading.PerToken()
+func (c *Controller) PrefillPerToken() float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.prefill.PerToken()
 }
 
 // RequestsEnded notes that requests for adapters have ended.
-func (k *Controller) RequestsEnded(adapters map[site.Adapter]int) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Controller) RequestsEnded(adapters map[site.Adapter]int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	for adapter, requests := range adapters {
-		k.slots.End(adapter, requests, k.Now())
+		c.slots.EndRuns(adapter, requests, c.Now())
 	}
-	if len(k.waiting) > 0 {
+	if len(c.pending) > 0 {
 		// One of them may wait for the place.
-		k.nudge()
+		c.wakeUp()
 	}
 }
 
@@ -234,58 +234,58 @@
 // one on which no adapter is asked for has no other way to say that its limit is over.
 const limitRecheck = 5 * time.Second
 
-// busy says why the runner should get no more requests, if it should not; the
+// checkLoad says why the runner should get no more requests, if it should not; the
 // lock is held.
-func (k *Controller) busy(ask AdmissionRequest, view board.View, limits placing.Limits) error {
+func (c *Controller) checkLoad(ask AdmissionRequest, view board.View, limits placing.Limits) error {
 	if ask.Barred {
 		return ErrBarred
 	}
-	settled := ask.LastResort || ask.Waited
-	if view.Limited && view.SaidAgo < limitRecheck && !settled && !k.holds(ask.Key) {
+	committed := ask.LastResort || ask.Waited
+	if view.Limited && view.SaidAgo < limitRecheck && !committed && !c.holdsOrLoads(ask.Key) {
 		// The runner takes few requests. An adapter that is fetched to it would wait there
 		// for its turn, and be fetched once more elsewhere for those that cannot wait.
 		return ErrBusy
 	}
 	limit := limits.NotLoaded
 	switch {
-	case settled:
+	case committed:
 		limit = limits.Max
-	case k.holds(ask.Key):
+	case c.holdsOrLoads(ask.Key):
 		limit = limits.Loaded
 	}
 	if view.Load >= limit {
 		return ErrBusy
 	}
-	if view.Refusing && !settled {
+	if view.Refusing && !committed {
 		return ErrBusy
 	}
-	if view.Suspect && !settled {
+	if view.Suspect && !committed {
 		return ErrSuspect
 	}
 	return nil
 }
 
-// holds says whether a request's adapter is on the runner or on its way; the lock
+// holdsOrLoads says whether a request's adapter is on the runner or on its way; the lock
 // is held.
-func (k *Controller) holds(key Key) bool {
+func (c *Controller) holdsOrLoads(key Key) bool {
 	if key.Name == "" {
 		return true
 	}
-	_, there := k.slots.Ready(key)
+	_, there := c.slots.Ready(key)
 	return there
 }
 
 // AdapterMissing notes that the runner turned a request away since it lacks an
 // adapter that was thought to be there.
-func (k *Controller) AdapterMissing(adapter site.Adapter) {
-	k.mu.Lock()
-	now := k.Now()
-	complaint, loading := k.slots.Early(adapter, k.estimate(false), now)
-	if complaint != NoComplaint {
-		k.Times.TooEarly(complaint == ReloadEarly)
+func (c *Controller) AdapterMissing(adapter site.Adapter) {
+	c.mu.Lock()
+	now := c.Now()
+	first, loading := c.slots.RequestTooEarly(adapter, c.estimateLoad(false), now)
+	if first != NoUnderestimate {
+		c.Times.TooEarly(first == ReloadUnderestimated)
 	}
-	k.synced = k.synced && loading
-	k.mu.Unlock()
-	k.log.Debug("adapter missing", "adapter", adapter.String(), "still_loading", loading)
-	k.nudge()
+	c.synced = c.synced && loading
+	c.mu.Unlock()
+	c.log.Debug("adapter missing", "adapter", adapter.String(), "still_loading", loading)
+	c.wakeUp()
 }
--- a/internal/adapters/keeper.go
+++ b/internal/adapters/keeper.go
@@ -22,32 +22,32 @@
 	// reportLag is how old a report may be: some hundred milliseconds, so an
 	// order must be older than this to be missed in one.
 	reportLag = 400 * time.Millisecond
-	// modelPoll is the pause between reports while a base model is loaded.
-	modelPoll = 200 * time.Millisecond
-	// syncPause is the pause after a report that failed, or that an order in
+	// modelPollInterval is the pause between reports while a base model is loaded.
+	modelPollInterval = 200 * time.Millisecond
+	// syncRetryInterval is the pause after a report that failed, or that an order in
 	// doubt calls for.
-	syncPause = 250 * time.Millisecond
-	// keptFree is the number of places that an idle keeper makes free ahead, so
+	syncRetryInterval = 250 * time.Millisecond
+	// spareSlots is the number of places that an idle keeper makes free ahead, so
 	// that the next load needs one order and not two.
-	keptFree = 1
-	// earlyAgain is how much later requests come after one came too early, at the
+	spareSlots = 1
+	// minEarlyRetry is how much later requests come after one came too early, at the
 	// least, and earlyShare the part of the load's time so far that they wait
 	// more: with the store's rate divided among twice as many loads as it serves
 	// at full speed, a request was sent four times and not twice.
-	earlyAgain = 40 * time.Millisecond
-	earlyShare = 0.15
-	// overlap is how long before a fetch is thought to be over the next one is
+	minEarlyRetry   = 40 * time.Millisecond
+	earlyRetryShare = 0.15
+	// fetchOverlap is how long before a fetch is thought to be over the next one is
 	// ordered. Estimates that are a little long, and an order's way of some 5 ms,
 	// would leave the weight store idle between two fetches: it did 55 in two
 	// seconds where it can do 64, with requests waiting.
-	overlap = 50 * time.Millisecond
-	// leastShare bounds how seldom a runner fetches, whatever the fleet's size.
-	leastShare = 0.1
-	// transitPoll is the pause of a keeper whose next load has to wait for
+	fetchOverlap = 50 * time.Millisecond
+	// minFetchShare bounds how seldom a runner fetches, whatever the fleet's size.
+	minFetchShare = 0.1
+	// loadPollInterval is the pause of a keeper whose next load has to wait for
 	// another to end.
-	transitPoll = 10 * time.Millisecond
-	// idlePass is the pause of a keeper with nothing to do.
-	idlePass = 250 * time.Millisecond
+	loadPollInterval = 10 * time.Millisecond
+	// idleInterval is the pause of a keeper with nothing to do.
+	idleInterval = 250 * time.Millisecond
 )
 
 // Authority says whether this host may give orders to the runner at an address
@@ -64,26 +64,26 @@
 
 	mu    sync.Mutex
 	spec  Spec
-	slots *Slots
+	slots *AdapterSlots
 	pacer Pacer
-	// reading is how fast the runner reads prompts.
-	reading PrefillEstimator
+	// prefill is how fast the runner reads prompts.
+	prefill PrefillEstimator
 	// replicas tells where else the adapters lie whose home the runner is.
 	replicas *Replicas
 	synced   bool
 	// modelHeld says that the base model is there.
 	modelHeld bool
-	waiting   []*want
-	wanted    uint64
-	// refusing is why requests are turned away, until the runner's report is
+	pending   []*pendingLoad
+	lastSeq   uint64
+	// refusal is why requests are turned away, until the runner's report is
 	// read again.
-	refusing error
-	wake     chan struct{}
-	// fetchedAt is when the last fetch was ordered.
-	fetchedAt time.Time
-	// transit is the number of adapters on their way from the weight store, for
+	refusal error
+	wake    chan struct{}
+	// lastFetchAt is when the last fetch was ordered.
+	lastFetchAt time.Time
+	// fetches is the number of adapters on their way from the weight store, for
 	// other keepers' loads.
-	transit atomic.Int32
+	fetches atomic.Int32
 }
 
 // ControllerDeps are what a keeper works with.
@@ -118,187 +118,187 @@
 		runner:         runner,
 		log:            deps.Log.With("runner", runner.ID, "address", runner.Address),
 		spec:           spec,
-		slots:          NewSlots(spec.Capacity),
+		slots:          NewAdapterSlots(spec.Capacity),
 		replicas:       NewReplicas(),
 		wake:           make(chan struct{}, 1),
 	}
 }
 
-func (k *Controller) nudge() {
+func (c *Controller) wakeUp() {
 	select {
-	case k.wake <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default:
 	}
 }
 
 // Fetches gives the number of adapters on their way from the weight store to the
 // runner.
-func (k *Controller) Fetches() int { return int(k.transit.Load()) }
+func (c *Controller) Fetches() int { return int(c.fetches.Load()) }
 
 // Run works until the context ends.
-func (k *Controller) Run(ctx context.Context) {
+func (c *Controller) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		pause := k.Step(ctx)
+		pause := c.Step(ctx)
 		if pause > 0 {
-			k.sleep(ctx, pause)
+			c.sleep(ctx, pause)
 		}
 	}
-	k.refuse(ErrNotOwner)
+	c.refuseAll(ErrNotOwner)
 }
 
-// refuse turns requests away until the runner's report is read.
-func (k *Controller) refuse(err error) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.refusing = err
-	k.synced = false
-	k.waiting = nil
+// refuseAll turns requests away until the runner's report is read.
+func (c *Controller) refuseAll(err error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.refusal = err
+	c.synced = false
+	c.pending = nil
 }
 
-func (k *Controller) sleep(ctx context.Context, pause time.Duration) {
+func (c *Controller) sleep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
-	case <-k.wake:
+	case <-c.wake:
 	case <-timer.C:
 	}
 }
 
 // Step does the next thing and gives the pause before the one after it.
-func (k *Controller) Step(ctx context.Context) time.Duration {
-	if _, ok := k.Authority.MayOrder(k.runner.Address, k.Now()); !ok {
+func (c *Controller) Step(ctx context.Context) time.Duration {
+	if _, ok := c.Authority.MayOrder(c.runner.Address, c.Now()); !ok {
 		// Whoever waits finds another runner sooner than the lease comes back.
-		k.refuse(ErrNotOwner)
-		return idlePass
+		c.refuseAll(ErrNotOwner)
+		return idleInterval
 	}
-	if !k.isSynced() {
-		return k.sync(ctx)
+	if !c.isSynced() {
+		return c.sync(ctx)
 	}
-	if !k.hasModel() {
-		return k.loadModel(ctx)
+	if !c.hasModel() {
+		return c.loadModel(ctx)
 	}
-	return k.next(ctx)
+	return c.runNext(ctx)
 }
 
-func (k *Controller) isSynced() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.synced
+func (c *Controller) isSynced() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.synced
 }
 
-func (k *Controller) hasModel() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.modelHeld
+func (c *Controller) hasModel() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.modelHeld
 }
 
 // sync reads the runner's report.
-func (k *Controller) sync(ctx context.Context) time.Duration {
+func (c *Controller) sync(ctx context.Context) time.Duration {
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	report, err := k.Engines.Report(ctx, k.runner.Address)
-	k.signalled(report.Signal)
+	report, err := c.Engines.Report(ctx, c.runner.Address)
+	c.passSignal(report.Signal)
 	if err != nil {
-		k.log.Debug("report not read", "error", err.Error())
-		k.refuse(ErrUnresponsive)
-		return syncPause
+		c.log.Debug("report not read", "error", err.Error())
+		c.refuseAll(ErrUnresponsive)
+		return syncRetryInterval
 	}
-	if report.Born != 0 && report.Born != k.runner.Born {
-		return k.otherLifetime(report.Born)
+	if report.Born != 0 && report.Born != c.runner.Born {
+		return c.handleOtherLifetime(report.Born)
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
-	k.modelHeld = report.holds(k.spec.Model.Name)
-	k.slots.Reported(report.Sequence, report.Adapters, reportLag, now.Add(k.estimate(false)), now)
-	k.synced = true
-	k.refusing = nil
-	if doubtful := k.slots.Doubtful(); doubtful > 0 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.Now()
+	c.modelHeld = report.holds(c.spec.Model.Name)
+	c.slots.ApplyReport(report.Sequence, report.Adapters, reportLag, now.Add(c.estimateLoad(false)), now)
+	c.synced = true
+	c.refusal = nil
+	if inDoubtLoads := c.slots.InDoubt(); inDoubtLoads > 0 {
 		// The report may be older than the order in doubt. Left at that, the place
 		// would be lost and count as a fetch for good.
-		k.synced = false
-		k.log.Info("order still in doubt after the runner's report", "orders", doubtful, "sequence", report.Sequence)
-		return syncPause
+		c.synced = false
+		c.log.Info("order still in doubt after the runner's report", "orders", inDoubtLoads, "sequence", report.Sequence)
+		return syncRetryInterval
 	}
-	k.log.Info("runner's state read", "sequence", report.Sequence, "adapters", len(report.Adapters), "model_held", k.modelHeld, "busy", report.Busy)
+	c.log.Info("runner's state read", "sequence", report.Sequence, "adapters", len(report.Adapters), "model_held", c.modelHeld, "busy", report.Busy)
 	if report.Busy {
-		k.synced = false
-		return modelPoll
+		c.synced = false
+		return modelPollInterval
 	}
 	return 0
 }
 
-// signalled passes on what an answer says of the requests that the runner can take.
-func (k *Controller) signalled(signal *board.Signal) {
+// passSignal passes on what an answer says of the requests that the runner can take.
+func (c *Controller) passSignal(signal *board.Signal) {
 	if signal != nil {
-		k.OnSignal(k.runner.ID, signal)
+		c.OnSignal(c.runner.ID, signal)
 	}
 }
 
-// otherLifetime passes over a report of another lifetime than the keeper's. One of
+// handleOtherLifetime passes over a report of another lifetime than the keeper's. One of
 // a later lifetime ends what is believed of this one; an earlier one is late.
-func (k *Controller) otherLifetime(born int64) time.Duration {
-	k.log.Info("report of another lifetime", "born", born, "keeper_born", k.runner.Born)
-	k.refuse(ErrUnresponsive)
-	if born > k.runner.Born {
-		k.OnRestart(k.runner.Instance, born)
+func (c *Controller) handleOtherLifetime(born int64) time.Duration {
+	c.log.Info("report of another lifetime", "born", born, "keeper_born", c.runner.Born)
+	c.refuseAll(ErrUnresponsive)
+	if born > c.runner.Born {
+		c.OnRestart(c.runner.Instance, born)
 	}
-	return syncPause
+	return syncRetryInterval
 }
 
-// estimate gives the time of a load that begins now; the lock is held.
-func (k *Controller) estimate(recent bool) time.Duration {
-	return k.Times.Estimate(recent, k.StoreLoad().withOneMore())
+// estimateLoad gives the time of a load that begins now; the lock is held.
+func (c *Controller) estimateLoad(recent bool) time.Duration {
+	return c.Times.Estimate(recent, c.StoreLoad().withOneMoreFetch())
 }
 
 // loadModel orders the base model and waits for it.
-func (k *Controller) loadModel(ctx context.Context) time.Duration {
-	if wait := k.ModelLoads.Take(k.Now(), k.spec.LoadsPerSecond, k.HostCount()); wait > 0 {
-		return min(wait, modelPoll)
+func (c *Controller) loadModel(ctx context.Context) time.Duration {
+	if wait := c.ModelLoads.Take(c.Now(), c.spec.LoadsPerSecond, c.HostCount()); wait > 0 {
+		return min(wait, modelPollInterval)
 	}
-	outcome := k.order(ctx, true, Key{Adapter: site.Adapter{Model: k.spec.Model.Name}})
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	outcome := c.order(ctx, true, Key{Adapter: site.Adapter{Model: c.spec.Model.Name}})
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	if outcome == OutcomeAccepted {
-		k.slots.Sequence++
+		c.slots.Sequence++
 	}
 	if outcome == OutcomeDone {
-		k.modelHeld = true
+		c.modelHeld = true
 		return 0
 	}
-	k.synced = false
-	return modelPoll + reportLag
+	c.synced = false
+	return modelPollInterval + reportLag
 }
 
 // action is what a keeper does next.
 type action uint8
 
 const (
-	rest action = iota
-	loadIt
-	unloadIt
-	// dropIt: there is no room; whoever asks again is sent to another runner.
-	dropIt
+	actionNone action = iota
+	actionLoad
+	actionUnload
+	// actionDrop: there is no room; whoever asks again is sent to another runner.
+	actionDrop
 )
 
-// step is an action on an adapter, or a pause.
-type step struct {
+// task is an action on an adapter, or a pause.
+type task struct {
 	action action
 	key    Key
 	pause  time.Duration
 }
 
-// next does the next thing and gives the pause after it.
-func (k *Controller) next(ctx context.Context) time.Duration {
-	planned := k.plan()
+// runNext does the runNext thing and gives the pause after it.
+func (c *Controller) runNext(ctx context.Context) time.Duration {
+	planned := c.plan()
 	switch planned.action {
-	case loadIt:
-		return k.loadAdapter(ctx, planned.key)
-	case unloadIt:
-		return k.unload(ctx, planned.key.Adapter)
-	case dropIt:
-		k.drop(planned.key)
+	case actionLoad:
+		return c.loadAdapter(ctx, planned.key)
+	case actionUnload:
+		return c.unload(ctx, planned.key.Adapter)
+	case actionDrop:
+		c.dropPending(planned.key)
 		return 0
 	default:
 		return planned.pause
@@ -307,42 +307,42 @@
 
 // plan decides what comes next: the load that is wanted first, room for it, or
 // room for the next one.
-func (k *Controller) plan() step {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
-	k.slots.Settle(now)
-	k.countTransit()
-	k.forgetOld(now)
-	w := k.firstWaiting()
+func (c *Controller) plan() task {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.Now()
+	c.slots.Advance(now)
+	c.updateFetches()
+	c.dropStale(now)
+	w := c.nextPending()
 	if w == nil {
-		return k.planRoom(now)
+		return c.planSpareSlot(now)
 	}
-	if !k.mayLoad(w.key) {
-		return step{pause: transitPoll}
+	if !c.mayLoad(w.key) {
+		return task{pause: loadPollInterval}
 	}
-	if _, replaces := k.slots.places[w.key.Adapter]; replaces || k.slots.Free() > 0 {
-		return step{action: loadIt, key: w.key}
+	if _, replaces := c.slots.entries[w.key.Adapter]; replaces || c.slots.Free() > 0 {
+		return task{action: actionLoad, key: w.key}
 	}
-	victim, found := k.slots.Victim(now)
-	if !found && now.Before(w.placeAt.Add(overdue)) {
-		return step{pause: transitPoll}
+	victim, found := c.slots.Victim(now)
+	if !found && now.Before(w.slotExpectedAt.Add(overdueExtension)) {
+		return task{pause: loadPollInterval}
 	}
 	if !found {
-		return step{action: dropIt, key: w.key}
+		return task{action: actionDrop, key: w.key}
 	}
-	return step{action: unloadIt, key: Key{Adapter: victim}}
+	return task{action: actionUnload, key: Key{Adapter: victim}}
 }
 
-func (k *Controller) planRoom(now time.Time) step {
-	if k.slots.Free() >= keptFree {
-		return step{pause: idlePass}
+func (c *Controller) planSpareSlot(now time.Time) task {
+	if c.slots.Free() >= spareSlots {
+		return task{pause: idleInterval}
 	}
-	victim, found := k.slots.Victim(now)
+	victim, found := c.slots.Victim(now)
 	if !found {
-		return step{pause: idlePass}
+		return task{pause: idleInterval}
 	}
-	return step{action: unloadIt, key: Key{Adapter: victim}}
+	return task{action: actionUnload, key: Key{Adapter: victim}}
 }
 
 // mayLoad says whether one more load may begin; the lock is held.
@@ -353,38 +353,38 @@
 // quarter of a second and those that wait least are served in time. What the
 // runner held lately does not come from the store and waits for nothing: behind
 // fetches, a fifth of all loads took 270 ms and not 25.
-func (k *Controller) mayLoad(key Key) bool {
-	transit, _ := k.slots.Transit()
-	if transit >= maxTransit {
+func (c *Controller) mayLoad(key Key) bool {
+	transit, _ := c.slots.InProgress()
+	if transit >= maxConcurrentLoads {
 		return false
 	}
-	if k.slots.Recent(key) {
+	if c.slots.HeldRecently(key) {
 		return true
 	}
-	crowd := k.StoreLoad()
-	if float64(crowd.Fetches) < crowd.Capacity {
+	store := c.StoreLoad()
+	if float64(store.Fetches) < store.Capacity {
 		return true
 	}
-	now := k.Now()
-	return k.slots.Fetching(now.Add(overlap)) == 0 && now.Sub(k.fetchedAt) >= k.turn(crowd)
+	now := c.Now()
+	return c.slots.FetchingAt(now.Add(fetchOverlap)) == 0 && now.Sub(c.lastFetchAt) >= c.fetchInterval(store)
 }
 
-// turn is the time between two fetches of one runner while the store is crowded;
+// fetchInterval is the time between two fetches of one runner while the store is crowded;
 // the lock is held. With more runners than loads at full speed each fetches for a
 // part of the time only: at once, 112 loads took half a second each and none was
 // in time, while 64 at a time take 0.29 s.
-func (k *Controller) turn(crowd StoreLoad) time.Duration {
-	return time.Duration(float64(k.Times.Estimate(false, StoreLoad{})-overlap) / max(leastShare, min(1, crowd.PerRunner)))
+func (c *Controller) fetchInterval(store StoreLoad) time.Duration {
+	return time.Duration(float64(c.Times.Estimate(false, StoreLoad{})-fetchOverlap) / max(minFetchShare, min(1, store.PerRunner)))
 }
 
-// countTransit keeps the number of fetches for other keepers; the lock is held.
-func (k *Controller) countTransit() {
-	_, fetched := k.slots.Transit()
-	k.transit.Store(int32(fetched))
+// updateFetches keeps the number of fetches for other keepers; the lock is held.
+func (c *Controller) updateFetches() {
+	_, fetched := c.slots.InProgress()
+	c.fetches.Store(int32(fetched))
 }
 
-func (k *Controller) isRecent(key Key) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.slots.Recent(key)
+func (c *Controller) heldRecently(key Key) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.slots.HeldRecently(key)
 }
--- a/internal/adapters/keeper_test.go
+++ b/internal/adapters/keeper_test.go
@@ -11,12 +11,12 @@
 	"github.com/shoenig/test/must"
 )
 
-// keeperAt makes a keeper whose clock is set by the test and whose runner holds
+// newTestController makes a keeper whose clock is set by the test and whose runner holds
 // the base model.
-func keeperAt(now *time.Time, capacity int, engines Engines) *Controller {
-	k := NewController(&site.Runner{ID: "r", Instance: "r", Address: "r:1", Slots: 64}, Spec{Model: site.Model{Name: "m"}, Capacity: capacity}, ControllerDeps{
+func newTestController(now *time.Time, capacity int, engines Engines) *Controller {
+	c := NewController(&site.Runner{ID: "r", Instance: "r", Address: "r:1", Slots: 64}, Spec{Model: site.Model{Name: "m"}, Capacity: capacity}, ControllerDeps{
 		OnSignal: func(string, *board.Signal) {},
-		Holder:   "h", Engines: engines, Authority: always{}, Times: NewLoadTimes(),
+		Holder:   "h", Engines: engines, Authority: alwaysAuthorized{}, Times: NewLoadTimes(),
 		StoreLoad:      func() StoreLoad { return StoreLoad{Capacity: 8} },
 		RunnerView:     func(string, time.Time) board.View { return board.View{} },
 		Utilization:    func() float64 { return 0 },
@@ -26,16 +26,16 @@
 		Now:            func() time.Time { return *now },
 		Log:            hclog.NewNullLogger(),
 	})
-	k.synced, k.modelHeld = true, true
-	return k
+	c.synced, c.modelHeld = true, true
+	return c
 }
 
-// crowded is a weight store that is busy with as much as it serves at full speed.
-func crowded() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.89} }
+// saturatedStore is a weight store that is busy with as much as it serves at full speed.
+func saturatedStore() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.89} }
 
-type always struct{}
+type alwaysAuthorized struct{}
 
-func (always) MayOrder(string, time.Time) (uint64, bool) { return 1, true }
+func (alwaysAuthorized) MayOrder(string, time.Time) (uint64, bool) { return 1, true }
 
 // fakeEngine accepts orders as its answers say.
 type fakeEngine struct {
@@ -57,8 +57,8 @@
 	return Report{Models: []string{"m"}}, nil
 }
 
-func admission(i int, target time.Duration) AdmissionRequest {
-	return AdmissionRequest{Key: keyed(i), PromptTokens: 800, MaxOutputTokens: 100, PromptWait: time.Second, LatencyBudget: target, MaxWait: 2 * time.Second}
+func testRequest(i int, target time.Duration) AdmissionRequest {
+	return AdmissionRequest{Key: testKey(i), PromptTokens: 800, MaxOutputTokens: 100, PromptWait: time.Second, LatencyBudget: target, MaxWait: 2 * time.Second}
 }
 
 // Loads are wanted twice as fast as the weight store can do them, for ten
@@ -72,22 +72,22 @@
 		target = 450 * time.Millisecond
 	)
 	now := epoch
-	k := keeperAt(&now, 1000, &fakeEngine{})
+	c := newTestController(&now, 1000, &fakeEngine{})
 	asked := map[Key]time.Time{}
 	inTime, next := 0, 0
 	free := epoch
 	for ; now.Before(epoch.Add(10 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		if now.Sub(epoch) >= time.Duration(next)*every {
-			asked[keyed(next)] = now
-			_, _ = k.Admit(admission(next, target))
+			asked[testKey(next)] = now
+			_, _ = c.Admit(testRequest(next, target))
 			next++
 		}
-		if now.Before(free) || len(k.waiting) == 0 {
+		if now.Before(free) || len(c.pending) == 0 {
 			continue
 		}
-		w := k.firstWaiting()
-		k.drop(w.key)
-		k.slots.Loading(w.key, now.Add(each), now)
+		w := c.nextPending()
+		c.dropPending(w.key)
+		c.slots.LoadAccepted(w.key, now.Add(each), now)
 		free = now.Add(each)
 		if free.Sub(asked[w.key]) <= target {
 			inTime++
@@ -98,15 +98,15 @@
 
 // More loads are wanted than can be done before the callers leave. Who cannot
 // be served is told so at once and not after two seconds of waiting.
-func TestCrowdedRunnerRefusesAtOnce(t *testing.T) {
+func TestLoadsThatTakeTooLongAreRefusedAtOnce(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 1000, &fakeEngine{})
+	c := newTestController(&now, 1000, &fakeEngine{})
 	refused := 0
 	for i := range 30 {
-		k.StoreLoad = crowded
-		ask := admission(i, 0)
+		c.StoreLoad = saturatedStore
+		ask := testRequest(i, 0)
 		ask.LastResort = true
-		if _, err := k.Admit(ask); err != nil {
+		if _, err := c.Admit(ask); err != nil {
 			must.ErrorIs(t, err, ErrLoadTooSlow)
 			refused++
 		}
@@ -116,67 +116,67 @@
 
 // One load is waited for at an adapter's home. A second request could not be on
 // time behind it: it goes to another runner at once, while it still can be.
-func TestQueuedLoadSendsOn(t *testing.T) {
+func TestRequestBehindQueuedLoadIsRefused(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 1000, &fakeEngine{})
-	k.StoreLoad = crowded
-	target := firstLoadTime + 100*time.Millisecond
-	_, err := k.Admit(admission(1, target))
+	c := newTestController(&now, 1000, &fakeEngine{})
+	c.StoreLoad = saturatedStore
+	target := initialFetchTime + 100*time.Millisecond
+	_, err := c.Admit(testRequest(1, target))
 	must.NoError(t, err)
-	_, err = k.Admit(admission(2, target))
+	_, err = c.Admit(testRequest(2, target))
 	must.ErrorIs(t, err, ErrLoadTooSlow)
-	_, err = k.Admit(admission(3, 2*target))
+	_, err = c.Admit(testRequest(3, 2*target))
 	must.NoError(t, err)
 }
 
 // The weight store has room. Four adapters are asked for at one runner at the same
 // moment: they come side by side, and each request is told to come when its own is
 // there. Told one after the other, the second was sent after 510 ms, too late.
-func TestFetchesSideBySide(t *testing.T) {
+func TestFetchesRunInParallel(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{}
-	k := keeperAt(&now, 1000, engine)
-	k.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 2, Capacity: 8, PerRunner: 0.89} }
+	c := newTestController(&now, 1000, engine)
+	c.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 2, Capacity: 8, PerRunner: 0.89} }
 	for i := range 4 {
-		admitted, err := k.Admit(admission(i, 450*time.Millisecond))
+		admitted, err := c.Admit(testRequest(i, 450*time.Millisecond))
 		must.NoError(t, err)
-		must.Eq(t, firstLoadTime, admitted.At.Sub(now))
+		must.Eq(t, initialFetchTime, admitted.At.Sub(now))
 	}
 	for range 4 {
-		must.Eq(t, 0, k.next(t.Context()))
+		must.Eq(t, 0, c.runNext(t.Context()))
 	}
 	must.Len(t, 4, engine.orders)
 }
 
 // Twice as many runners as the store serves at full speed want to load. Each waits
 // its turn: all at once, every load would take twice as long and none be in time.
-func TestRunnersTakeTurnsAtACrowdedStore(t *testing.T) {
+func TestRunnersTakeTurnsAtASaturatedStore(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 8, &fakeEngine{})
-	k.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.5} }
-	k.loadAdapter(t.Context(), keyed(1))
-	now = now.Add(firstLoadTime)
-	k.slots.Settle(now)
-	must.False(t, k.mayLoad(keyed(2)))
-	now = now.Add(firstLoadTime)
-	must.True(t, k.mayLoad(keyed(2)))
+	c := newTestController(&now, 8, &fakeEngine{})
+	c.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.5} }
+	c.loadAdapter(t.Context(), testKey(1))
+	now = now.Add(initialFetchTime)
+	c.slots.Advance(now)
+	must.False(t, c.mayLoad(testKey(2)))
+	now = now.Add(initialFetchTime)
+	must.True(t, c.mayLoad(testKey(2)))
 }
 
 // All places are in use by requests that run. A further adapter is refused at
 // once, so that its request goes to another runner; when a request has ended its
 // adapter makes way.
-func TestPlacesInUse(t *testing.T) {
+func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 1, &fakeEngine{})
-	k.slots.Loading(keyed(1), now, now)
+	c := newTestController(&now, 1, &fakeEngine{})
+	c.slots.LoadAccepted(testKey(1), now, now)
 	now = now.Add(time.Second)
-	k.slots.Settle(now)
-	_, err := k.Admit(admission(1, time.Second))
+	c.slots.Advance(now)
+	_, err := c.Admit(testRequest(1, time.Second))
 	must.NoError(t, err)
-	_, err = k.Admit(admission(2, time.Second))
+	_, err = c.Admit(testRequest(2, time.Second))
 	must.ErrorIs(t, err, ErrNoFreeSlot)
-	k.RequestsEnded(map[site.Adapter]int{named(1): 1})
-	admitted, err := k.Admit(admission(2, time.Second))
+	c.RequestsEnded(map[site.Adapter]int{testAdapter(1): 1})
+	admitted, err := c.Admit(testRequest(2, time.Second))
 	must.NoError(t, err)
 	must.True(t, admitted.AskAgain)
 }
@@ -185,21 +185,21 @@
 // which requests that run use two. One load is waited for; the other requests are
 // refused at once, while other runners can still serve them in time. Told to wait,
 // they were refused when the load before theirs had taken the place.
-func TestClumpMeetsOnePlace(t *testing.T) {
+func TestBurstOnOneFreeSlot(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 3, &fakeEngine{})
+	c := newTestController(&now, 3, &fakeEngine{})
 	for i := range 3 {
-		k.slots.Loading(keyed(i), now, now)
+		c.slots.LoadAccepted(testKey(i), now, now)
 	}
 	now = now.Add(time.Second)
-	k.slots.Settle(now)
+	c.slots.Advance(now)
 	for i := range 2 {
-		_, err := k.Admit(admission(i, time.Second))
+		_, err := c.Admit(testRequest(i, time.Second))
 		must.NoError(t, err)
 	}
 	waiting, refused := 0, 0
 	for i := range 5 {
-		admitted, err := k.Admit(admission(10+i, time.Second))
+		admitted, err := c.Admit(testRequest(10+i, time.Second))
 		if err != nil {
 			must.ErrorIs(t, err, ErrNoFreeSlot)
 			refused++
@@ -214,16 +214,16 @@
 
 // A host that was sent to an adapter dies with its requests, and never tells
 // their end. The place is free once they cannot run any more.
-func TestPlaceOfLostHost(t *testing.T) {
+func TestSlotOfLostHostIsFreed(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 1, &fakeEngine{})
-	k.slots.Loading(keyed(1), now, now)
+	c := newTestController(&now, 1, &fakeEngine{})
+	c.slots.LoadAccepted(testKey(1), now, now)
 	now = now.Add(time.Second)
-	k.slots.Settle(now)
-	_, err := k.Admit(admission(1, time.Second))
+	c.slots.Advance(now)
+	_, err := c.Admit(testRequest(1, time.Second))
 	must.NoError(t, err)
-	now = now.Add(longestRun(admission(1, 0)) + time.Millisecond)
-	_, ok := k.slots.Victim(now)
+	now = now.Add(maxRunTime(testRequest(1, 0)) + time.Millisecond)
+	_, ok := c.slots.Victim(now)
 	must.True(t, ok)
 }
 
@@ -233,90 +233,90 @@
 func TestLostAnswerCountsOnce(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{answers: []Outcome{OutcomeUnknown, OutcomeConflict}}
-	k := keeperAt(&now, 3, engine)
-	k.loadAdapter(context.Background(), keyed(1))
+	c := newTestController(&now, 3, engine)
+	c.loadAdapter(context.Background(), testKey(1))
 	must.Len(t, 2, engine.orders)
 	must.Eq(t, engine.orders[0].Sequence, engine.orders[1].Sequence)
-	must.Eq(t, 1, k.slots.Sequence)
-	_, ok := k.slots.Ready(keyed(1))
+	must.Eq(t, 1, c.slots.Sequence)
+	_, ok := c.slots.Ready(testKey(1))
 	must.True(t, ok)
-	must.True(t, k.synced)
+	must.True(t, c.synced)
 }
 
 // Both answers are lost. The place is in doubt and the report is read before
 // anything else is ordered.
-func TestNoAnswerAtAll(t *testing.T) {
+func TestLoadWithoutAnswerIsInDoubt(t *testing.T) {
 	now := epoch
-	engine := &fakeEngine{answers: make([]Outcome, orderTries)}
-	k := keeperAt(&now, 1, engine)
-	k.loadAdapter(context.Background(), keyed(1))
-	must.Len(t, orderTries, engine.orders)
-	must.False(t, k.synced)
-	must.Eq(t, 0, k.slots.Free())
+	engine := &fakeEngine{answers: make([]Outcome, maxOrderTries)}
+	c := newTestController(&now, 1, engine)
+	c.loadAdapter(context.Background(), testKey(1))
+	must.Len(t, maxOrderTries, engine.orders)
+	must.False(t, c.synced)
+	must.Eq(t, 0, c.slots.Free())
 }
 
 // All answers to an order are lost, and the report that is read next is older than
 // the order. The place stays in doubt and the report is read again: left at that,
 // the place was lost for good, and the runner did one load a second.
-func TestDoubtOutlivesAnOldReport(t *testing.T) {
+func TestInDoubtLoadOutlivesAnOldReport(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 1, &fakeEngine{answers: make([]Outcome, orderTries)})
-	k.loadAdapter(context.Background(), keyed(1))
+	c := newTestController(&now, 1, &fakeEngine{answers: make([]Outcome, maxOrderTries)})
+	c.loadAdapter(context.Background(), testKey(1))
 	now = now.Add(reportLag / 2)
-	must.Eq(t, syncPause, k.sync(context.Background()))
-	must.False(t, k.synced)
-	must.Eq(t, 0, k.slots.Free())
+	must.Eq(t, syncRetryInterval, c.sync(context.Background()))
+	must.False(t, c.synced)
+	must.Eq(t, 0, c.slots.Free())
 	now = now.Add(reportLag)
-	must.Eq(t, 0, k.sync(context.Background()))
-	must.True(t, k.synced)
-	must.Eq(t, 1, k.slots.Free())
+	must.Eq(t, 0, c.sync(context.Background()))
+	must.True(t, c.synced)
+	must.Eq(t, 1, c.slots.Free())
 }
 
 func TestLoadTimesLearn(t *testing.T) {
 	times := NewLoadTimes()
-	must.Eq(t, firstLoadTime, times.Estimate(false, StoreLoad{Capacity: 8}))
-	must.Eq(t, firstReloadTime, times.Estimate(true, StoreLoad{Fetches: 100, Capacity: 8}))
-	must.Greater(t, firstLoadTime, times.Estimate(false, StoreLoad{Fetches: 18, Capacity: 8}))
+	must.Eq(t, initialFetchTime, times.Estimate(false, StoreLoad{Capacity: 8}))
+	must.Eq(t, initialReloadTime, times.Estimate(true, StoreLoad{Fetches: 100, Capacity: 8}))
+	must.Greater(t, initialFetchTime, times.Estimate(false, StoreLoad{Fetches: 18, Capacity: 8}))
 	for range 20 {
 		times.TooEarly(false)
 	}
 	slow := times.Estimate(false, StoreLoad{Capacity: 8})
-	must.Greater(t, 2*firstLoadTime, slow)
+	must.Greater(t, 2*initialFetchTime, slow)
 	for range 2000 {
 		times.InTime(false)
 	}
-	must.Eq(t, minLoad, times.Estimate(false, StoreLoad{Capacity: 8}))
+	must.Eq(t, minFetchTime, times.Estimate(false, StoreLoad{Capacity: 8}))
 }
 
 // The weight store is crowded and the runner has just begun a fetch. A request that
 // could be served in time by an idle store is told at once that it cannot be here,
 // while another runner may have its turn sooner.
-func TestTurnsCountAtACrowdedStore(t *testing.T) {
+func TestWaitForTurnCountsAtASaturatedStore(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 8, &fakeEngine{})
-	target := firstLoadTime + 100*time.Millisecond
-	k.loadAdapter(t.Context(), keyed(1))
-	_, err := k.Admit(admission(2, target))
+	c := newTestController(&now, 8, &fakeEngine{})
+	target := initialFetchTime + 100*time.Millisecond
+	c.loadAdapter(t.Context(), testKey(1))
+	_, err := c.Admit(testRequest(2, target))
 	must.NoError(t, err)
-	k.drop(keyed(2))
-	k.StoreLoad = crowded
-	_, err = k.Admit(admission(2, target))
+	c.dropPending(testKey(2))
+	c.StoreLoad = saturatedStore
+	_, err = c.Admit(testRequest(2, target))
 	must.ErrorIs(t, err, ErrLoadTooSlow)
 }
 
 // A load waits at a crowded store, and behind it a second could be in time. A request
 // with a short prompt waits for it; one with a long prompt would be late here, since
 // its prompt has to be read as well, and is sent on.
-func TestLongPromptsNeedTheirTime(t *testing.T) {
+func TestPrefillTimeCountsAgainstTheBudget(t *testing.T) {
 	for tokens, want := range map[int]error{200: nil, 7000: ErrLoadTooSlow} {
 		now := epoch
-		k := keeperAt(&now, 8, &fakeEngine{})
-		k.StoreLoad = crowded
-		_, err := k.Admit(admission(1, time.Second))
+		c := newTestController(&now, 8, &fakeEngine{})
+		c.StoreLoad = saturatedStore
+		_, err := c.Admit(testRequest(1, time.Second))
 		must.NoError(t, err)
-		ask := admission(2, 600*time.Millisecond)
+		ask := testRequest(2, 600*time.Millisecond)
 		ask.PromptTokens = tokens
-		_, err = k.Admit(ask)
+		_, err = c.Admit(ask)
 		must.Eq(t, want, err, must.Sprint(tokens))
 	}
 }
--- a/internal/adapters/late.go
+++ b/internal/adapters/late.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// lateOrder is how long after it was sent an order without an answer may still be
+// lateOrderMax is how long after it was sent an order without an answer may still be
 // carried out: the platform names 2 to 12 s, and a second is kept as a margin.
-const lateOrder = 13 * time.Second
+const lateOrderMax = 13 * time.Second
 
 // LateOrders are the orders without an answer that a runner may still carry out, by
 // the sequence that they were given for.
@@ -15,19 +15,19 @@
 // given for. If all places are taken by then, the runner crashes: it was ordered to
 // hold more than it can. Within one lifetime this cannot be, since the sequence only
 // grows and an order that was overtaken is void.
-type LateOrders map[int64]lateLoad
+type LateOrders map[int64]lateOrder
 
-// lateLoad is the latest order of one sequence.
-type lateLoad struct {
+// lateOrder is the latest order of one sequence.
+type lateOrder struct {
 	load  bool
 	until time.Time
 }
 
-// note keeps an order that has no answer yet. Once it has one, settled takes it back
+// add keeps an order that has no answer yet. Once it has one, settled takes it back
 // and leaves those that were given for the sequence before.
-func (l LateOrders) note(sequence int64, load bool, now time.Time) (settled func()) {
+func (l LateOrders) add(sequence int64, load bool, now time.Time) (undo func()) {
 	before, noted := l[sequence]
-	l[sequence] = lateLoad{load: load || before.load, until: now.Add(lateOrder)}
+	l[sequence] = lateOrder{load: load || before.load, until: now.Add(lateOrderMax)}
 	return func() {
 		if noted {
 			l[sequence] = before
@@ -54,23 +54,23 @@
 	}
 }
 
-// ahead is how many orders ahead places are kept free: an order to load needs the
+// lookahead is how many orders lookahead places are kept free: an order to load needs the
 // room that the sequence after it calls for, and making room takes an order as well.
-const ahead = 2
+const lookahead = 2
 
-// places gives how many places have to be kept free at a sequence.
-func (l LateOrders) places(sequence int64) int {
+// reservedSlots gives how many reservedSlots have to be kept free at a sequence.
+func (l LateOrders) reservedSlots(sequence int64) int {
 	most := 0
-	for next := sequence; next <= sequence+ahead; next++ {
-		most = max(most, l.from(next))
+	for next := sequence; next <= sequence+lookahead; next++ {
+		most = max(most, l.consecutiveLoads(next))
 	}
 	return most
 }
 
-// from gives how many places late orders may take before the owner notices: the
+// consecutiveLoads gives how many places late orders may take before the owner notices: the
 // loads of the sequences that follow on each other. The owner's first order after
 // one of them finds another sequence.
-func (l LateOrders) from(sequence int64) int {
+func (l LateOrders) consecutiveLoads(sequence int64) int {
 	loads := 0
 	for {
 		order, ok := l[sequence]
--- a/internal/adapters/late_test.go
+++ b/internal/adapters/late_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// forgetfulEngine plays a runner that loses answers and carries the orders out late,
+// lossyEngine plays a runner that loses answers and carries the orders out late,
 // also in the lifetime that begins when it starts again.
-type forgetfulEngine struct {
+type lossyEngine struct {
 	capacity int
 	born     int64
 	sequence int64
@@ -21,7 +21,7 @@
 	most     int
 }
 
-func (f *forgetfulEngine) Order(_ context.Context, _ string, order Order) (OrderAnswer, error) {
+func (f *lossyEngine) Order(_ context.Context, _ string, order Order) (OrderAnswer, error) {
 	if f.lose {
 		f.late = append(f.late, order)
 		return OrderAnswer{}, nil
@@ -29,7 +29,7 @@
 	return OrderAnswer{Outcome: f.take(order)}, nil
 }
 
-func (f *forgetfulEngine) take(order Order) Outcome {
+func (f *lossyEngine) take(order Order) Outcome {
 	if order.Sequence != f.sequence {
 		return OutcomeConflict
 	}
@@ -43,19 +43,19 @@
 	return OutcomeAccepted
 }
 
-func (f *forgetfulEngine) carryOutLate() {
+func (f *lossyEngine) carryOutLate() {
 	for _, order := range f.late {
 		f.take(order)
 	}
 }
 
-func (f *forgetfulEngine) restart() {
+func (f *lossyEngine) restart() {
 	f.born++
 	f.sequence = 0
 	f.held = map[Key]bool{}
 }
 
-func (f *forgetfulEngine) Report(context.Context, string) (Report, error) {
+func (f *lossyEngine) Report(context.Context, string) (Report, error) {
 	report := Report{Sequence: f.sequence, Born: f.born, Models: []string{"m"}}
 	for key := range f.held {
 		report.Adapters = append(report.Adapters, Held{Key: key})
@@ -70,23 +70,23 @@
 func TestLateLoadOfEarlierLifetime(t *testing.T) {
 	for _, lostAt := range []int64{1, 2, 3} {
 		now := epoch
-		engine := &forgetfulEngine{capacity: 3, held: map[Key]bool{}}
-		before := keeperAt(&now, 3, engine)
+		engine := &lossyEngine{capacity: 3, held: map[Key]bool{}}
+		before := newTestController(&now, 3, engine)
 		for i := range int(lostAt) {
-			before.loadAdapter(t.Context(), keyed(i))
+			before.loadAdapter(t.Context(), testKey(i))
 		}
 		engine.lose = true
-		before.order(t.Context(), true, keyed(100))
+		before.order(t.Context(), true, testKey(100))
 		engine.lose = false
 		engine.restart()
 
-		after := keeperAt(&now, 3, engine)
+		after := newTestController(&now, 3, engine)
 		after.runner = after.runner.Aged(engine.born)
-		after.slots.Inherited = before.unanswered(now)
+		after.slots.Inherited = before.unansweredOrders(now)
 		for i := range 8 {
-			_, _ = after.Admit(admission(10+i, time.Second))
+			_, _ = after.Admit(testRequest(10+i, time.Second))
 			for range 6 {
-				after.next(t.Context())
+				after.runNext(t.Context())
 				engine.carryOutLate()
 				if !after.isSynced() {
 					now = now.Add(2 * reportLag)
@@ -102,15 +102,15 @@
 // Orders of the lifetime before are not carried out for ever: the places that were
 // kept for them are used again.
 func TestLateOrdersExpire(t *testing.T) {
-	slots := NewSlots(3)
-	slots.Inherited.note(0, true, epoch)
-	slots.Inherited.note(1, false, epoch)
-	slots.Inherited.note(2, true, epoch)
-	slots.Inherited.note(4, true, epoch)
+	slots := NewAdapterSlots(3)
+	slots.Inherited.add(0, true, epoch)
+	slots.Inherited.add(1, false, epoch)
+	slots.Inherited.add(2, true, epoch)
+	slots.Inherited.add(4, true, epoch)
 	must.Eq(t, 1, slots.Free(), must.Sprint("two loads follow on each other, with the order to unload between them"))
-	slots.Settle(epoch.Add(lateOrder))
+	slots.Advance(epoch.Add(lateOrderMax))
 	must.Eq(t, 1, slots.Free())
-	slots.Settle(epoch.Add(lateOrder + time.Millisecond))
+	slots.Advance(epoch.Add(lateOrderMax + time.Millisecond))
 	must.Eq(t, 3, slots.Free())
 }
 
@@ -128,17 +128,17 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := epoch
-			engine := &forgetfulEngine{born: test.born, held: map[Key]bool{keyed(1): true}}
-			k := keeperAt(&now, 3, engine)
-			k.runner = &site.Runner{ID: "r~200", Instance: "r", Born: 200, Slots: 64}
+			engine := &lossyEngine{born: test.born, held: map[Key]bool{testKey(1): true}}
+			c := newTestController(&now, 3, engine)
+			c.runner = &site.Runner{ID: "r~200", Instance: "r", Born: 200, Slots: 64}
 			var told []int64
-			k.OnRestart = func(instance string, born int64) {
+			c.OnRestart = func(instance string, born int64) {
 				must.Eq(t, "r", instance)
 				told = append(told, born)
 			}
-			must.Eq(t, syncPause, k.sync(t.Context()))
+			must.Eq(t, syncRetryInterval, c.sync(t.Context()))
 			must.Eq(t, test.told, told)
-			_, err := k.Admit(admission(1, time.Second))
+			_, err := c.Admit(testRequest(1, time.Second))
 			must.ErrorIs(t, err, ErrUnresponsive)
 		})
 	}
--- a/internal/adapters/limited_test.go
+++ b/internal/adapters/limited_test.go
@@ -13,35 +13,35 @@
 // callers that cannot wait for their turn there.
 func TestNothingIsFetchedToALimitedRunner(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 4, &fakeEngine{})
-	k.slots.Reported(0, []Held{{Key: keyed(1)}}, 0, now, now)
-	k.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
+	c := newTestController(&now, 4, &fakeEngine{})
+	c.slots.ApplyReport(0, []Held{{Key: testKey(1)}}, 0, now, now)
+	c.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
 
-	_, err := k.Admit(admission(2, time.Second))
+	_, err := c.Admit(testRequest(2, time.Second))
 	must.ErrorIs(t, err, ErrBusy)
-	_, err = k.Admit(admission(1, time.Second))
+	_, err = c.Admit(testRequest(1, time.Second))
 	must.NoError(t, err, must.Sprint("it lies there"))
-	k.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2, SaidAgo: limitRecheck} }
-	_, err = k.Admit(admission(3, time.Second))
+	c.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2, SaidAgo: limitRecheck} }
+	_, err = c.Admit(testRequest(3, time.Second))
 	must.NoError(t, err, must.Sprint("its limit may be over"))
-	k.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
-	last := admission(2, time.Second)
+	c.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
+	last := testRequest(2, time.Second)
 	last.LastResort = true
-	_, err = k.Admit(last)
+	_, err = c.Admit(last)
 	must.NoError(t, err, must.Sprint("no other runner takes it"))
 }
 
 // A host that may not send to an adapter's home has the adapter fetched anew although it lies
 // on another runner.
-func TestBarredAskerHearsWhereTheAdapterLies(t *testing.T) {
+func TestBarredRequestLearnsReplicas(t *testing.T) {
 	now := epoch
-	k := keeperAt(&now, 4, &fakeEngine{})
-	k.slots.Reported(0, []Held{{Key: keyed(1)}}, 0, now, now)
-	k.AddReplica(keyed(1), "other")
-	ask := admission(1, time.Second)
+	c := newTestController(&now, 4, &fakeEngine{})
+	c.slots.ApplyReport(0, []Held{{Key: testKey(1)}}, 0, now, now)
+	c.AddReplica(testKey(1), "other")
+	ask := testRequest(1, time.Second)
 	ask.Home, ask.Barred = true, true
 
-	_, err := k.Admit(ask)
+	_, err := c.Admit(ask)
 	var replicated *ReplicatedError
 	must.True(t, errors.As(err, &replicated))
 	must.Eq(t, &ReplicatedError{Refusal: ErrBarred, Runners: []string{"other"}}, replicated)
--- a/internal/adapters/modelloads.go
+++ b/internal/adapters/modelloads.go
@@ -16,9 +16,9 @@
 const (
 	// extraLoads are allowed beyond the rate, by the platform's pages.
 	extraLoads = 3
-	// usedLoads is the part of the bound that hosts share. Half: a host that has
+	// usedShare is the part of the bound that hosts share. Half: a host that has
 	// saved its part up and goes on at its rate uses twice the part in a window.
-	usedLoads = 0.5
+	usedShare = 0.5
 )
 
 // ModelLoadLimiter keeps one host's part of the bound. It is safe for concurrent use.
@@ -30,8 +30,8 @@
 	limit ModelLoadLimit
 
 	mu sync.Mutex
-	// next is when the loads that were taken are paid for.
-	next time.Time
+	// paidUntil is when the loads that were taken are paid for.
+	paidUntil time.Time
 }
 
 // NewModelLoadLimiter makes a host's part.
@@ -47,15 +47,15 @@
 	if window <= 0 || perSecond <= 0 {
 		return 0
 	}
-	part := (perSecond*window.Seconds()*m.limit.Overshoot + extraLoads) * usedLoads / float64(max(1, hosts))
-	each := time.Duration(float64(window) / part)
+	share := (perSecond*window.Seconds()*m.limit.Overshoot + extraLoads) * usedShare / float64(max(1, hosts))
+	each := time.Duration(float64(window) / share)
 	burst := max(0, window-each)
-	if m.next.Before(now) {
-		m.next = now
+	if m.paidUntil.Before(now) {
+		m.paidUntil = now
 	}
-	if wait := m.next.Sub(now) - burst; wait > 0 {
+	if wait := m.paidUntil.Sub(now) - burst; wait > 0 {
 		return wait
 	}
-	m.next = m.next.Add(each)
+	m.paidUntil = m.paidUntil.Add(each)
 	return 0
 }
--- a/internal/adapters/orders.go
+++ b/internal/adapters/orders.go
@@ -9,82 +9,82 @@
 )
 
 // order gives one order.
-func (k *Controller) order(ctx context.Context, load bool, key Key) Outcome {
-	now := k.Now()
-	token, ok := k.Authority.MayOrder(k.runner.Address, now)
+func (c *Controller) order(ctx context.Context, load bool, key Key) Outcome {
+	now := c.Now()
+	token, ok := c.Authority.MayOrder(c.runner.Address, now)
 	if !ok {
 		return OutcomeRejected
 	}
-	k.mu.Lock()
-	sequence := k.slots.Sequence
-	free, waiting := k.slots.Free(), len(k.waiting)
-	transit, fetched := k.slots.Transit()
+	c.mu.Lock()
+	sequence := c.slots.Sequence
+	free, waiting := c.slots.Free(), len(c.pending)
+	transit, fetched := c.slots.InProgress()
 	// Noted before it is sent: the keeper may be stopped while it waits for the answer.
-	settled := k.slots.Unanswered.note(sequence, load, now)
-	k.mu.Unlock()
+	answered := c.slots.Unanswered.add(sequence, load, now)
+	c.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
-	answer, err := k.Engines.Order(ctx, k.runner.Address, Order{
-		Load: load, Key: key, Sequence: sequence, Holder: k.Holder, Token: token, Instance: k.runner.Instance,
+	answer, err := c.Engines.Order(ctx, c.runner.Address, Order{
+		Load: load, Key: key, Sequence: sequence, Holder: c.Holder, Token: token, Instance: c.runner.Instance,
 	})
-	k.signalled(answer.Signal)
+	c.passSignal(answer.Signal)
 	outcome := answer.Outcome
-	fields := []any{"load", load, "adapter", key.Adapter.String(), "version", key.Version, "sequence", sequence, "token", token, "outcome", outcome.String(), "took_ms", k.Now().Sub(now).Milliseconds(),
-		"free", free, "transit", transit, "fetched", fetched, "reload", load && k.isRecent(key), "waiting", waiting, "estimate_ms", k.Times.Estimate(false, StoreLoad{}).Milliseconds()}
+	fields := []any{"load", load, "adapter", key.Adapter.String(), "version", key.Version, "sequence", sequence, "token", token, "outcome", outcome.String(), "took_ms", c.Now().Sub(now).Milliseconds(),
+		"free", free, "transit", transit, "fetched", fetched, "reload", load && c.heldRecently(key), "waiting", waiting, "estimate_ms", c.Times.Estimate(false, StoreLoad{}).Milliseconds()}
 	if err != nil {
 		fields = append(fields, "error", err.Error())
 	}
-	k.log.Info("order", fields...)
+	c.log.Info("order", fields...)
 	if outcome != OutcomeUnknown {
-		k.mu.Lock()
-		settled()
-		k.mu.Unlock()
+		c.mu.Lock()
+		answered()
+		c.mu.Unlock()
 	}
 	return outcome
 }
 
-// unanswered gives the orders that may still be carried out in a later lifetime.
-func (k *Controller) unanswered(now time.Time) LateOrders {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	late := maps.Clone(k.slots.Inherited)
-	late.merge(k.slots.Unanswered)
+// unansweredOrders gives the orders that may still be carried out in a later lifetime.
+func (c *Controller) unansweredOrders(now time.Time) LateOrders {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	late := maps.Clone(c.slots.Inherited)
+	late.merge(c.slots.Unanswered)
 	late.expire(now)
 	return late
 }
 
-func (k *Controller) loadAdapter(ctx context.Context, key Key) time.Duration {
-	k.mu.Lock()
-	recent := k.slots.Recent(key)
-	took := k.estimate(recent)
-	k.mu.Unlock()
-	sent := k.Now()
-	outcome := k.orderLoad(ctx, key)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
+func (c *Controller) loadAdapter(ctx context.Context, key Key) time.Duration {
+	c.mu.Lock()
+	recent := c.slots.HeldRecently(key)
+	took := c.estimateLoad(recent)
+	c.mu.Unlock()
+	sent := c.Now()
+	outcome := c.orderLoad(ctx, key)
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.Now()
 	switch outcome {
 	case OutcomeAccepted:
-		k.slots.Loading(key, now.Add(took), now)
+		c.slots.LoadAccepted(key, now.Add(took), now)
 		if !recent {
-			k.fetchedAt = now
+			c.lastFetchAt = now
 		}
-		k.countTransit()
-		k.Times.InTime(recent)
+		c.updateFetches()
+		c.Times.InTime(recent)
 		return 0
 	case OutcomeDone:
-		k.slots.Loading(key, now, now)
-		k.slots.Sequence--
+		c.slots.LoadAccepted(key, now, now)
+		c.slots.Sequence--
 		return 0
 	case OutcomeUnknown:
-		k.slots.Doubt(key, sent)
+		c.slots.LoadInDoubt(key, sent)
 	}
-	return k.resync()
+	return c.resync()
 }
 
-// orderTries bounds how often a load is ordered for one sequence. Where a third of
+// maxOrderTries bounds how often a load is ordered for one sequence. Where a third of
 // the answers is lost, one load in 200 then ends in doubt.
-const orderTries = 5
+const maxOrderTries = 5
 
 // orderLoad orders a load and, while no answer comes, orders it again for the same
 // sequence: of all these orders the runner takes at most one. A conflict then says
@@ -92,10 +92,10 @@
 //
 // Without the further orders all who wait for the runner would wait out the
 // timeout and a report, 0.5 s, for each answer that is lost.
-func (k *Controller) orderLoad(ctx context.Context, key Key) Outcome {
-	outcome := k.order(ctx, true, key)
-	for try := 1; try < orderTries && outcome == OutcomeUnknown; try++ {
-		outcome = k.order(ctx, true, key)
+func (c *Controller) orderLoad(ctx context.Context, key Key) Outcome {
+	outcome := c.order(ctx, true, key)
+	for try := 1; try < maxOrderTries && outcome == OutcomeUnknown; try++ {
+		outcome = c.order(ctx, true, key)
 		if outcome == OutcomeConflict {
 			return OutcomeAccepted
 		}
@@ -104,23 +104,23 @@
 }
 
 // resync has the report read; the lock is held.
-func (k *Controller) resync() time.Duration {
-	k.synced = false
-	return syncPause
+func (c *Controller) resync() time.Duration {
+	c.synced = false
+	return syncRetryInterval
 }
 
-func (k *Controller) unload(ctx context.Context, adapter site.Adapter) time.Duration {
-	outcome := k.order(ctx, false, Key{Adapter: adapter})
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *Controller) unload(ctx context.Context, adapter site.Adapter) time.Duration {
+	outcome := c.order(ctx, false, Key{Adapter: adapter})
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	switch outcome {
 	case OutcomeDone:
-		k.slots.Left(adapter)
+		c.slots.Unloaded(adapter)
 		return 0
 	case OutcomeAccepted:
-		k.slots.Leaving(adapter, k.Now())
-		k.synced = false
-		return syncPause
+		c.slots.UnloadAccepted(adapter, c.Now())
+		c.synced = false
+		return syncRetryInterval
 	}
-	return k.resync()
+	return c.resync()
 }
--- a/internal/adapters/owner.go
+++ b/internal/adapters/owner.go
@@ -16,24 +16,24 @@
 
 // Owner runs a keeper for each runner that this host owns.
 type Owner struct {
-	host      string
-	deps      ControllerDeps
-	owns      func(address string) bool
-	now       func() time.Time
-	log       hclog.Logger
-	times     *LoadTimes
-	elsewhere func() (transit, runners int)
-	// fullShare is what the weight store serves at full speed, per runner.
-	fullShare atomic.Uint64
+	host        string
+	deps        ControllerDeps
+	owns        func(address string) bool
+	now         func() time.Time
+	log         hclog.Logger
+	times       *LoadTimes
+	peerFetches func() (transit, runners int)
+	// fetchCapacity is what the weight store serves at full speed, per runner.
+	fetchCapacity atomic.Uint64
 
-	mu      sync.Mutex
-	keepers map[string]*running
-	// late are orders without an answer that earlier keepers gave, by the runner's
+	mu          sync.Mutex
+	controllers map[string]*runningController
+	// lateOrders are orders without an answer that earlier keepers gave, by the runner's
 	// instance.
-	late map[string]LateOrders
+	lateOrders map[string]LateOrders
 }
 
-type running struct {
+type runningController struct {
 	*Controller
 	stop context.CancelFunc
 }
@@ -70,28 +70,28 @@
 // NewOwner makes an owner of nothing.
 func NewOwner(deps OwnerDeps) *Owner {
 	o := &Owner{
-		host: deps.Host, owns: deps.Owns, elsewhere: deps.PeerFetches,
-		now: deps.Now, log: deps.Log, times: NewLoadTimes(), keepers: map[string]*running{}, late: map[string]LateOrders{},
+		host: deps.Host, owns: deps.Owns, peerFetches: deps.PeerFetches,
+		now: deps.Now, log: deps.Log, times: NewLoadTimes(), controllers: map[string]*runningController{}, lateOrders: map[string]LateOrders{},
 	}
 	o.deps = ControllerDeps{
-		Holder: deps.Host, Engines: deps.Engines, Authority: deps.Authority, Times: o.times, StoreLoad: o.crowd, RunnerView: deps.RunnerView,
+		Holder: deps.Host, Engines: deps.Engines, Authority: deps.Authority, Times: o.times, StoreLoad: o.storeLoad, RunnerView: deps.RunnerView,
 		Utilization: deps.Utilization, TypicalPrefill: deps.TypicalPrefill, ModelLoads: NewModelLoadLimiter(deps.ModelLoads), HostCount: deps.HostCount, OnRestart: deps.OnRestart, OnSignal: deps.OnSignal, Now: deps.Now, Log: deps.Log,
 	}
 	return o
 }
 
-func (o *Owner) crowd() StoreLoad {
-	transit, runners := o.elsewhere()
+func (o *Owner) storeLoad() StoreLoad {
+	transit, runners := o.peerFetches()
 	own, ownRunners := o.Fetches()
-	share := math.Float64frombits(o.fullShare.Load())
+	share := math.Float64frombits(o.fetchCapacity.Load())
 	return StoreLoad{Fetches: transit + own, Capacity: share * float64(runners+ownRunners), PerRunner: share}
 }
 
 // Fetches gives the adapters on their way to this host's runners, and the
 // number of these runners.
 func (o *Owner) Fetches() (transit, runners int) {
-	for _, keeper := range o.all() {
-		transit += keeper.Fetches()
+	for _, controller := range o.controllersByID() {
+		transit += controller.Fetches()
 		runners++
 	}
 	return transit, runners
@@ -101,8 +101,8 @@
 // prompt, in nanoseconds, as far as it is known.
 func (o *Owner) PrefillTimes() []float64 {
 	var readings []float64
-	for _, keeper := range o.all() {
-		if perToken := keeper.PrefillPerToken(); perToken > 0 {
+	for _, controller := range o.controllersByID() {
+		if perToken := controller.PrefillPerToken(); perToken > 0 {
 			readings = append(readings, perToken)
 		}
 	}
@@ -112,19 +112,19 @@
 // RequestLoad gives the requests on this host's runners and their slots.
 func (o *Owner) RequestLoad() (running, slots int) {
 	now := o.now()
-	for id, keeper := range o.all() {
+	for id, controller := range o.controllersByID() {
 		running += o.deps.RunnerView(id, now).Load
-		slots += keeper.runner.Slots
+		slots += controller.runner.Slots
 	}
 	return running, slots
 }
 
-func (o *Owner) all() map[string]*Controller {
+func (o *Owner) controllersByID() map[string]*Controller {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	all := make(map[string]*Controller, len(o.keepers))
-	for id, keeper := range o.keepers {
-		all[id] = keeper.Controller
+	all := make(map[string]*Controller, len(o.controllers))
+	for id, controller := range o.controllers {
+		all[id] = controller.Controller
 	}
 	return all
 }
@@ -133,24 +133,24 @@
 func (o *Owner) Controller(id string) (*Controller, bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	keeper, ok := o.keepers[id]
+	controller, ok := o.controllers[id]
 	if !ok {
 		return nil, false
 	}
-	return keeper.Controller, true
+	return controller.Controller, true
 }
 
 // CurrentController gives the keeper of a runner's present lifetime, whichever lifetime the
 // asker knows of. A host whose list of runners is behind, for the runner or the host
 // is cut off from the store, would else find no owner until the cut heals.
 func (o *Owner) CurrentController(id string) (*Controller, bool) {
-	if keeper, ok := o.Controller(id); ok {
-		return keeper, true
+	if controller, ok := o.Controller(id); ok {
+		return controller, true
 	}
 	instance := site.InstanceOf(id)
-	for _, keeper := range o.all() {
-		if keeper.runner.Instance == instance {
-			return keeper, true
+	for _, controller := range o.controllersByID() {
+		if controller.runner.Instance == instance {
+			return controller, true
 		}
 	}
 	return nil, false
@@ -159,101 +159,101 @@
 // Reconcile starts and stops keepers, so that there is one for each owned
 // runner that may receive work.
 func (o *Owner) Reconcile(ctx context.Context, config *site.Config, byService map[string][]*site.Runner) {
-	wanted := o.wanted(config, byService)
-	o.inherit(o.endAllBut(wanted))
+	owned := o.ownedRunners(config, byService)
+	o.inheritLateOrders(o.stopAllBut(owned))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for id, w := range wanted {
-		if o.keepers[id] == nil {
+	for id, w := range owned {
+		if o.controllers[id] == nil {
 			o.start(ctx, w.runner, w.engine)
 		}
 	}
 }
 
-// owned is a runner that needs a keeper.
-type owned struct {
+// ownedRunner is a runner that needs a keeper.
+type ownedRunner struct {
 	runner *site.Runner
 	engine *site.Engine
 }
 
-// wanted gives the runners that need a keeper, by their IDs.
-func (o *Owner) wanted(config *site.Config, byService map[string][]*site.Runner) map[string]owned {
-	wanted := map[string]owned{}
+// ownedRunners gives the runners that need a keeper, by their IDs.
+func (o *Owner) ownedRunners(config *site.Config, byService map[string][]*site.Runner) map[string]ownedRunner {
+	owned := map[string]ownedRunner{}
 	for name, runners := range byService {
 		service := config.Services[name]
 		if service == nil || service.Engine == nil || len(service.Engine.Models) == 0 {
 			continue
 		}
-		o.fullShare.Store(math.Float64bits(FetchCapacityPerRunner(service.Engine.LoadsPerSecond, len(runners))))
+		o.fetchCapacity.Store(math.Float64bits(FetchCapacityPerRunner(service.Engine.LoadsPerSecond, len(runners))))
 		for _, runner := range runners {
 			if o.owns(runner.Address) {
-				wanted[runner.ID] = owned{runner: runner, engine: service.Engine}
+				owned[runner.ID] = ownedRunner{runner: runner, engine: service.Engine}
 			}
 		}
 	}
-	return wanted
+	return owned
 }
 
-// endAllBut stops the keepers of all runners but those wanted, and gives them.
-func (o *Owner) endAllBut(wanted map[string]owned) []*Controller {
+// stopAllBut stops the keepers of all runners but those wanted, and gives them.
+func (o *Owner) stopAllBut(keep map[string]ownedRunner) []*Controller {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	var ended []*Controller
-	for id, keeper := range o.keepers {
-		if _, ok := wanted[id]; ok {
+	var stopped []*Controller
+	for id, controller := range o.controllers {
+		if _, ok := keep[id]; ok {
 			continue
 		}
-		keeper.stop()
-		delete(o.keepers, id)
-		ended = append(ended, keeper.Controller)
+		controller.stop()
+		delete(o.controllers, id)
+		stopped = append(stopped, controller.Controller)
 	}
-	return ended
+	return stopped
 }
 
-// inherit keeps the orders without an answer of keepers that have ended, for their runners
+// inheritLateOrders keeps the orders without an answer of keepers that have ended, for their runners
 // may start again under their instances while these are carried out.
 //
 // Keepers are asked without the owner's lock: one that holds its own asks the owner for what
 // is on its way to all runners. Each waiting for the other, the host would serve no adapter and
 // learn nothing any more until its process ends.
-func (o *Owner) inherit(ended []*Controller) {
+func (o *Owner) inheritLateOrders(stopped []*Controller) {
 	now := o.now()
-	unanswered := make(map[string]LateOrders, len(ended))
-	for _, keeper := range ended {
-		if late := keeper.unanswered(now); len(late) > 0 {
-			unanswered[keeper.runner.Instance] = late
+	unanswered := make(map[string]LateOrders, len(stopped))
+	for _, controller := range stopped {
+		if late := controller.unansweredOrders(now); len(late) > 0 {
+			unanswered[controller.runner.Instance] = late
 		}
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for instance, late := range o.late {
+	for instance, late := range o.lateOrders {
 		late.expire(now)
 		if len(late) == 0 {
-			delete(o.late, instance)
+			delete(o.lateOrders, instance)
 		}
 	}
-	maps.Copy(o.late, unanswered)
+	maps.Copy(o.lateOrders, unanswered)
 }
 
 // RunnerRemoved notes that a runner's lifetime has ended: no adapter lies there any more.
 func (o *Owner) RunnerRemoved(runner string) {
-	for _, keeper := range o.all() {
-		keeper.RunnerRemoved(runner)
+	for _, controller := range o.controllersByID() {
+		controller.RunnerRemoved(runner)
 	}
 }
 
 func (o *Owner) start(ctx context.Context, runner *site.Runner, engine *site.Engine) {
 	model := modelFor(runner, engine)
-	spec := Spec{Model: model, Capacity: Capacity(engine, model), LoadsPerSecond: engine.LoadsPerSecond}
+	spec := Spec{Model: model, Capacity: SlotCapacity(engine, model), LoadsPerSecond: engine.LoadsPerSecond}
 	ctx, cancel := context.WithCancel(ctx)
-	keeper := NewController(runner, spec, o.deps)
-	if late := o.late[runner.Instance]; late != nil {
-		keeper.slots.Inherited = late
-		delete(o.late, runner.Instance)
+	controller := NewController(runner, spec, o.deps)
+	if late := o.lateOrders[runner.Instance]; late != nil {
+		controller.slots.Inherited = late
+		delete(o.lateOrders, runner.Instance)
 	}
-	o.keepers[runner.ID] = &running{Controller: keeper, stop: cancel}
+	o.controllers[runner.ID] = &runningController{Controller: controller, stop: cancel}
 	o.log.Info("orders begin", "runner", runner.ID, "address", runner.Address, "model", model.Name, "places", spec.Capacity)
-	go keeper.Run(ctx)
+	go controller.Run(ctx)
 }
 
 // modelFor gives the model that a runner holds, or else the one that falls to it.
--- a/internal/adapters/owner_test.go
+++ b/internal/adapters/owner_test.go
@@ -14,9 +14,9 @@
 // A runner is gone, and its keeper ends while it asks, under its own lock, for what is on its
 // way to all runners. The owner waits for that lock with its own in its hands, and both wait for
 // ever: the host serves no adapter any more, and goes by the configuration of that moment.
-func TestKeeperThatEndsDoesNotBlockTheOwner(t *testing.T) {
+func TestStoppedControllerDoesNotBlockTheOwner(t *testing.T) {
 	owner := NewOwner(OwnerDeps{
-		Engines: &forgetfulEngine{}, Authority: never{}, Owns: func(string) bool { return true }, HostCount: func() int { return 1 },
+		Engines: &lossyEngine{}, Authority: neverAuthorized{}, Owns: func(string) bool { return true }, HostCount: func() int { return 1 },
 		PeerFetches: func() (int, int) { return 0, 0 }, RunnerView: func(string, time.Time) board.View { return board.View{} },
 		Utilization: func() float64 { return 0 }, TypicalPrefill: func() float64 { return 0 }, OnRestart: func(string, int64) {},
 		OnSignal: func(string, *board.Signal) {}, Now: time.Now, Log: hclog.NewNullLogger(),
@@ -27,9 +27,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	owner.Reconcile(ctx, config, map[string][]*site.Runner{"s": {runner}})
-	keeper, ok := owner.Controller("r")
+	controller, ok := owner.Controller("r")
 	must.True(t, ok)
-	keeper.mu.Lock()
+	controller.mu.Lock()
 	reconciled, asked := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(reconciled)
@@ -38,18 +38,18 @@
 	time.Sleep(50 * time.Millisecond)
 	go func() {
 		defer close(asked)
-		owner.crowd()
+		owner.storeLoad()
 	}()
 	select {
 	case <-asked:
 	case <-time.After(2 * time.Second):
 		t.Error("the owner's lock is held while a keeper's is waited for")
 	}
-	keeper.mu.Unlock()
+	controller.mu.Unlock()
 	<-reconciled
 }
 
-// never lets nothing be ordered.
-type never struct{}
+// neverAuthorized lets nothing be ordered.
+type neverAuthorized struct{}
 
-func (never) MayOrder(string, time.Time) (uint64, bool) { return 0, false }
+func (neverAuthorized) MayOrder(string, time.Time) (uint64, bool) { return 0, false }
--- a/internal/adapters/pacer.go
+++ b/internal/adapters/pacer.go
@@ -13,23 +13,23 @@
 // 307 of 1,837 streams late. Spaced out, the prompts wait some ten milliseconds
 // and the running streams notice nothing.
 type Pacer struct {
-	// free is when the prompts that were admitted will have been read.
-	free time.Time
-	// slow is how many times as long as most runners this one reads; 0 counts as 1.
-	slow float64
+	// freeAt is when the prompts that were admitted will have been read.
+	freeAt time.Time
+	// slowness is how many times as long as most runners this one reads; 0 counts as 1.
+	slowness float64
 }
 
 // cost is the time that a prompt takes of what is handed out.
 func (p *Pacer) cost(tokens int) time.Duration {
-	return time.Duration(max(1, p.slow) * float64(readingTime(tokens)))
+	return time.Duration(max(1, p.slowness) * float64(prefillTime(tokens)))
 }
 
 const (
-	// readPerMS is the number of prompt tokens that an engine reads in a
+	// prefillPerMS is the number of prompt tokens that an engine reads in a
 	// millisecond, by the platform's sheets, and pacedPerMS what is handed out
 	// in the long run.
-	readPerMS  = 38.7
-	pacedPerMS = 20
+	prefillPerMS = 38.7
+	pacedPerMS   = 20
 	// burstTokens may come at once; a longer prompt goes alone. With step the
 	// time of a step without prompts (5.9 ms), five steps then take at most
 	// (5 x step + burst/read) / (1 - paced/read) = 248 ms.
@@ -39,23 +39,23 @@
 // Wait gives how long a prompt has to wait, without admitting it: until it and
 // those before it fit into a burst, or until those before it are read.
 func (p *Pacer) Wait(tokens int, now time.Time) time.Duration {
-	if p.free.Before(now) {
+	if p.freeAt.Before(now) {
 		return 0
 	}
-	room := max(0, readingTime(burstTokens)-p.cost(tokens))
-	return max(0, p.free.Sub(now)-room)
+	room := max(0, prefillTime(burstTokens)-p.cost(tokens))
+	return max(0, p.freeAt.Sub(now)-room)
 }
 
 // Admit admits a prompt and gives when it may be sent.
 func (p *Pacer) Admit(tokens int, now time.Time) time.Time {
 	wait := p.Wait(tokens, now)
-	if p.free.Before(now) {
-		p.free = now
+	if p.freeAt.Before(now) {
+		p.freeAt = now
 	}
-	p.free = p.free.Add(p.cost(tokens))
+	p.freeAt = p.freeAt.Add(p.cost(tokens))
 	return now.Add(wait)
 }
 
-func readingTime(tokens int) time.Duration {
+func prefillTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / pacedPerMS * float64(time.Millisecond))
 }
--- a/internal/adapters/pacer_test.go
+++ b/internal/adapters/pacer_test.go
@@ -22,7 +22,7 @@
 // prompts are read in chunks of 2,048 tokens a step, and every running stream
 // pauses for more than its callers allow. Spaced, no window of five steps holds
 // more reading than the allowed pause of 250 ms has room for.
-func TestPacerSpreadsClump(t *testing.T) {
+func TestPacerSpreadsBurst(t *testing.T) {
 	const (
 		prompts  = 30
 		tokens   = 826
@@ -54,8 +54,8 @@
 func TestPacerLongPrompt(t *testing.T) {
 	var p Pacer
 	must.Eq(t, epoch, p.Admit(3000, epoch))
-	alone := epoch.Add(readingTime(3000))
+	alone := epoch.Add(prefillTime(3000))
 	must.Eq(t, alone, p.Admit(7000, epoch))
-	must.Eq(t, readingTime(10_000)-readingTime(burstTokens-800), p.Wait(800, epoch))
-	must.Eq(t, 0, p.Wait(800, epoch.Add(readingTime(10_000))))
+	must.Eq(t, prefillTime(10_000)-prefillTime(burstTokens-800), p.Wait(800, epoch))
+	must.Eq(t, 0, p.Wait(800, epoch.Add(prefillTime(10_000))))
 }
--- a/internal/adapters/queue.go
+++ b/internal/adapters/queue.go
@@ -7,133 +7,133 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// want is a load that somebody waits for.
-type want struct {
+// pendingLoad is a load that somebody waits for.
+type pendingLoad struct {
 	key Key
-	// askedAt is when somebody asked for it last, until when it is of use.
-	askedAt time.Time
-	until   time.Time
-	// target is when the adapter has to be there for its first asker to be
+	// lastAskedAt is when somebody asked for it last, until when it is of use.
+	lastAskedAt time.Time
+	usefulUntil time.Time
+	// dueAt is when the adapter has to be there for its first asker to be
 	// served on time.
-	target time.Time
-	// number grows with each load that is wanted.
-	number uint64
-	// placeAt is when a place should be free for it.
-	placeAt time.Time
-	// askers counts the requests that wait for it.
-	askers int
+	dueAt time.Time
+	// seq grows with each load that is wanted.
+	seq uint64
+	// slotExpectedAt is when a place should be free for it.
+	slotExpectedAt time.Time
+	// requests counts the requests that wait for it.
+	requests int
 }
 
-// queueTime estimates how long a load takes until it is over, after those that
+// timeUntilLoaded estimates how long a load takes until it is over, after those that
 // go before it; the lock is held.
 //
 // While the weight store is not crowded, several fetches run side by side. Taken
 // one after the other, a request whose adapter was there after 290 ms was told to
 // come again after 580, too late for its target.
-func (k *Controller) queueTime(w *want, now time.Time) time.Duration {
-	own := k.loadTime(w.key)
-	inTime := !w.target.Before(now.Add(own))
+func (c *Controller) timeUntilLoaded(w *pendingLoad, now time.Time) time.Duration {
+	own := c.idleLoadTime(w.key)
+	inTime := !w.dueAt.Before(now.Add(own))
 	var reloads time.Duration
 	fetches := 0
-	for _, other := range k.waiting {
+	for _, other := range c.pending {
 		switch {
-		case other == w || !k.before(other, w, inTime, now):
-		case k.slots.Recent(other.key):
-			reloads += k.loadTime(other.key)
+		case other == w || !c.precedes(other, w, inTime, now):
+		case c.slots.HeldRecently(other.key):
+			reloads += c.idleLoadTime(other.key)
 		default:
 			fetches++
 		}
 	}
-	if k.slots.Recent(w.key) {
+	if c.slots.HeldRecently(w.key) {
 		return reloads + own
 	}
-	crowd := k.StoreLoad()
-	if float64(crowd.Fetches) < crowd.Capacity {
-		return reloads + own*time.Duration(1+fetches/lanes(crowd))
+	store := c.StoreLoad()
+	if float64(store.Fetches) < store.Capacity {
+		return reloads + own*time.Duration(1+fetches/parallelFetches(store))
 	}
-	return reloads + k.turnsTime(fetches, crowd, now)
+	return reloads + c.timeAtSaturatedStore(fetches, store, now)
 }
 
-// turnsTime is how long a fetch takes at a crowded store, after so many others of
+// timeAtSaturatedStore is how long a fetch takes at a crowded store, after so many others of
 // this runner; the lock is held. Runners take turns there: a request was told that
 // its adapter would be there in time and came back to find that it was not even on
 // its way, too late to go anywhere else.
-func (k *Controller) turnsTime(before int, crowd StoreLoad, now time.Time) time.Duration {
-	turn := k.turn(crowd)
-	first := max(0, k.fetchedAt.Add(turn).Sub(now))
-	return first + time.Duration(before)*turn + k.Times.Estimate(false, crowd)
+func (c *Controller) timeAtSaturatedStore(before int, store StoreLoad, now time.Time) time.Duration {
+	interval := c.fetchInterval(store)
+	first := max(0, c.lastFetchAt.Add(interval).Sub(now))
+	return first + time.Duration(before)*interval + c.Times.Estimate(false, store)
 }
 
-// lanes is the number of fetches that may run side by side.
-func lanes(crowd StoreLoad) int {
-	return min(maxTransit, max(1, 1+int(crowd.Capacity)-crowd.Fetches))
+// parallelFetches is the number of fetches that may run side by side.
+func parallelFetches(store StoreLoad) int {
+	return min(maxConcurrentLoads, max(1, 1+int(store.Capacity)-store.Fetches))
 }
 
-// loadTime gives the likely time of a load on an idle store; the lock is held.
-func (k *Controller) loadTime(key Key) time.Duration {
-	return k.Times.Estimate(k.slots.Recent(key), StoreLoad{})
+// idleLoadTime gives the likely time of a load on an idle store; the lock is held.
+func (c *Controller) idleLoadTime(key Key) time.Duration {
+	return c.Times.Estimate(c.slots.HeldRecently(key), StoreLoad{})
 }
 
-// before says whether a load goes before another one, which could be over in
+// precedes says whether a load goes precedes another one, which could be over in
 // time or not. Those that need nothing of the weight store go first.
-func (k *Controller) before(other, w *want, inTime bool, now time.Time) bool {
-	if reload := k.slots.Recent(other.key); reload != k.slots.Recent(w.key) {
+func (c *Controller) precedes(other, w *pendingLoad, inTime bool, now time.Time) bool {
+	if reload := c.slots.HeldRecently(other.key); reload != c.slots.HeldRecently(w.key) {
 		return reload
 	}
-	otherInTime := !other.target.Before(now.Add(k.loadTime(other.key)))
+	otherInTime := !other.dueAt.Before(now.Add(c.idleLoadTime(other.key)))
 	if otherInTime != inTime {
 		return otherInTime
 	}
-	if !inTime && other.askers != w.askers {
+	if !inTime && other.requests != w.requests {
 		// None of their requests will be on time. The adapter that most of them
 		// wait for is also the one that most will ask for next.
-		return other.askers > w.askers
+		return other.requests > w.requests
 	}
-	if !other.target.Equal(w.target) {
-		return other.target.Before(w.target)
+	if !other.dueAt.Equal(w.dueAt) {
+		return other.dueAt.Before(w.dueAt)
 	}
-	return other.number < w.number
+	return other.seq < w.seq
 }
 
-// want asks for an adapter and tells from when it is there; the lock is held.
+// requestLoad asks for an adapter and tells from when it is there; the lock is held.
 // A load that cannot be ordered at once is queued: the asker comes again.
-func (k *Controller) want(ask AdmissionRequest, now time.Time) (time.Time, error) {
-	if readyAt, ok := k.slots.Ready(ask.Key); ok {
-		k.slots.Touch(ask.Key.Adapter, now)
+func (c *Controller) requestLoad(ask AdmissionRequest, now time.Time) (time.Time, error) {
+	if readyAt, ok := c.slots.Ready(ask.Key); ok {
+		c.slots.Touch(ask.Key.Adapter, now)
 		return readyAt, nil
 	}
-	w := k.queued(ask.Key)
+	w := c.findPending(ask.Key)
 	known := w != nil
 	if !known {
-		if err := k.lies(ask); err != nil {
+		if err := c.checkHeldElsewhere(ask); err != nil {
 			return time.Time{}, err
 		}
-		k.wanted++
-		w = &want{key: ask.Key, target: now.Add(ask.LatencyBudget), number: k.wanted}
+		c.lastSeq++
+		w = &pendingLoad{key: ask.Key, dueAt: now.Add(ask.LatencyBudget), seq: c.lastSeq}
 	}
-	took := k.queueTime(w, now)
-	if took > k.loadPatience(ask) {
+	took := c.timeUntilLoaded(w, now)
+	if took > c.maxLoadWait(ask) {
 		return time.Time{}, ErrLoadTooSlow
 	}
 	if !known {
-		wait, ok := k.placeWait(ask, took, now)
+		wait, ok := c.slotWait(ask, took, now)
 		if !ok {
 			return time.Time{}, ErrNoFreeSlot
 		}
 		took += wait
-		w.placeAt = now.Add(wait)
-		k.waiting = append(k.waiting, w)
-		k.nudge()
+		w.slotExpectedAt = now.Add(wait)
+		c.pending = append(c.pending, w)
+		c.wakeUp()
 	}
-	w.askedAt = now
-	w.until = now.Add(ask.MaxWait)
+	w.lastAskedAt = now
+	w.usefulUntil = now.Add(ask.MaxWait)
 	if !ask.Waited {
-		w.askers++
+		w.requests++
 	}
 	return now.Add(took), nil
 }
 
-// placeLeft says whether a place is left for one more load beside those that wait;
+// slotLeft says whether a place is left for one more load beside those that wait;
 // the lock is held.
 //
 // Requests for cold adapters come in clumps, and a runner has few places. Where one
@@ -142,11 +142,11 @@
 // another runner could have served them. On busy days of twelve runners with five
 // places each, refusing them at once served 0.742 of what was owed and not 0.729
 // (means of the same 12 days of 34 s).
-func (k *Controller) placeLeft(now time.Time) bool {
-	return k.slots.Free()+k.slots.Idle(now) > len(k.waiting)
+func (c *Controller) slotLeft(now time.Time) bool {
+	return c.slots.Free()+c.slots.IdleCount(now) > len(c.pending)
 }
 
-// placeWait is how long a load waits for a place, and false if it should not wait
+// slotWait is how long a load waits for a place, and false if it should not wait
 // here; the lock is held.
 //
 // A runner loads what it held lately for a tenth of the time and without the weight
@@ -157,81 +157,81 @@
 // placeLeft names, 0.777 of what was owed was served and not 0.741, with a tenth
 // fewer fetches. Others are sent on: where they waited for a place as the last
 // resort, 0.748 was served.
-func (k *Controller) placeWait(ask AdmissionRequest, took time.Duration, now time.Time) (time.Duration, bool) {
-	if k.placeLeft(now) {
+func (c *Controller) slotWait(ask AdmissionRequest, took time.Duration, now time.Time) (time.Duration, bool) {
+	if c.slotLeft(now) {
 		return 0, true
 	}
-	if !k.slots.Recent(ask.Key) {
+	if !c.slots.HeldRecently(ask.Key) {
 		return 0, false
 	}
-	at, ok := k.slots.PlaceAt(1+len(k.waiting), now)
+	at, ok := c.slots.SlotsFreeAt(1+len(c.pending), now)
 	wait := at.Sub(now)
-	if !ok || wait > k.estimate(false) || wait+took > ask.LatencyBudget {
+	if !ok || wait > c.estimateLoad(false) || wait+took > ask.LatencyBudget {
 		return 0, false
 	}
 	return wait, true
 }
 
-// lies refuses the load of an adapter that lies on another runner already; the
+// checkHeldElsewhere refuses the load of an adapter that checkHeldElsewhere on another runner already; the
 // lock is held.
-func (k *Controller) lies(ask AdmissionRequest) error {
-	if ask.Home && !ask.Retry && k.replicas.Known(ask.Key) {
+func (c *Controller) checkHeldElsewhere(ask AdmissionRequest) error {
+	if ask.Home && !ask.Retry && c.replicas.Has(ask.Key) {
 		return ErrHeldElsewhere
 	}
 	return nil
 }
 
-// loadPatience is how long a request waits for its adapter here; the lock is
+// maxLoadWait is how long a request waits for its adapter here; the lock is
 // held. While others may load it sooner it does not wait beyond its target, unless
 // a load alone takes longer than that: then it is late everywhere.
-func (k *Controller) loadPatience(ask AdmissionRequest) time.Duration {
+func (c *Controller) maxLoadWait(ask AdmissionRequest) time.Duration {
 	if ask.LastResort || ask.Waited {
 		return ask.MaxWait
 	}
-	return min(ask.MaxWait, max(ask.LatencyBudget, k.loadTime(ask.Key)))
+	return min(ask.MaxWait, max(ask.LatencyBudget, c.idleLoadTime(ask.Key)))
 }
 
-// aheadTarget is how late a load that nobody waits for may be: after every load
+// prefetchBudget is how late a load that nobody waits for may be: after every load
 // that somebody waits for and that can be in time.
-const aheadTarget = 2 * time.Second
+const prefetchBudget = 2 * time.Second
 
 // Prefetch has an adapter loaded before anybody asks for it, if there is room.
-func (k *Controller) Prefetch(key Key) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	now := k.Now()
-	if _, there := k.slots.Ready(key); there || k.refusing != nil {
+func (c *Controller) Prefetch(key Key) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	now := c.Now()
+	if _, there := c.slots.Ready(key); there || c.refusal != nil {
 		return
 	}
-	if _, err := k.want(AdmissionRequest{Key: key, LatencyBudget: aheadTarget, MaxWait: 2 * aheadTarget}, now); err != nil {
-		k.log.Debug("not loaded ahead", "adapter", key.String(), "version", key.Version, "error", err.Error())
+	if _, err := c.requestLoad(AdmissionRequest{Key: key, LatencyBudget: prefetchBudget, MaxWait: 2 * prefetchBudget}, now); err != nil {
+		c.log.Debug("not loaded ahead", "adapter", key.String(), "version", key.Version, "error", err.Error())
 	}
 }
 
 // Holds says whether any version of an adapter is on the runner.
-func (k *Controller) Holds(adapter site.Adapter) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	_, ok := k.slots.places[adapter]
+func (c *Controller) Holds(adapter site.Adapter) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, ok := c.slots.entries[adapter]
 	return ok
 }
 
 // HeldKeys gives the adapters on the runner whose version is in force.
-func (k *Controller) HeldKeys(versions map[site.Adapter]int64) []Key {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	held := make([]Key, 0, len(k.slots.places))
-	for adapter := range k.slots.places {
+func (c *Controller) HeldKeys(versions map[site.Adapter]int64) []Key {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	held := make([]Key, 0, len(c.slots.entries))
+	for adapter := range c.slots.entries {
 		key := Key{Adapter: adapter, Version: versions[adapter]}
-		if k.holds(key) {
+		if c.holdsOrLoads(key) {
 			held = append(held, key)
 		}
 	}
 	return held
 }
 
-func (k *Controller) queued(key Key) *want {
-	for _, w := range k.waiting {
+func (c *Controller) findPending(key Key) *pendingLoad {
+	for _, w := range c.pending {
 		if w.key == key {
 			return w
 		}
@@ -239,39 +239,39 @@
 	return nil
 }
 
-// firstWaiting gives the load to order next; the lock is held.
+// nextPending gives the load to order next; the lock is held.
 //
 // More loads may be wanted than the weight store can do. In the order of their
 // coming all then wait for seconds and none is in time. Those that can still be
 // in time go first, the most urgent before the others, and the late ones take
 // what is left: as many as the store can do are on time.
-func (k *Controller) firstWaiting() *want {
-	var first *want
-	now := k.Now()
-	for _, w := range k.waiting {
-		inTime := first != nil && !first.target.Before(now.Add(k.loadTime(first.key)))
-		if first == nil || k.before(w, first, inTime, now) {
+func (c *Controller) nextPending() *pendingLoad {
+	var first *pendingLoad
+	now := c.Now()
+	for _, w := range c.pending {
+		inTime := first != nil && !first.dueAt.Before(now.Add(c.idleLoadTime(first.key)))
+		if first == nil || c.precedes(w, first, inTime, now) {
 			first = w
 		}
 	}
 	return first
 }
 
-// staleWant is how long after a load should have been over nobody has asked
+// staleAfter is how long after a load should have been over nobody has asked
 // again: the callers have left.
-const staleWant = time.Second
+const staleAfter = time.Second
 
-// forgetOld drops loads that are there or that nobody wants any more; the lock
+// dropStale drops loads that are there or that nobody wants any more; the lock
 // is held.
-func (k *Controller) forgetOld(now time.Time) {
-	k.waiting = slices.DeleteFunc(k.waiting, func(w *want) bool {
-		_, there := k.slots.Ready(w.key)
-		return there || now.After(w.until) || now.Sub(w.askedAt) > k.queueTime(w, now)+staleWant
+func (c *Controller) dropStale(now time.Time) {
+	c.pending = slices.DeleteFunc(c.pending, func(w *pendingLoad) bool {
+		_, there := c.slots.Ready(w.key)
+		return there || now.After(w.usefulUntil) || now.Sub(w.lastAskedAt) > c.timeUntilLoaded(w, now)+staleAfter
 	})
 }
 
-func (k *Controller) drop(key Key) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.waiting = slices.DeleteFunc(k.waiting, func(w *want) bool { return w.key == key })
+func (c *Controller) dropPending(key Key) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.pending = slices.DeleteFunc(c.pending, func(w *pendingLoad) bool { return w.key == key })
 }
--- a/internal/adapters/reading_test.go
+++ b/internal/adapters/reading_test.go
@@ -8,22 +8,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// begin gives when an answer begins on a runner that reads so many tokens a
+// firstEventTime gives when an answer begins on a runner that reads so many tokens a
 // millisecond, behind other prompts for some of them, as a small host sees it.
-func begin(draw *rand.Rand, tokens int, perMS float64) time.Duration {
+func firstEventTime(draw *rand.Rand, tokens int, perMS float64) time.Duration {
 	reading := time.Duration(float64(tokens) / perMS * float64(time.Millisecond))
 	wait := time.Duration(draw.ExpFloat64() * float64(6*time.Millisecond))
 	if draw.Float64() < 0.5 {
 		wait += time.Duration(draw.ExpFloat64() * float64(40*time.Millisecond))
 	}
-	return answerOverhead + reading + wait
+	return firstEventOverhead + reading + wait
 }
 
-func learnt(draw *rand.Rand, answers int, perMS float64) float64 {
+func learnedRate(draw *rand.Rand, answers int, perMS float64) float64 {
 	var r PrefillEstimator
 	for range answers {
 		tokens := 200 + draw.IntN(3000)
-		r.Observe(PrefillPerToken(tokens, begin(draw, tokens, perMS)))
+		r.Observe(PrefillPerToken(tokens, firstEventTime(draw, tokens, perMS)))
 	}
 	return r.PerToken()
 }
@@ -31,12 +31,12 @@
 // Half of all answers begin late, since other prompts are read before theirs. What a
 // runner takes for a token is learnt from the others: after some ten answers within a
 // fifth, and it stays there.
-func TestReadingIsLearnt(t *testing.T) {
+func TestPrefillRateIsLearned(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, perMS := range []float64{20, 29.8, 38.7, 60} {
 			draw := rand.New(rand.NewPCG(seed, 1))
 			for _, answers := range []int{12, 300} {
-				got := learnt(draw, answers, perMS)
+				got := learnedRate(draw, answers, perMS)
 				must.Between(t, 0.99, got*perMS/1e6, 1.3, must.Sprintf("%v tokens/ms after %d answers", perMS, answers))
 			}
 		}
@@ -45,18 +45,18 @@
 
 // Answers to short prompts and those that came from elsewhere say nothing, and a
 // runner of which little is known counts as one like the others.
-func TestReadingOfLittle(t *testing.T) {
+func TestPrefillRateWithFewSamples(t *testing.T) {
 	must.Eq(t, 0, PrefillPerToken(100, time.Second))
-	must.Eq(t, 0, PrefillPerToken(800, answerOverhead))
+	must.Eq(t, 0, PrefillPerToken(800, firstEventOverhead))
 	var r PrefillEstimator
-	for range firstAnswers - 1 {
+	for range initialSamples - 1 {
 		r.Observe(50_000)
 		r.Observe(0)
 	}
 	must.Eq(t, 0, r.PerToken())
 	must.Eq(t, 1.0, slowness(r.PerToken(), 25_000))
 	r.Observe(50_000)
-	must.Eq(t, slowness(mostSlow, 1), slowness(r.PerToken(), 20_000), must.Sprint("bounded"))
+	must.Eq(t, slowness(maxSlowness, 1), slowness(r.PerToken(), 20_000), must.Sprint("bounded"))
 	must.Between(t, 1.35, slowness(1.3, 1), 1.4)
 	must.Eq(t, 1.0, slowness(r.PerToken(), 0))
 	must.Eq(t, 1.0, slowness(r.PerToken(), 60_000), must.Sprint("a faster runner is not given more than callers' pauses allow"))
@@ -74,15 +74,15 @@
 		allowed = 250 * time.Millisecond
 	)
 	longest := func(now *time.Time, answersPerMS float64) time.Duration {
-		k := keeperAt(now, 4, &fakeEngine{})
-		k.TypicalPrefill = func() float64 { return 1e6 / 38.7 }
+		c := newTestController(now, 4, &fakeEngine{})
+		c.TypicalPrefill = func() float64 { return 1e6 / 38.7 }
 		draw := rand.New(rand.NewPCG(1, 1))
 		for range 40 {
-			k.ObservePrefill(PrefillPerToken(tokens, begin(draw, tokens, answersPerMS)))
+			c.ObservePrefill(PrefillPerToken(tokens, firstEventTime(draw, tokens, answersPerMS)))
 		}
 		var sent []time.Time
 		for range prompts {
-			admitted, err := k.Admit(AdmissionRequest{PromptTokens: tokens, MaxOutputTokens: 100, PromptWait: 10 * time.Second, LatencyBudget: 10 * time.Second, MaxWait: 10 * time.Second})
+			admitted, err := c.Admit(AdmissionRequest{PromptTokens: tokens, MaxOutputTokens: 100, PromptWait: 10 * time.Second, LatencyBudget: 10 * time.Second, MaxWait: 10 * time.Second})
 			must.NoError(t, err)
 			sent = append(sent, admitted.At)
 		}
--- a/internal/adapters/replicas.go
+++ b/internal/adapters/replicas.go
@@ -11,44 +11,44 @@
 // many cold adapters 1,237 were fetched where 838 had been asked for, and the
 // weight store, which was never idle, brought a third of them in vain.
 type Replicas struct {
-	byKey map[Key]*replicas
+	byKey map[Key]*replicaSet
 	clock uint64
 }
 
-// replicas are the runners of one adapter beside its home.
-type replicas struct {
+// replicaSet are the runners of one adapter beside its home.
+type replicaSet struct {
 	runners []string
 	// next is the runner that is named first next time.
 	next int
-	// used grows with each use; the entry used longest ago makes way.
-	used uint64
+	// lastUsed grows with each use; the entry lastUsed longest ago makes way.
+	lastUsed uint64
 }
 
 const (
-	// maxReplicated bounds the adapters whose runners are kept: three thousand
+	// maxTrackedAdapters bounds the adapters whose runners are kept: three thousand
 	// adapters on nine runners make 333 a home.
-	maxReplicated = 1024
+	maxTrackedAdapters = 1024
 	// maxReplicas bounds the runners of one adapter. The most wanted of a region's
 	// 20,000 keeps some 50 runners of 12 slots busy.
 	maxReplicas = 128
-	// namedReplicas is how many are named at a time: one that is busy costs its
+	// maxPicked is how many are named at a time: one that is busy costs its
 	// asker some three milliseconds.
-	namedReplicas = 3
+	maxPicked = 3
 )
 
 // NewReplicas makes an empty table.
-func NewReplicas() *Replicas { return &Replicas{byKey: map[Key]*replicas{}} }
+func NewReplicas() *Replicas { return &Replicas{byKey: map[Key]*replicaSet{}} }
 
-// Placed notes that an adapter was placed on a runner.
-func (r *Replicas) Placed(key Key, runner string) {
+// Add notes that an adapter was placed on a runner.
+func (r *Replicas) Add(key Key, runner string) {
 	r.clock++
 	known := r.byKey[key]
 	if known == nil {
 		r.makeRoom()
-		known = &replicas{}
+		known = &replicaSet{}
 		r.byKey[key] = known
 	}
-	known.used = r.clock
+	known.lastUsed = r.clock
 	for _, other := range known.runners {
 		if other == runner {
 			return
@@ -61,41 +61,41 @@
 }
 
 func (r *Replicas) makeRoom() {
-	if len(r.byKey) < maxReplicated {
+	if len(r.byKey) < maxTrackedAdapters {
 		return
 	}
 	var oldest Key
 	least := r.clock
 	for key, known := range r.byKey {
-		if known.used < least {
-			oldest, least = key, known.used
+		if known.lastUsed < least {
+			oldest, least = key, known.lastUsed
 		}
 	}
 	delete(r.byKey, oldest)
 }
 
-// Named gives some of the runners on which an adapter lies, others each time.
-func (r *Replicas) Named(key Key) []string {
+// Pick gives some of the runners on which an adapter lies, others each time.
+func (r *Replicas) Pick(key Key) []string {
 	known := r.byKey[key]
 	if known == nil {
 		return nil
 	}
 	r.clock++
-	known.used = r.clock
-	count := min(namedReplicas, len(known.runners))
-	named := make([]string, 0, count)
+	known.lastUsed = r.clock
+	count := min(maxPicked, len(known.runners))
+	picked := make([]string, 0, count)
 	for i := range count {
-		named = append(named, known.runners[(known.next+i)%len(known.runners)])
+		picked = append(picked, known.runners[(known.next+i)%len(known.runners)])
 	}
 	known.next = (known.next + count) % len(known.runners)
-	return named
+	return picked
 }
 
-// Known says whether an adapter lies on another runner.
-func (r *Replicas) Known(key Key) bool { return r.byKey[key] != nil }
+// Has says whether an adapter lies on another runner.
+func (r *Replicas) Has(key Key) bool { return r.byKey[key] != nil }
 
-// Keep drops the runners that are gone.
-func (r *Replicas) Keep(alive func(runner string) bool) {
+// Retain drops the runners that are gone.
+func (r *Replicas) Retain(alive func(runner string) bool) {
 	for key, known := range r.byKey {
 		known.runners = slices.DeleteFunc(known.runners, func(runner string) bool { return !alive(runner) })
 		known.next = 0
--- a/internal/adapters/slots.go
+++ b/internal/adapters/slots.go
@@ -24,57 +24,57 @@
 	loading phase = iota
 	// resident: requests for it are served.
 	resident
-	// doubtful: an order was sent and no answer came.
-	doubtful
-	// leaving: ordered away while requests still used it.
-	leaving
+	// inDoubt: an order was sent and no answer came.
+	inDoubt
+	// unloading: ordered away while requests still used it.
+	unloading
 )
 
-type place struct {
+type adapterSlot struct {
 	phase   phase
 	readyAt time.Time
 	// orderedAt is when the order that led to this phase was sent.
 	orderedAt time.Time
 	usedAt    time.Time
-	// users counts the requests that were sent to it and have not ended; those of
+	// requests counts the requests that were sent to it and have not ended; those of
 	// a host that is gone end at busyUntil at the latest.
-	users     int
-	busyUntil time.Time
-	// last is the request that began last, likelyUntil when all of them will most
+	requests  int
+	latestEnd time.Time
+	// lastRun is the request that began lastRun, likelyUntil when all of them will most
 	// likely have ended.
-	last        Run
-	likelyUntil time.Time
-	// early says that a request has come before the load was over.
-	early   bool
-	version int64
+	lastRun     Run
+	expectedEnd time.Time
+	// underestimated says that a request has come before the load was over.
+	underestimated bool
+	version        int64
 	// reload: the runner held the adapter lately and needs nothing of the weight
 	// store.
 	reload bool
 }
 
-// maxTransit is the number of adapters that may be on their way to one runner.
-const maxTransit = 4
+// maxConcurrentLoads is the number of adapters that may be on their way to one runner.
+const maxConcurrentLoads = 4
 
-// leastStay is how long an adapter stays after its load, so that the requests
+// minResidence is how long an adapter stays after its load, so that the requests
 // that waited for it find it.
-const leastStay = 500 * time.Millisecond
+const minResidence = 500 * time.Millisecond
 
-// recentPerPlace is how many adapters that left a runner are remembered, for each
+// recentPerSlot is how many adapters that left a runner are remembered, for each
 // of its places. The engine loads those it held recently ten times as fast; how
 // many these are it does not say. On runners of 8, 21 and 30 places it was six
 // times as many, those that lie there included. An adapter that is remembered for
 // longer is met too early, which costs its request one more send.
-const recentPerPlace = 5
+const recentPerSlot = 5
 
-// Slots is what the owner knows of one runner's places. It is not safe for
+// AdapterSlots is what the owner knows of one runner's places. It is not safe for
 // concurrent use.
-type Slots struct {
+type AdapterSlots struct {
 	capacity int
-	places   map[site.Adapter]*place
+	entries  map[site.Adapter]*adapterSlot
 	recent   map[Key]uint64
 	clock    uint64
-	// pace is how many times as long as they likely should answers take here.
-	pace float64
+	// runtimeFactor is how many times as long as they likely should answers take here.
+	runtimeFactor float64
 	// Sequence is the number of orders that the runner has accepted.
 	Sequence int64
 	// Unanswered are orders of this lifetime without an answer, Inherited those of
@@ -82,16 +82,16 @@
 	Unanswered, Inherited LateOrders
 }
 
-// NewSlots makes the places of a runner that holds nothing.
-func NewSlots(capacity int) *Slots {
-	return &Slots{
-		capacity: capacity, places: map[site.Adapter]*place{}, recent: map[Key]uint64{}, pace: 1,
+// NewAdapterSlots makes the places of a runner that holds nothing.
+func NewAdapterSlots(capacity int) *AdapterSlots {
+	return &AdapterSlots{
+		capacity: capacity, entries: map[site.Adapter]*adapterSlot{}, recent: map[Key]uint64{}, runtimeFactor: 1,
 		Unanswered: LateOrders{}, Inherited: LateOrders{},
 	}
 }
 
-// Capacity gives the number of adapters that fit on a runner.
-func Capacity(engine *site.Engine, model site.Model) int {
+// SlotCapacity gives the number of adapters that fit on a runner.
+func SlotCapacity(engine *site.Engine, model site.Model) int {
 	capacity := engine.AdapterSlots
 	if model.AdapterMB > 0 {
 		room := int((engine.WeightsMB - model.WeightsMB) / model.AdapterMB)
@@ -100,12 +100,12 @@
 	return max(0, capacity)
 }
 
-// Settle turns loads whose time has passed into residents and drops the orders
+// Advance turns loads whose time has passed into residents and drops the orders
 // that are not carried out any more.
-func (s *Slots) Settle(now time.Time) {
+func (s *AdapterSlots) Advance(now time.Time) {
 	s.Unanswered.expire(now)
 	s.Inherited.expire(now)
-	for _, p := range s.places {
+	for _, p := range s.entries {
 		if p.phase == loading && !now.Before(p.readyAt) {
 			p.phase = resident
 		}
@@ -113,9 +113,9 @@
 }
 
 // Ready tells whether an adapter is there or on its way, and from when.
-func (s *Slots) Ready(key Key) (time.Time, bool) {
-	p := s.places[key.Adapter]
-	if p == nil || p.phase == doubtful || p.phase == leaving {
+func (s *AdapterSlots) Ready(key Key) (time.Time, bool) {
+	p := s.entries[key.Adapter]
+	if p == nil || p.phase == inDoubt || p.phase == unloading {
 		return time.Time{}, false
 	}
 	if key.Version != 0 && p.version < key.Version {
@@ -124,11 +124,11 @@
 	return p.readyAt, true
 }
 
-// Transit gives the number of adapters on their way, and how many of them come
+// InProgress gives the number of adapters on their way, and how many of them come
 // from the weight store.
-func (s *Slots) Transit() (all, fetched int) {
-	for _, p := range s.places {
-		if p.phase != loading && p.phase != doubtful {
+func (s *AdapterSlots) InProgress() (all, fetched int) {
+	for _, p := range s.entries {
+		if p.phase != loading && p.phase != inDoubt {
 			continue
 		}
 		all++
@@ -139,24 +139,24 @@
 	return all, fetched
 }
 
-// Doubtful gives the number of orders whose answer was lost and of which no report
+// InDoubt gives the number of orders whose answer was lost and of which no report
 // has told yet.
-func (s *Slots) Doubtful() int {
+func (s *AdapterSlots) InDoubt() int {
 	count := 0
-	for _, p := range s.places {
-		if p.phase == doubtful {
+	for _, p := range s.entries {
+		if p.phase == inDoubt {
 			count++
 		}
 	}
 	return count
 }
 
-// Fetching gives the number of adapters that will still be on their way from the
+// FetchingAt gives the number of adapters that will still be on their way from the
 // weight store at a time.
-func (s *Slots) Fetching(at time.Time) int {
+func (s *AdapterSlots) FetchingAt(at time.Time) int {
 	count := 0
-	for _, p := range s.places {
-		if p.phase == doubtful || p.phase == loading && !p.reload && p.readyAt.After(at) {
+	for _, p := range s.entries {
+		if p.phase == inDoubt || p.phase == loading && !p.reload && p.readyAt.After(at) {
 			count++
 		}
 	}
@@ -166,13 +166,13 @@
 // Free gives the number of places that hold nothing. A place in doubt is not
 // free, and neither is one that a late order may take: a load beyond the places
 // crashes the runner.
-func (s *Slots) Free() int {
-	return s.capacity - len(s.places) - s.Inherited.places(s.Sequence)
+func (s *AdapterSlots) Free() int {
+	return s.capacity - len(s.entries) - s.Inherited.reservedSlots(s.Sequence)
 }
 
 // Touch notes that somebody asks for an adapter.
-func (s *Slots) Touch(adapter site.Adapter, now time.Time) {
-	if p := s.places[adapter]; p != nil && now.After(p.usedAt) {
+func (s *AdapterSlots) Touch(adapter site.Adapter, now time.Time) {
+	if p := s.entries[adapter]; p != nil && now.After(p.usedAt) {
 		p.usedAt = now
 	}
 }
@@ -180,19 +180,19 @@
 // idle says that no request is thought to use the adapter. An adapter in use
 // cannot leave before its last answer ends: until then its place would be lost
 // without being free, and new requests for it would be turned away.
-func (p *place) idle(now time.Time) bool {
-	if p.phase != resident || now.Sub(p.readyAt) < leastStay {
+func (p *adapterSlot) idle(now time.Time) bool {
+	if p.phase != resident || now.Sub(p.readyAt) < minResidence {
 		return false
 	}
-	return p.users == 0 || now.After(p.busyUntil)
+	return p.requests == 0 || now.After(p.latestEnd)
 }
 
 // Victim gives the idle adapter that was not used for the longest time.
-func (s *Slots) Victim(now time.Time) (site.Adapter, bool) {
+func (s *AdapterSlots) Victim(now time.Time) (site.Adapter, bool) {
 	var victim site.Adapter
 	var oldest time.Time
 	found := false
-	for adapter, p := range s.places {
+	for adapter, p := range s.entries {
 		if !p.idle(now) {
 			continue
 		}
@@ -203,10 +203,10 @@
 	return victim, found
 }
 
-// Idle gives the number of adapters that may make way.
-func (s *Slots) Idle(now time.Time) int {
+// IdleCount gives the number of adapters that may make way.
+func (s *AdapterSlots) IdleCount(now time.Time) int {
 	count := 0
-	for _, p := range s.places {
+	for _, p := range s.entries {
 		if p.idle(now) {
 			count++
 		}
@@ -214,100 +214,100 @@
 	return count
 }
 
-// Recent says whether the runner held this version of an adapter lately.
-func (s *Slots) Recent(key Key) bool {
+// HeldRecently says whether the runner held this version of an adapter lately.
+func (s *AdapterSlots) HeldRecently(key Key) bool {
 	_, ok := s.recent[key]
 	return ok
 }
 
-// Loading notes an accepted load.
-func (s *Slots) Loading(key Key, readyAt, now time.Time) {
+// LoadAccepted notes an accepted load.
+func (s *AdapterSlots) LoadAccepted(key Key, readyAt, now time.Time) {
 	s.Sequence++
-	s.places[key.Adapter] = &place{
-		phase: loading, readyAt: readyAt, orderedAt: now, usedAt: now, version: key.Version, reload: s.Recent(key),
+	s.entries[key.Adapter] = &adapterSlot{
+		phase: loading, readyAt: readyAt, orderedAt: now, usedAt: now, version: key.Version, reload: s.HeldRecently(key),
 	}
 }
 
-// Doubt notes a load whose answer was lost.
-func (s *Slots) Doubt(key Key, now time.Time) {
-	s.places[key.Adapter] = &place{phase: doubtful, orderedAt: now, usedAt: now, version: key.Version}
+// LoadInDoubt notes a load whose answer was lost.
+func (s *AdapterSlots) LoadInDoubt(key Key, now time.Time) {
+	s.entries[key.Adapter] = &adapterSlot{phase: inDoubt, orderedAt: now, usedAt: now, version: key.Version}
 }
 
-// Leaving notes an accepted unload that waits for requests to end.
-func (s *Slots) Leaving(adapter site.Adapter, now time.Time) {
+// UnloadAccepted notes an accepted unload that waits for requests to end.
+func (s *AdapterSlots) UnloadAccepted(adapter site.Adapter, now time.Time) {
 	s.Sequence++
-	if p := s.places[adapter]; p != nil {
-		p.phase = leaving
+	if p := s.entries[adapter]; p != nil {
+		p.phase = unloading
 		p.orderedAt = now
 	}
 }
 
-// Left notes an adapter that is gone by an accepted unload.
-func (s *Slots) Left(adapter site.Adapter) {
+// Unloaded notes an adapter that is gone by an accepted unload.
+func (s *AdapterSlots) Unloaded(adapter site.Adapter) {
 	s.Sequence++
 	s.drop(adapter)
 }
 
-// longestLoad is how long after its order a load may still be under way: the
+// maxLoadDuration is how long after its order a load may still be under way: the
 // weight store's rate divided among many loads, and an order that is carried
 // out some time after its answer.
-const longestLoad = 2 * time.Second
+const maxLoadDuration = 2 * time.Second
 
-// Early notes that a runner turned a request away although the adapter's load
+// RequestTooEarly notes that a runner turned a request away although the adapter's load
 // was thought to be over. It gives false if the load was so long ago that the
 // adapter must be gone; else the adapter counts as on its way for some more time:
 // one that should have been a reload for as long as a fetch takes.
 // The first complaint about a load says so.
-func (s *Slots) Early(adapter site.Adapter, fetch time.Duration, now time.Time) (complaint Complaint, underWay bool) {
-	p := s.places[adapter]
-	if p == nil || p.phase == doubtful || p.phase == leaving || now.Sub(p.orderedAt) > longestLoad {
-		return NoComplaint, false
+func (s *AdapterSlots) RequestTooEarly(adapter site.Adapter, fetch time.Duration, now time.Time) (first Underestimate, underWay bool) {
+	p := s.entries[adapter]
+	if p == nil || p.phase == inDoubt || p.phase == unloading || now.Sub(p.orderedAt) > maxLoadDuration {
+		return NoUnderestimate, false
 	}
-	if !p.early {
-		complaint = FetchEarly
+	if !p.underestimated {
+		first = FetchUnderestimated
 		if p.reload {
-			complaint = ReloadEarly
+			first = ReloadUnderestimated
 		}
 	}
-	p.early = true
+	p.underestimated = true
 	if p.phase == loading && p.readyAt.After(now) {
 		// Another request has complained a moment ago.
-		return complaint, true
+		return first, true
 	}
-	more := max(earlyAgain, time.Duration(earlyShare*float64(now.Sub(p.orderedAt))))
+	more := max(minEarlyRetry, time.Duration(earlyRetryShare*float64(now.Sub(p.orderedAt))))
 	if p.reload {
 		// The runner has forgotten the adapter after all.
 		p.reload = false
 		more = max(more, p.orderedAt.Add(fetch).Sub(now))
 	}
 	p.setLoading(now.Add(more))
-	return complaint, true
+	return first, true
 }
 
-// Complaint says which kind of load was met too early for the first time.
-type Complaint uint8
+// Underestimate says which kind of load was met too early for the first time.
+type Underestimate uint8
 
 // Complaints.
 const (
-	NoComplaint Complaint = iota
-	FetchEarly
-	ReloadEarly
+	NoUnderestimate Underestimate = iota
+	FetchUnderestimated
+	ReloadUnderestimated
 )
 
-func (p *place) setLoading(readyAt time.Time) {
+func (p *adapterSlot) setLoading(readyAt time.Time) {
 	p.phase = loading
 	p.readyAt = readyAt
 }
 
-func (s *Slots) drop(adapter site.Adapter) {
+func (s *AdapterSlots) drop(adapter site.Adapter) {
 	left := Key{Adapter: adapter}
-	if p := s.places[adapter]; p != nil {
+	if p := s.entries[adapter]; p != nil {
 		left.Version = p.version
 	}
-	delete(s.places, adapter)
+	delete(s.entries, adapter)
 	s.clock++
 	s.recent[left] = s.clock
-	if len(s.recent) <= recentPerPlace*s.capacity {
+	if len(s.recent) <= recentPerSlot*s.capacity {
 		return
 	}
 	var oldest Key
@@ -320,9 +320,9 @@
 	delete(s.recent, oldest)
 }
 
-// unknownUse is how long ago an adapter counts as used that was found on a
+// assumedIdle is how long ago an adapter counts as used that was found on a
 // runner: it makes way before those whose use was seen.
-const unknownUse = time.Second
+const assumedIdle = time.Second
 
 // Held is an adapter in a runner's report.
 type Held struct {
@@ -331,27 +331,27 @@
 	Incoming bool
 }
 
-// Reported takes a runner's report over. Places whose order is younger than the
+// ApplyReport takes a runner's report over. Places whose order is younger than the
 // report may be are kept: the report tells of some time ago.
-func (s *Slots) Reported(sequence int64, held []Held, lag time.Duration, incomingReadyAt, now time.Time) {
+func (s *AdapterSlots) ApplyReport(sequence int64, held []Held, lag time.Duration, incomingReadyAt, now time.Time) {
 	s.Sequence = sequence
 	seen := make(map[site.Adapter]bool, len(held))
 	for _, h := range held {
 		seen[h.Adapter] = true
-		s.report(h, incomingReadyAt, now)
+		s.applyHeld(h, incomingReadyAt, now)
 	}
-	for adapter, p := range s.places {
+	for adapter, p := range s.entries {
 		if !seen[adapter] && now.Sub(p.orderedAt) > lag {
 			s.drop(adapter)
 		}
 	}
 }
 
-func (s *Slots) report(h Held, incomingReadyAt, now time.Time) {
-	p := s.places[h.Adapter]
+func (s *AdapterSlots) applyHeld(h Held, incomingReadyAt, now time.Time) {
+	p := s.entries[h.Adapter]
 	if p == nil {
-		p = &place{usedAt: now.Add(-unknownUse), version: h.Version, readyAt: now.Add(-leastStay)}
-		s.places[h.Adapter] = p
+		p = &adapterSlot{usedAt: now.Add(-assumedIdle), version: h.Version, readyAt: now.Add(-minResidence)}
+		s.entries[h.Adapter] = p
 		if h.Incoming {
 			p.phase = loading
 			p.readyAt = incomingReadyAt
@@ -361,11 +361,11 @@
 		return
 	}
 	p.version = max(p.version, h.Version)
-	if p.phase == doubtful && h.Incoming {
+	if p.phase == inDoubt && h.Incoming {
 		p.setLoading(incomingReadyAt)
 		return
 	}
-	if p.phase == doubtful {
+	if p.phase == inDoubt {
 		p.phase = resident
 		p.readyAt = now
 	}
--- a/internal/adapters/slots_test.go
+++ b/internal/adapters/slots_test.go
@@ -10,52 +10,52 @@
 	"pgregory.net/rapid"
 )
 
-func named(i int) site.Adapter { return site.Adapter{Model: "m", Name: fmt.Sprintf("a%d", i)} }
+func testAdapter(i int) site.Adapter { return site.Adapter{Model: "m", Name: fmt.Sprintf("a%d", i)} }
 
-func keyed(i int) Key { return Key{Adapter: named(i)} }
+func testKey(i int) Key { return Key{Adapter: testAdapter(i)} }
 
 func TestCapacity(t *testing.T) {
 	model := site.Model{Name: "m", WeightsMB: 65_500, AdapterMB: 40}
-	must.Eq(t, 30, Capacity(&site.Engine{WeightsMB: 68_000, AdapterSlots: 30}, model))
-	must.Eq(t, 12, Capacity(&site.Engine{WeightsMB: 66_000, AdapterSlots: 30}, model))
-	must.Eq(t, 0, Capacity(&site.Engine{WeightsMB: 60_000, AdapterSlots: 30}, model))
+	must.Eq(t, 30, SlotCapacity(&site.Engine{WeightsMB: 68_000, AdapterSlots: 30}, model))
+	must.Eq(t, 12, SlotCapacity(&site.Engine{WeightsMB: 66_000, AdapterSlots: 30}, model))
+	must.Eq(t, 0, SlotCapacity(&site.Engine{WeightsMB: 60_000, AdapterSlots: 30}, model))
 }
 
 // An order to load gets no answer. The adapter may be there, so its place is
 // not free: a further load into it would crash the runner. Nor is it ready: a
 // request sent there would be turned away.
-func TestSlotsDoubtHoldsPlace(t *testing.T) {
-	s := NewSlots(1)
-	s.Doubt(keyed(1), epoch)
+func TestInDoubtLoadOccupiesItsSlot(t *testing.T) {
+	s := NewAdapterSlots(1)
+	s.LoadInDoubt(testKey(1), epoch)
 	must.Eq(t, 0, s.Free())
-	_, ready := s.Ready(keyed(1))
+	_, ready := s.Ready(testKey(1))
 	must.False(t, ready)
 
-	s.Reported(5, nil, reportLag, epoch, epoch.Add(reportLag/2))
+	s.ApplyReport(5, nil, reportLag, epoch, epoch.Add(reportLag/2))
 	must.Eq(t, 0, s.Free(), must.Sprint("a report older than the order says nothing of it"))
-	s.Reported(5, nil, reportLag, epoch, epoch.Add(2*reportLag))
+	s.ApplyReport(5, nil, reportLag, epoch, epoch.Add(2*reportLag))
 	must.Eq(t, 1, s.Free())
 }
 
 // Three requests come before their adapter's load is over. Each complains. The
 // estimate may move once only; moved by each, it grew to 650 ms where 250 are
 // needed, and loads were ordered half as fast as the weight store allows.
-func TestSlotsOneComplaintALoad(t *testing.T) {
-	s := NewSlots(2)
-	s.Loading(keyed(1), epoch.Add(time.Millisecond), epoch)
+func TestUnderestimateCountsOncePerLoad(t *testing.T) {
+	s := NewAdapterSlots(2)
+	s.LoadAccepted(testKey(1), epoch.Add(time.Millisecond), epoch)
 	now := epoch.Add(2 * time.Millisecond)
-	s.Settle(now)
-	again := now.Add(earlyAgain)
-	complaint, loading := s.Early(named(1), firstLoadTime, now)
-	must.Eq(t, FetchEarly, complaint)
+	s.Advance(now)
+	again := now.Add(minEarlyRetry)
+	complaint, loading := s.RequestTooEarly(testAdapter(1), initialFetchTime, now)
+	must.Eq(t, FetchUnderestimated, complaint)
 	must.True(t, loading)
-	readyAt, ok := s.Ready(keyed(1))
+	readyAt, ok := s.Ready(testKey(1))
 	must.True(t, ok)
 	must.Eq(t, again, readyAt)
-	complaint, loading = s.Early(named(1), firstLoadTime, now)
-	must.Eq(t, NoComplaint, complaint)
+	complaint, loading = s.RequestTooEarly(testAdapter(1), initialFetchTime, now)
+	must.Eq(t, NoUnderestimate, complaint)
 	must.True(t, loading)
-	_, loading = s.Early(named(1), firstLoadTime, epoch.Add(longestLoad+time.Second))
+	_, loading = s.RequestTooEarly(testAdapter(1), initialFetchTime, epoch.Add(maxLoadDuration+time.Second))
 	must.False(t, loading)
 }
 
@@ -63,15 +63,15 @@
 // that finds out waits for a part of the time it took so far; those that complain
 // meanwhile do not put it off further.
 func TestEarlyWaitGrowsWithTheLoad(t *testing.T) {
-	s := NewSlots(2)
-	s.Loading(keyed(1), epoch.Add(400*time.Millisecond), epoch)
+	s := NewAdapterSlots(2)
+	s.LoadAccepted(testKey(1), epoch.Add(400*time.Millisecond), epoch)
 	now := epoch.Add(400 * time.Millisecond)
-	s.Settle(now)
-	_, _ = s.Early(named(1), firstLoadTime, now)
-	readyAt, _ := s.Ready(keyed(1))
+	s.Advance(now)
+	_, _ = s.RequestTooEarly(testAdapter(1), initialFetchTime, now)
+	readyAt, _ := s.Ready(testKey(1))
 	must.Eq(t, epoch.Add(460*time.Millisecond), readyAt)
-	_, _ = s.Early(named(1), firstLoadTime, now.Add(10*time.Millisecond))
-	readyAt, _ = s.Ready(keyed(1))
+	_, _ = s.RequestTooEarly(testAdapter(1), initialFetchTime, now.Add(10*time.Millisecond))
+	readyAt, _ = s.Ready(testKey(1))
 	must.Eq(t, epoch.Add(460*time.Millisecond), readyAt)
 }
 
@@ -80,27 +80,27 @@
 func TestNextFetchOverlaps(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{}
-	k := keeperAt(&now, 8, engine)
-	k.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8} }
-	k.slots.Loading(keyed(0), now.Add(firstLoadTime), now)
-	_, err := k.Admit(admission(1, time.Second))
+	c := newTestController(&now, 8, engine)
+	c.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8} }
+	c.slots.LoadAccepted(testKey(0), now.Add(initialFetchTime), now)
+	_, err := c.Admit(testRequest(1, time.Second))
 	must.NoError(t, err)
-	must.Eq(t, transitPoll, k.next(t.Context()))
-	now = now.Add(firstLoadTime - 40*time.Millisecond)
-	must.Eq(t, 0, k.next(t.Context()))
+	must.Eq(t, loadPollInterval, c.runNext(t.Context()))
+	now = now.Add(initialFetchTime - 40*time.Millisecond)
+	must.Eq(t, 0, c.runNext(t.Context()))
 	must.SliceLen(t, 1, engine.orders)
 }
 
 // A new version is announced while the old one lies on the runner. A request
 // for the new one must not be sent there as if it were ready.
 func TestSlotsOldVersionIsNotReady(t *testing.T) {
-	s := NewSlots(2)
-	s.Loading(Key{Adapter: named(1), Version: 2}, epoch, epoch)
-	_, ok := s.Ready(Key{Adapter: named(1), Version: 3})
+	s := NewAdapterSlots(2)
+	s.LoadAccepted(Key{Adapter: testAdapter(1), Version: 2}, epoch, epoch)
+	_, ok := s.Ready(Key{Adapter: testAdapter(1), Version: 3})
 	must.False(t, ok)
-	_, ok = s.Ready(Key{Adapter: named(1), Version: 2})
+	_, ok = s.Ready(Key{Adapter: testAdapter(1), Version: 2})
 	must.True(t, ok)
-	_, ok = s.Ready(Key{Adapter: named(1)})
+	_, ok = s.Ready(Key{Adapter: testAdapter(1)})
 	must.True(t, ok)
 }
 
@@ -109,27 +109,27 @@
 func TestSlotsNeverOverfull(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 4
-		s := NewSlots(capacity)
+		s := NewAdapterSlots(capacity)
 		now := epoch
 		truth := map[site.Adapter]bool{}
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
-			s.Settle(now)
+			s.Advance(now)
 			i := rapid.IntRange(0, 8).Draw(t, "adapter")
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				if _, there := s.places[named(i)]; there || s.Free() < 1 {
+				if _, there := s.entries[testAdapter(i)]; there || s.Free() < 1 {
 					continue
 				}
-				truth[named(i)] = true
+				truth[testAdapter(i)] = true
 				if rapid.Bool().Draw(t, "answered") {
-					s.Loading(keyed(i), now, now)
+					s.LoadAccepted(testKey(i), now, now)
 				} else {
-					s.Doubt(keyed(i), now)
+					s.LoadInDoubt(testKey(i), now)
 				}
 			case 1:
 				if victim, ok := s.Victim(now); ok {
-					s.Left(victim)
+					s.Unloaded(victim)
 					delete(truth, victim)
 				}
 			case 2:
@@ -137,9 +137,9 @@
 				for adapter := range truth {
 					held = append(held, Held{Key: Key{Adapter: adapter}})
 				}
-				s.Reported(s.Sequence, held, reportLag, now, now)
+				s.ApplyReport(s.Sequence, held, reportLag, now, now)
 			case 3:
-				s.Touch(named(i), now)
+				s.Touch(testAdapter(i), now)
 			}
 			if len(truth) > capacity {
 				t.Fatalf("%d adapters on %d places", len(truth), capacity)
