--- a/internal/adapters/forecast_test.go
+++ b/internal/adapters/forecast_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// controllerWithBusySlot makes a keeper whose only place is used by one request that will likely run
-// for a time, and that held adapter 2 a moment ago.
+// controllerWithBusySlot returns a controller whose only slot is used by one request
+// with the given expected output, and whose runner held adapter 2 recently.
 func controllerWithBusySlot(t *testing.T, now *time.Time, engine Engines, likely int) *Controller {
 	c := newTestController(now, 1, engine)
 	c.slots.LoadAccepted(testKey(2), *now, *now)
@@ -24,10 +24,10 @@
 	return c
 }
 
-// All places are in use, one by an answer that will end soon. A request for an
-// adapter that the runner held lately waits for that place and is there in time; one
-// for an adapter that it never held is sent on at once. Sent on as well, the first
-// would have had its adapter fetched on another runner.
+// All slots are in use, one by a request that will end soon. A request for an adapter
+// that the runner held recently waits for that slot and is on time; one for an
+// adapter that it never held is refused at once. Refused as well, the first would
+// have its adapter fetched on another runner.
 func TestRecentAdapterWaitsForASlot(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{answers: []Outcome{OutcomeDone}}
@@ -55,8 +55,8 @@
 	must.Len(t, 2, engine.orders)
 }
 
-// The place is used by a long answer. Whoever would wait for it beyond the time of a
-// fetch is sent on at once.
+// The slot is used by a long response. A request that would wait for it longer than a
+// fetch takes is refused at once.
 func TestNoWaitForALongResponse(t *testing.T) {
 	now := epoch
 	c := controllerWithBusySlot(t, &now, &fakeEngine{}, 400)
@@ -64,8 +64,9 @@
 	must.ErrorIs(t, err, ErrNoFreeSlot)
 }
 
-// The answer that should have ended does not. Who waits for its place is told so
-// when it comes again and searches on; waiting for good, it would be refused late.
+// A request that should have ended does not. The load that waits for its slot is
+// dropped, so that its request goes to another runner when it asks again instead of
+// being refused late.
 func TestSlotThatIsNotFreedInTime(t *testing.T) {
 	now := epoch
 	c := controllerWithBusySlot(t, &now, &fakeEngine{}, 10)
@@ -76,8 +77,8 @@
 	must.SliceEmpty(t, c.pending)
 }
 
-// Answers take twice as long as callers think, on this runner. After some of them its
-// places are expected to come free when they do.
+// Requests take twice as long as expected on this runner. After some of them the
+// estimate of when its slots become free is right.
 func TestRuntimeFactorIsLearned(t *testing.T) {
 	now := epoch
 	slots := NewAdapterSlots(1)
--- a/internal/adapters/keeper_test.go
+++ b/internal/adapters/keeper_test.go
@@ -11,8 +11,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// newTestController makes a keeper whose clock is set by the test and whose runner holds
-// the base model.
+// newTestController returns a controller whose clock is set by the test and whose
+// runner holds the base model.
 func newTestController(now *time.Time, capacity int, engines Engines) *Controller {
 	c := NewController(&site.Runner{ID: "r", Instance: "r", Address: "r:1", Slots: 64}, Spec{Model: site.Model{Name: "m"}, Capacity: capacity}, ControllerDeps{
 		OnSignal: func(string, *board.Signal) {},
@@ -30,14 +30,15 @@
 	return c
 }
 
-// saturatedStore is a weight store that is busy with as much as it serves at full speed.
+// saturatedStore is the load of a store that runs as many fetches as it serves at
+// full speed.
 func saturatedStore() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.89} }
 
 type alwaysAuthorized struct{}
 
 func (alwaysAuthorized) MayOrder(string, time.Time) (uint64, bool) { return 1, true }
 
-// fakeEngine accepts orders as its answers say.
+// fakeEngine answers orders with the given outcomes, then accepts all.
 type fakeEngine struct {
 	answers []Outcome
 	orders  []Order
@@ -61,10 +62,10 @@
 	return AdmissionRequest{Key: testKey(i), PromptTokens: 800, MaxOutputTokens: 100, PromptWait: time.Second, LatencyBudget: target, MaxWait: 2 * time.Second}
 }
 
-// Loads are wanted twice as fast as the weight store can do them, for ten
-// seconds, as on a cold start. In the order of their coming, every caller waits
-// for two seconds and nobody is in time. Those that can be in time go first:
-// about half of the callers are, as many as the store can do.
+// For ten seconds, loads are requested twice as fast as the weight store can do them,
+// as on a cold start. In the order of arrival every caller would wait for two seconds
+// and none would be on time. With the loads first that can be in time, about half of
+// the callers are on time, as many as the store can do.
 func TestLoadsThatCanBeInTimeGoFirst(t *testing.T) {
 	const (
 		every  = 125 * time.Millisecond
@@ -96,8 +97,8 @@
 	must.GreaterEq(t, 35, inTime, must.Sprintf("of %d callers; the store can do 40", next))
 }
 
-// More loads are wanted than can be done before the callers leave. Who cannot
-// be served is told so at once and not after two seconds of waiting.
+// More loads are requested than can be done before the callers leave. Requests that
+// can't be served are refused at once instead of after two seconds.
 func TestLoadsThatTakeTooLongAreRefusedAtOnce(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 1000, &fakeEngine{})
@@ -114,8 +115,9 @@
 	must.Between(t, 20, refused, 25)
 }
 
-// One load is waited for at an adapter's home. A second request could not be on
-// time behind it: it goes to another runner at once, while it still can be.
+// One load is pending at an adapter's home. A second request could not be on time
+// behind it and is refused at once, so that it can still be on time on another
+// runner.
 func TestRequestBehindQueuedLoadIsRefused(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 1000, &fakeEngine{})
@@ -129,9 +131,10 @@
 	must.NoError(t, err)
 }
 
-// The weight store has room. Four adapters are asked for at one runner at the same
-// moment: they come side by side, and each request is told to come when its own is
-// there. Told one after the other, the second was sent after 510 ms, too late.
+// The weight store has capacity left. Four adapters are requested from one runner at
+// the same time: they are fetched in parallel, and each request is told to ask again
+// when its own fetch is done. With estimates for one fetch after the other, the
+// second request was sent after 510 ms, too late.
 func TestFetchesRunInParallel(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{}
@@ -149,7 +152,8 @@
 }
 
 // Twice as many runners as the store serves at full speed want to load. Each waits
-// its turn: all at once, every load would take twice as long and none be in time.
+// for its turn: all at once, every load would take twice as long and none would be in
+// time.
 func TestRunnersTakeTurnsAtASaturatedStore(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
@@ -162,9 +166,9 @@
 	must.True(t, c.mayLoad(testKey(2)))
 }
 
-// All places are in use by requests that run. A further adapter is refused at
-// once, so that its request goes to another runner; when a request has ended its
-// adapter makes way.
+// All slots are in use by running requests. A request for another adapter is refused
+// at once, so that it goes to another runner. When a running request has ended, its
+// adapter can be evicted.
 func TestAdapterInUseIsNotEvicted(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 1, &fakeEngine{})
@@ -181,10 +185,10 @@
 	must.True(t, admitted.AskAgain)
 }
 
-// A clump of requests for five cold adapters meets a runner with three places, of
-// which requests that run use two. One load is waited for; the other requests are
+// A burst of requests for five cold adapters reaches a runner with three slots, two
+// of them in use by running requests. One load is queued; the other requests are
 // refused at once, while other runners can still serve them in time. Told to wait,
-// they were refused when the load before theirs had taken the place.
+// they were refused only after the first load had taken the slot.
 func TestBurstOnOneFreeSlot(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 3, &fakeEngine{})
@@ -212,8 +216,8 @@
 	must.Eq(t, 4, refused)
 }
 
-// A host that was sent to an adapter dies with its requests, and never tells
-// their end. The place is free once they cannot run any more.
+// A host dies with the requests that it sent for an adapter and never reports their
+// end. The slot is free once the requests can't be running any more.
 func TestSlotOfLostHostIsFreed(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 1, &fakeEngine{})
@@ -227,9 +231,9 @@
 	must.True(t, ok)
 }
 
-// The answer to an order is lost, and the second order finds another sequence:
-// the first was carried out. The adapter counts as loading, the sequence as one
-// further.
+// The answer to an order is lost and the repeated order meets a sequence conflict, so
+// the first one was carried out. The adapter counts as loading, and the sequence
+// number increases once.
 func TestLostAnswerCountsOnce(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{answers: []Outcome{OutcomeUnknown, OutcomeConflict}}
@@ -243,8 +247,8 @@
 	must.True(t, c.synced)
 }
 
-// Both answers are lost. The place is in doubt and the report is read before
-// anything else is ordered.
+// All answers are lost. The slot is in doubt, and the report is read before anything
+// else is ordered.
 func TestLoadWithoutAnswerIsInDoubt(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{answers: make([]Outcome, maxOrderTries)}
@@ -255,9 +259,9 @@
 	must.Eq(t, 0, c.slots.Free())
 }
 
-// All answers to an order are lost, and the report that is read next is older than
-// the order. The place stays in doubt and the report is read again: left at that,
-// the place was lost for good, and the runner did one load a second.
+// All answers to an order are lost, and the report read next is older than the order.
+// The slot stays in doubt and the report is read again. Otherwise the slot was lost
+// for good and the runner did one load per second.
 func TestInDoubtLoadOutlivesAnOldReport(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 1, &fakeEngine{answers: make([]Outcome, maxOrderTries)})
@@ -288,9 +292,9 @@
 	must.Eq(t, minFetchTime, times.Estimate(false, StoreLoad{Capacity: 8}))
 }
 
-// The weight store is crowded and the runner has just begun a fetch. A request that
-// could be served in time by an idle store is told at once that it cannot be here,
-// while another runner may have its turn sooner.
+// The weight store is saturated and the runner has just started a fetch. A request
+// that an idle store could serve in time is refused at once, since another runner may
+// fetch sooner.
 func TestWaitForTurnCountsAtASaturatedStore(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
@@ -304,9 +308,9 @@
 	must.ErrorIs(t, err, ErrLoadTooSlow)
 }
 
-// A load waits at a crowded store, and behind it a second could be in time. A request
-// with a short prompt waits for it; one with a long prompt would be late here, since
-// its prompt has to be read as well, and is sent on.
+// A load is pending at a saturated store, and a second one behind it could be done in
+// time. A request with a short prompt waits for it. One with a long prompt would be
+// late, since its prefill comes on top, and is refused.
 func TestPrefillTimeCountsAgainstTheBudget(t *testing.T) {
 	for tokens, want := range map[int]error{200: nil, 7000: ErrLoadTooSlow} {
 		now := epoch
--- a/internal/adapters/late_test.go
+++ b/internal/adapters/late_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// lossyEngine plays a runner that loses answers and carries the orders out late,
-// also in the lifetime that begins when it starts again.
+// lossyEngine simulates a runner that loses answers and carries out orders late, even
+// after a restart.
 type lossyEngine struct {
 	capacity int
 	born     int64
@@ -63,10 +63,10 @@
 	return report, nil
 }
 
-// A runner with three places loses the answers to two loads, crashes, and starts
-// again under its instance. Its new count comes by the sequences of the lost orders
-// while their answers are still out, and they are carried out. The runner must never
-// hold more than its places: it would crash, and all callers' answers with it.
+// A runner with three slots loses the answer to a load, crashes and restarts under
+// its instance. When its sequence reaches the number of the lost order, that order is
+// carried out. The runner must never hold more adapters than it has slots: it would
+// crash and fail all running requests.
 func TestLateLoadOfEarlierLifetime(t *testing.T) {
 	for _, lostAt := range []int64{1, 2, 3} {
 		now := epoch
@@ -99,24 +99,25 @@
 	}
 }
 
-// Orders of the lifetime before are not carried out for ever: the places that were
-// kept for them are used again.
+// Orders of the previous lifetime are not carried out for ever: the slots reserved
+// for them become free again.
 func TestLateOrdersExpire(t *testing.T) {
 	slots := NewAdapterSlots(3)
 	slots.Inherited.add(0, true, epoch)
 	slots.Inherited.add(1, false, epoch)
 	slots.Inherited.add(2, true, epoch)
 	slots.Inherited.add(4, true, epoch)
-	must.Eq(t, 1, slots.Free(), must.Sprint("two loads follow on each other, with the order to unload between them"))
+	must.Eq(t, 1, slots.Free(), must.Sprint("two loads are consecutive, with an unload between them"))
 	slots.Advance(epoch.Add(lateOrderMax))
 	must.Eq(t, 1, slots.Free())
 	slots.Advance(epoch.Add(lateOrderMax + time.Millisecond))
 	must.Eq(t, 3, slots.Free())
 }
 
-// A runner started again behind its owner's back. Its report tells another start:
-// nothing of the lifetime before may be taken for the new one, and whoever waits is
-// sent on. An earlier start is an answer that was overtaken, and ends nothing.
+// A runner restarted without its owner's knowledge, and its report has another start
+// time. A later start means that nothing known of the old lifetime applies to the new
+// one, and waiting requests are refused. An earlier start is a report that was
+// overtaken, and is ignored.
 func TestReportOfAnotherLifetime(t *testing.T) {
 	for _, test := range []struct {
 		name string
--- a/internal/adapters/limited_test.go
+++ b/internal/adapters/limited_test.go
@@ -9,8 +9,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// Adapters are fetched to a runner that takes few requests, and once more elsewhere for the
-// callers that cannot wait for their turn there.
+// Without this rule adapters are fetched to a runner that takes few requests, and
+// again elsewhere for the requests that can't wait for their turn there.
 func TestNothingIsFetchedToALimitedRunner(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 4, &fakeEngine{})
@@ -20,7 +20,7 @@
 	_, err := c.Admit(testRequest(2, time.Second))
 	must.ErrorIs(t, err, ErrBusy)
 	_, err = c.Admit(testRequest(1, time.Second))
-	must.NoError(t, err, must.Sprint("it lies there"))
+	must.NoError(t, err, must.Sprint("the runner holds it"))
 	c.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2, SaidAgo: limitRecheck} }
 	_, err = c.Admit(testRequest(3, time.Second))
 	must.NoError(t, err, must.Sprint("its limit may be over"))
@@ -28,11 +28,11 @@
 	last := testRequest(2, time.Second)
 	last.LastResort = true
 	_, err = c.Admit(last)
-	must.NoError(t, err, must.Sprint("no other runner takes it"))
+	must.NoError(t, err, must.Sprint("no other runner admits it"))
 }
 
-// A host that may not send to an adapter's home has the adapter fetched anew although it lies
-// on another runner.
+// A host that may not send to an adapter's home asks it which other runners hold the
+// adapter. Otherwise it would have the adapter fetched again.
 func TestBarredRequestLearnsReplicas(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 4, &fakeEngine{})
--- a/internal/adapters/modelloads_test.go
+++ b/internal/adapters/modelloads_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// All runners of a deployment come back empty at once, and each host wants to
-// load the base model on each of its own. Over any window the loads of all hosts
-// stay within the weight store's bound, and all runners get their model.
+// All runners of a deployment come back empty at once, and each host loads the base
+// model on each of its own. In any window the loads of all hosts stay within the
+// weight store's limit, and all runners get their model.
 func TestModelLoadsWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := ModelLoadLimit{Window: 5 * time.Second, Overshoot: 1.1}
-		perSecond := float64(rapid.IntRange(1, 32).Draw(t, "loads a second"))
+		perSecond := float64(rapid.IntRange(1, 32).Draw(t, "loads per second"))
 		hosts := rapid.IntRange(1, 100).Draw(t, "hosts")
 		runners := rapid.IntRange(1, 150).Draw(t, "runners")
 		parts := make([]*ModelLoadLimiter, hosts)
@@ -58,5 +58,5 @@
 	must.Eq(t, 0, loads.Take(epoch, 3.5, 7))
 	must.Positive(t, loads.Take(epoch, 3.5, 7))
 	must.Eq(t, 0, loads.Take(epoch.Add(5*time.Second), 3.5, 7))
-	must.Eq(t, 0, NewModelLoadLimiter(ModelLoadLimit{}).Take(epoch, 3.5, 7), must.Sprint("no bound"))
+	must.Eq(t, 0, NewModelLoadLimiter(ModelLoadLimit{}).Take(epoch, 3.5, 7), must.Sprint("no limit"))
 }
--- a/internal/adapters/owner_test.go
+++ b/internal/adapters/owner_test.go
@@ -11,9 +11,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A runner is gone, and its keeper ends while it asks, under its own lock, for what is on its
-// way to all runners. The owner waits for that lock with its own in its hands, and both wait for
-// ever: the host serves no adapter any more, and goes by the configuration of that moment.
+// A runner is removed, and its controller is stopped while it asks the owner, under
+// its own lock, for the fetches of all runners. If the owner waits for that lock
+// while it holds its own, both deadlock: the host serves no adapter any more and
+// keeps the configuration of that moment.
 func TestStoppedControllerDoesNotBlockTheOwner(t *testing.T) {
 	owner := NewOwner(OwnerDeps{
 		Engines: &lossyEngine{}, Authority: neverAuthorized{}, Owns: func(string) bool { return true }, HostCount: func() int { return 1 },
@@ -43,13 +44,13 @@
 	select {
 	case <-asked:
 	case <-time.After(2 * time.Second):
-		t.Error("the owner's lock is held while a keeper's is waited for")
+		t.Error("the owner waits for a controller's lock while holding its own")
 	}
 	controller.mu.Unlock()
 	<-reconciled
 }
 
-// neverAuthorized lets nothing be ordered.
+// neverAuthorized forbids all orders.
 type neverAuthorized struct{}
 
 func (neverAuthorized) MayOrder(string, time.Time) (uint64, bool) { return 0, false }
--- a/internal/adapters/pacer_test.go
+++ b/internal/adapters/pacer_test.go
@@ -9,19 +9,18 @@
 
 var epoch = time.Unix(1000, 0)
 
-// The first prompt of a runner that has read none: its owner's clock is far
-// from the zero time, and a wait computed from there overflowed, so that every
-// request was refused.
+// The first prompt of a runner: the zero freeAt is far from the owner's clock. A wait
+// computed from it overflowed, so that every request was refused.
 func TestPacerFirstPrompt(t *testing.T) {
 	var p Pacer
 	must.Eq(t, 0, p.Wait(800, epoch))
 	must.Eq(t, epoch, p.Admit(800, epoch))
 }
 
-// Thirty callers come at once for adapters on one runner. Sent at once, their
-// prompts are read in chunks of 2,048 tokens a step, and every running stream
-// pauses for more than its callers allow. Spaced, no window of five steps holds
-// more reading than the allowed pause of 250 ms has room for.
+// Thirty requests for adapters on one runner arrive at once. Sent at once, prefill in
+// chunks of 2,048 tokens per step would make every running stream pause for longer
+// than callers allow. Paced, no window of five steps holds more prefill than the
+// allowed pause of 250 ms has room for.
 func TestPacerSpreadsBurst(t *testing.T) {
 	const (
 		prompts  = 30
@@ -48,8 +47,8 @@
 	}
 }
 
-// A prompt longer than the burst goes alone: after those before it are read, and
-// before the next. Sent at once behind a burst, the two together made every
+// A prompt longer than the burst is sent alone: after the prefill of those before it,
+// and before the next. Sent at once behind a burst, the two together made every
 // running stream pause for over 250 ms.
 func TestPacerLongPrompt(t *testing.T) {
 	var p Pacer
--- a/internal/adapters/reading_test.go
+++ b/internal/adapters/reading_test.go
@@ -8,8 +8,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// firstEventTime gives when an answer begins on a runner that reads so many tokens a
-// millisecond, behind other prompts for some of them, as a small host sees it.
+// firstEventTime returns the simulated time to the first event on a runner with the
+// given prefill rate, as measured by a small host. Half of the requests wait for
+// other prompts.
 func firstEventTime(draw *rand.Rand, tokens int, perMS float64) time.Duration {
 	reading := time.Duration(float64(tokens) / perMS * float64(time.Millisecond))
 	wait := time.Duration(draw.ExpFloat64() * float64(6*time.Millisecond))
@@ -28,23 +29,23 @@
 	return r.PerToken()
 }
 
-// Half of all answers begin late, since other prompts are read before theirs. What a
-// runner takes for a token is learnt from the others: after some ten answers within a
-// fifth, and it stays there.
+// Half of all responses start late because of other prompts. The prefill time is
+// learned from the others: to within 30% after about ten responses, and it stays
+// there.
 func TestPrefillRateIsLearned(t *testing.T) {
 	for seed := range uint64(20) {
 		for _, perMS := range []float64{20, 29.8, 38.7, 60} {
 			draw := rand.New(rand.NewPCG(seed, 1))
 			for _, answers := range []int{12, 300} {
 				got := learnedRate(draw, answers, perMS)
-				must.Between(t, 0.99, got*perMS/1e6, 1.3, must.Sprintf("%v tokens/ms after %d answers", perMS, answers))
+				must.Between(t, 0.99, got*perMS/1e6, 1.3, must.Sprintf("%v tokens/ms after %d responses", perMS, answers))
 			}
 		}
 	}
 }
 
-// Answers to short prompts and those that came from elsewhere say nothing, and a
-// runner of which little is known counts as one like the others.
+// Short prompts and times below the overhead say nothing, and a runner with too few
+// samples counts as one of typical speed.
 func TestPrefillRateWithFewSamples(t *testing.T) {
 	must.Eq(t, 0, PrefillPerToken(100, time.Second))
 	must.Eq(t, 0, PrefillPerToken(800, firstEventOverhead))
@@ -59,13 +60,14 @@
 	must.Eq(t, slowness(maxSlowness, 1), slowness(r.PerToken(), 20_000), must.Sprint("bounded"))
 	must.Between(t, 1.35, slowness(1.3, 1), 1.4)
 	must.Eq(t, 1.0, slowness(r.PerToken(), 0))
-	must.Eq(t, 1.0, slowness(r.PerToken(), 60_000), must.Sprint("a faster runner is not given more than callers' pauses allow"))
+	must.Eq(t, 1.0, slowness(r.PerToken(), 60_000), must.Sprint("a faster runner gets no more than callers' pauses allow"))
 }
 
-// One runner in three reads prompts at 29.8 tokens a millisecond and not 38.7, and
-// steps as much more slowly. Thirty callers come at once. Given as many prompts as the
-// others, its running streams pause for 323 ms where 250 are allowed; told apart by its
-// answers, it gets as many as it reads, and the pauses are those of the others.
+// One runner in three does prefill at 29.8 tokens per millisecond instead of 38.7 and
+// is as much slower in decoding. Thirty requests arrive at once. If the runner gets
+// as many prompts as the others, its running streams pause for 323 ms where 250 are
+// allowed. With its prefill speed learned from its responses, it gets as many as it
+// can take, and the pauses stay within the limit.
 func TestSlowRunnerGetsPromptsAtItsOwnPace(t *testing.T) {
 	const (
 		prompts = 30
@@ -99,6 +101,6 @@
 		return pause
 	}
 	now := epoch
-	must.Greater(t, allowed, longest(&now, 38.7), must.Sprint("not told apart"))
+	must.Greater(t, allowed, longest(&now, 38.7), must.Sprint("speed not learned"))
 	must.LessEq(t, allowed, longest(&now, 38.7/slow))
 }
--- a/internal/adapters/replicas_test.go
+++ b/internal/adapters/replicas_test.go
@@ -30,7 +30,7 @@
 		r.Add(testKey(0), "b")
 	}
 	must.MapLen(t, maxTrackedAdapters, r.byKey)
-	must.True(t, r.Has(testKey(0)), must.Sprint("the one in use stays"))
+	must.True(t, r.Has(testKey(0)), must.Sprint("the one in use is kept"))
 	must.False(t, r.Has(testKey(1)))
 	for i := range 3 * maxReplicas {
 		r.Add(testKey(0), testKey(i).Name)
@@ -38,10 +38,10 @@
 	must.SliceLen(t, maxReplicas, r.byKey[testKey(0)].runners)
 }
 
-// An adapter's home was busy when it was first asked for, so it lies on another
-// runner. The home is free again when the next request comes. It sends the
-// request to where the adapter lies and loads nothing; only when nobody there
-// takes it does it load the adapter itself.
+// An adapter's home was busy when the adapter was first requested, so another runner
+// holds it. When the next request comes, the home has room. It refers the request to
+// that runner and loads nothing; only if no replica admits the request does it load
+// the adapter itself.
 func TestHomeRefersToReplicas(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
@@ -61,8 +61,9 @@
 	must.SliceLen(t, 1, c.pending)
 }
 
-// A runner that is asked as any other does not send requests away: only the home
-// knows, and two runners that named each other would turn every request round.
+// A runner that isn't the adapter's home refers no request elsewhere: only the home
+// knows the replicas, and two runners that named each other would pass requests back
+// and forth.
 func TestOnlyTheHomeRefersToReplicas(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
@@ -71,7 +72,7 @@
 	must.NoError(t, err)
 }
 
-// A busy home of a much wanted adapter names the runners that have it too.
+// The busy home of a popular adapter names the other runners that hold it.
 func TestBusyHomeNamesReplicas(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
@@ -85,8 +86,8 @@
 	must.True(t, errors.As(err, &replicated))
 }
 
-// All slots of a runner are taken. A request whose adapter lies there waits a
-// moment for a slot; one whose adapter would have to be loaded goes elsewhere.
+// All request slots of a runner are in use. A request whose adapter is on the runner
+// may queue for a slot; one whose adapter would have to be loaded goes elsewhere.
 func TestFullRunnerAdmitsLoadedAdapters(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
@@ -98,9 +99,9 @@
 	must.NoError(t, err)
 }
 
-// Three fetches are wanted, and an adapter that left the runner a moment ago. The
-// latter needs nothing of the weight store: it is ordered first, beside a fetch
-// that is on its way, and its request waits for 30 ms and not for the fetches.
+// Three fetches are requested, and then an adapter that was unloaded a moment ago.
+// The latter needs nothing from the weight store: its load is ordered first, beside a
+// running fetch, and its request waits for 30 ms instead of for the fetches.
 func TestReloadsGoBeforeFetches(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{}
@@ -122,8 +123,8 @@
 	must.Eq(t, loadPollInterval, c.runNext(t.Context()), must.Sprint("the fetches wait for the store"))
 }
 
-// A version that the runner never held has to be fetched, whatever it held of the
-// adapter before.
+// A version that the runner never held has to be fetched, even if the runner held
+// other versions of the adapter.
 func TestNewVersionIsNoReload(t *testing.T) {
 	now := epoch
 	s := NewAdapterSlots(8)
@@ -133,8 +134,8 @@
 	must.False(t, s.HeldRecently(Key{Adapter: testAdapter(1), Version: 2}))
 }
 
-// More loads are wanted than can be in time. Of those that are late anyhow, the
-// one that most requests wait for comes first.
+// More loads are requested than can be done in time. Of those that are late in any
+// case, the one that most requests wait for goes first.
 func TestLateLoadsAreOrderedByRequests(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 100, &fakeEngine{})
@@ -159,7 +160,7 @@
 		{"9 runners, 8 at a time", 3.5, 9, 8},
 		{"18 runners, 16 at a time", 5.8, 18, 13.3},
 		{"112 runners, 64 at a time", 32, 112, 73.6},
-		{"a store that does not tell its rate", 0, 10, 8.9},
+		{"a store with an unknown rate", 0, 10, 8.9},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			must.InDelta(t, test.want, FetchCapacityPerRunner(test.perS, test.runners)*float64(test.runners), 0.06)
@@ -167,9 +168,9 @@
 	}
 }
 
-// All runners begin to load in the same second, and each host knows of its own
-// runner only. With twice as many at a time as the weight store serves at full
-// speed, the first load is taken to last twice as long.
+// All runners start to load in the same second, and each host knows only its own
+// runner. With twice as many loads as the weight store serves at full speed, the
+// first load is estimated to take twice as long.
 func TestFirstLoadAfterATotalLoss(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
--- a/internal/adapters/slots_test.go
+++ b/internal/adapters/slots_test.go
@@ -21,9 +21,9 @@
 	must.Eq(t, 0, SlotCapacity(&site.Engine{WeightsMB: 60_000, AdapterSlots: 30}, model))
 }
 
-// An order to load gets no answer. The adapter may be there, so its place is
-// not free: a further load into it would crash the runner. Nor is it ready: a
-// request sent there would be turned away.
+// A load order gets no answer. The adapter may have been loaded, so its slot is not
+// free: another load into it would crash the runner. The adapter is not ready either:
+// a request sent there could be rejected.
 func TestInDoubtLoadOccupiesItsSlot(t *testing.T) {
 	s := NewAdapterSlots(1)
 	s.LoadInDoubt(testKey(1), epoch)
@@ -32,14 +32,14 @@
 	must.False(t, ready)
 
 	s.ApplyReport(5, nil, reportLag, epoch, epoch.Add(reportLag/2))
-	must.Eq(t, 0, s.Free(), must.Sprint("a report older than the order says nothing of it"))
+	must.Eq(t, 0, s.Free(), must.Sprint("a report older than the order says nothing about it"))
 	s.ApplyReport(5, nil, reportLag, epoch, epoch.Add(2*reportLag))
 	must.Eq(t, 1, s.Free())
 }
 
-// Three requests come before their adapter's load is over. Each complains. The
-// estimate may move once only; moved by each, it grew to 650 ms where 250 are
-// needed, and loads were ordered half as fast as the weight store allows.
+// Three requests arrive before their adapter's load is done, and each is rejected.
+// The estimate may change only once. Changed by each of them, it grew to 650 ms where
+// 250 are needed, and loads were ordered half as fast as the weight store allows.
 func TestUnderestimateCountsOncePerLoad(t *testing.T) {
 	s := NewAdapterSlots(2)
 	s.LoadAccepted(testKey(1), epoch.Add(time.Millisecond), epoch)
@@ -59,9 +59,9 @@
 	must.False(t, loading)
 }
 
-// The store is crowded and a load takes much longer than was thought. The request
-// that finds out waits for a part of the time it took so far; those that complain
-// meanwhile do not put it off further.
+// The store is saturated and a load takes much longer than estimated. The request
+// that finds out waits for a part of the load's time so far; those rejected meanwhile
+// don't extend the wait.
 func TestEarlyWaitGrowsWithTheLoad(t *testing.T) {
 	s := NewAdapterSlots(2)
 	s.LoadAccepted(testKey(1), epoch.Add(400*time.Millisecond), epoch)
@@ -75,8 +75,8 @@
 	must.Eq(t, epoch.Add(460*time.Millisecond), readyAt)
 }
 
-// A fetch is on its way and should be over in 40 ms. The next one is ordered now:
-// the weight store would otherwise be idle until the order has reached the runner.
+// A fetch is running and should be done in 40 ms. The next one is ordered now:
+// otherwise the weight store would be idle until the order has reached the runner.
 func TestNextFetchOverlaps(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{}
@@ -91,8 +91,8 @@
 	must.SliceLen(t, 1, engine.orders)
 }
 
-// A new version is announced while the old one lies on the runner. A request
-// for the new one must not be sent there as if it were ready.
+// A new version is announced while the runner holds the old one. A request for the
+// new one must not be sent there as if it were ready.
 func TestSlotsOldVersionIsNotReady(t *testing.T) {
 	s := NewAdapterSlots(2)
 	s.LoadAccepted(Key{Adapter: testAdapter(1), Version: 2}, epoch, epoch)
@@ -104,8 +104,8 @@
 	must.True(t, ok)
 }
 
-// Whatever is ordered, answered, lost and reported, the places that are thought
-// taken are at least those that are: a load beyond them crashes the runner.
+// In any sequence of orders, lost answers and reports, the slots that count as taken
+// are at least those that are: a load beyond them crashes the runner.
 func TestSlotsNeverOverfull(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 4
@@ -142,7 +142,7 @@
 				s.Touch(testAdapter(i), now)
 			}
 			if len(truth) > capacity {
-				t.Fatalf("%d adapters on %d places", len(truth), capacity)
+				t.Fatalf("%d adapters in %d slots", len(truth), capacity)
 			}
 		}
 	})
