--- a/internal/mesh/eras.go
+++ b/internal/mesh/eras.go
@@ -74,17 +74,17 @@
 func (s *State) BeginEra(era registry.Era, now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	kept := map[string]bool{}
+	owned := map[string]bool{}
 	for name, o := range s.owners {
 		if o.Host == s.self && o.Epoch == s.epoch && s.mayOrderInEra(name, now) {
-			kept[name] = true
+			owned[name] = true
 		}
 	}
 	if !now.Before(s.validUntil()) {
-		kept = nil
+		owned = nil
 	}
 	s.previousLeaseEnd = s.validUntil()
-	s.retained, s.era, s.eraSince = kept, era, now
+	s.retained, s.era, s.eraSince = owned, era, now
 	s.unverified = s.epoch != 0
 	if s.unverified && s.witnesses != nil {
 		s.recordWitnesses = s.witnesses
--- a/internal/mesh/fetch_test.go
+++ b/internal/mesh/fetch_test.go
@@ -217,12 +217,12 @@
 			records = append(records, registry.Record{Name: fmt.Sprint(i), Revision: uint64(i + 1), Spec: spec})
 		}
 		one, other := archiveCache{now: time.Now}, archiveCache{now: time.Now}
-		parcel, err := one.pack("k", records)
+		packed, err := one.pack("k", records)
 		must.NoError(t, err)
 		same, err := other.pack("k", records)
 		must.NoError(t, err)
-		must.Eq(t, parcel, same)
-		partial := partialArchive{archive: parcel}
+		must.Eq(t, packed, same)
+		partial := partialArchive{archive: packed}
 		for !partial.complete() {
 			data, ok := one.piece(partial.nextPiece())
 			must.True(t, ok)
@@ -236,7 +236,7 @@
 		}
 		changed, err := one.pack("k", append(records, registry.Record{Name: "new", Revision: 99}))
 		must.NoError(t, err)
-		must.NotEq(t, parcel.ID, changed.ID)
+		must.NotEq(t, packed.ID, changed.ID)
 	})
 }
 
--- a/internal/mesh/parcels.go
+++ b/internal/mesh/parcels.go
@@ -105,11 +105,11 @@
 	if err != nil {
 		return nil, err
 	}
-	announced := &Announcement{Archive: archive}
+	announcement := &Announcement{Archive: archive}
 	if archive.ID != partialID {
-		announced.First, _ = p.piece(PieceParams{ID: archive.ID})
+		announcement.First, _ = p.piece(PieceParams{ID: archive.ID})
 	}
-	return announced, nil
+	return announcement, nil
 }
 
 // evict drops the least recently used archives, but not the latest one.
@@ -117,8 +117,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	bytes := 0
-	for _, kept := range p.archives {
-		bytes += kept.size
+	for _, archive := range p.archives {
+		bytes += archive.size
 	}
 	if latest.size == 0 {
 		latest.size = len(latest.data)
@@ -130,7 +130,7 @@
 			return
 		}
 		bytes -= oldest.size
-		p.archives = slices.DeleteFunc(p.archives, func(kept *cachedArchive) bool { return kept == oldest })
+		p.archives = slices.DeleteFunc(p.archives, func(archive *cachedArchive) bool { return archive == oldest })
 	}
 }
 
@@ -161,11 +161,11 @@
 // holds p.mu.
 func (p *archiveCache) lookup(id uint64) *cachedArchive {
 	now := p.now()
-	p.archives = slices.DeleteFunc(p.archives, func(kept *cachedArchive) bool { return now.Sub(kept.used) > archiveRetention })
-	for _, kept := range p.archives {
-		if kept.id == id {
-			kept.used = now
-			return kept
+	p.archives = slices.DeleteFunc(p.archives, func(archive *cachedArchive) bool { return now.Sub(archive.used) > archiveRetention })
+	for _, archive := range p.archives {
+		if archive.id == id {
+			archive.used = now
+			return archive
 		}
 	}
 	return nil
--- a/internal/mesh/spread.go
+++ b/internal/mesh/spread.go
@@ -158,16 +158,16 @@
 // In an idle fleet nearly everything is known already; sent each time, it would make up
 // most of the bytes between data centres.
 func (s *freshness) newsFor(theirs map[string]KnownVersion) map[string]KnownVersion {
-	lacking := map[string]KnownVersion{}
+	news := map[string]KnownVersion{}
 	for kind, own := range s.known() {
-		known, told := theirs[kind]
+		known, ok := theirs[kind]
 		same := own.Digest == known.Digest && own.Era == known.Era
 		younger := same && own.AgeMS+minAgeGain.Milliseconds() <= known.AgeMS
-		if !told || younger || !same && known.Before(own.Position) {
-			lacking[kind] = own
+		if !ok || younger || !same && known.Before(own.Position) {
+			news[kind] = own
 		}
 	}
-	return lacking
+	return news
 }
 
 // expectEra records that the store answered in an era later than the replica's.
