--- a/internal/adapters/admission.go
+++ b/internal/adapters/admission.go
@@ -189,8 +189,8 @@
 	return prefillTime(ask.PromptTokens) + time.Duration(min(tokens, ask.MaxOutputTokens))*typicalTokenTime
 }
 
-// unhintedDivisor is the part of the output limit assumed for a response without a
-// length estimate.
+// unhintedDivisor divides the output limit to estimate the length of a response for
+// which the caller gives none.
 const unhintedDivisor = 2
 
 // slowThreshold is the slowness from which a runner is logged as slow.
--- a/internal/adapters/controller.go
+++ b/internal/adapters/controller.go
@@ -76,8 +76,9 @@
 	synced   bool
 	// modelHeld is set once the base model is loaded.
 	modelHeld bool
-	pending   []*pendingLoad
-	lastSeq   uint64
+	// pending are the loads that requests wait for.
+	pending []*pendingLoad
+	lastSeq uint64
 	// refusal is the reason to refuse all requests, nil once the runner's report has
 	// been read.
 	refusal error
@@ -361,8 +362,8 @@
 // the runner held recently don't come from the store and need not wait: behind
 // fetches, a fifth of all loads took 270 ms instead of 25.
 func (c *Controller) mayLoad(key Key) bool {
-	transit, _ := c.slots.InProgress()
-	if transit >= maxConcurrentLoads {
+	inProgress, _ := c.slots.InProgress()
+	if inProgress >= maxConcurrentLoads {
 		return false
 	}
 	if c.slots.HeldRecently(key) {
--- a/internal/adapters/loadtime.go
+++ b/internal/adapters/loadtime.go
@@ -47,11 +47,11 @@
 }
 
 // slowdown returns the factor by which a fetch takes longer than at full speed.
-func (c StoreLoad) slowdown() float64 {
-	if c.Capacity <= 0 {
+func (s StoreLoad) slowdown() float64 {
+	if s.Capacity <= 0 {
 		return 1
 	}
-	return max(1, float64(c.Fetches)/c.Capacity)
+	return max(1, float64(s.Fetches)/s.Capacity)
 }
 
 // minKnownCapacity is the capacity below which a host knows too few of the other
@@ -62,11 +62,11 @@
 // all runners start to load at once, and a host that knows only its own runner would
 // otherwise see an idle store. The load known from many runners is used unchanged:
 // with one more fetch, a load was estimated at 335 ms that took 281.
-func (c StoreLoad) withOneMoreFetch() StoreLoad {
-	if c.Capacity < minKnownCapacity {
-		c.Fetches++
+func (s StoreLoad) withOneMoreFetch() StoreLoad {
+	if s.Capacity < minKnownCapacity {
+		s.Fetches++
 	}
-	return c
+	return s
 }
 
 // FetchCapacityPerRunner returns the number of concurrent fetches per runner that the
@@ -95,8 +95,8 @@
 
 // scale multiplies the estimate by a step, within its bounds.
 func (e *timeEstimate) scale(step float64) {
-	moved := time.Duration(float64(e.time) * step)
-	e.time = min(e.max, max(e.min, moved))
+	scaled := time.Duration(float64(e.time) * step)
+	e.time = min(e.max, max(e.min, scaled))
 }
 
 // NewLoadTimes returns the initial estimates.
@@ -119,13 +119,13 @@
 }
 
 // TooEarly records a request that arrived before its adapter's load was done.
-func (t *LoadTimes) TooEarly(recent bool) { t.move(recent, tooEarlyStep) }
+func (t *LoadTimes) TooEarly(recent bool) { t.scale(recent, tooEarlyStep) }
 
 // InTime records a load. Those that turn out to be underestimated are recorded by
 // TooEarly as well.
-func (t *LoadTimes) InTime(recent bool) { t.move(recent, inTimeStep) }
+func (t *LoadTimes) InTime(recent bool) { t.scale(recent, inTimeStep) }
 
-func (t *LoadTimes) move(recent bool, step float64) {
+func (t *LoadTimes) scale(recent bool, step float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if recent {
--- a/internal/adapters/orders.go
+++ b/internal/adapters/orders.go
@@ -18,7 +18,7 @@
 	c.mu.Lock()
 	sequence := c.slots.Sequence
 	free, waiting := c.slots.Free(), len(c.pending)
-	transit, fetched := c.slots.InProgress()
+	inProgress, fetched := c.slots.InProgress()
 	// Recorded before it is sent, since the controller may be stopped while it waits
 	// for the answer.
 	answered := c.slots.Unanswered.add(sequence, load, now)
@@ -31,7 +31,7 @@
 	c.passSignal(answer.Signal)
 	outcome := answer.Outcome
 	fields := []any{"load", load, "adapter", key.Adapter.String(), "version", key.Version, "sequence", sequence, "token", token, "outcome", outcome.String(), "took_ms", c.Now().Sub(now).Milliseconds(),
-		"free", free, "transit", transit, "fetched", fetched, "reload", load && c.heldRecently(key), "waiting", waiting, "estimate_ms", c.Times.Estimate(false, StoreLoad{}).Milliseconds()}
+		"free", free, "transit", inProgress, "fetched", fetched, "reload", load && c.heldRecently(key), "waiting", waiting, "estimate_ms", c.Times.Estimate(false, StoreLoad{}).Milliseconds()}
 	if err != nil {
 		fields = append(fields, "error", err.Error())
 	}
--- a/internal/adapters/owner.go
+++ b/internal/adapters/owner.go
@@ -22,7 +22,7 @@
 	now         func() time.Time
 	log         hclog.Logger
 	times       *LoadTimes
-	peerFetches func() (transit, runners int)
+	peerFetches func() (fetches, runners int)
 	// fetchCapacity is the number of concurrent fetches per runner that the weight
 	// store serves at full speed, as float bits.
 	fetchCapacity atomic.Uint64
@@ -48,7 +48,7 @@
 	Owns func(address string) bool
 	// PeerFetches returns the number of fetches on other hosts' runners and the
 	// number of these runners, as far as the hosts reported them.
-	PeerFetches func() (transit, runners int)
+	PeerFetches func() (fetches, runners int)
 	// RunnerView returns the number and state of requests on a runner.
 	RunnerView func(runner string, now time.Time) board.View
 	// Utilization returns the mean share of request slots in use.
@@ -83,32 +83,32 @@
 }
 
 func (o *Owner) storeLoad() StoreLoad {
-	transit, runners := o.peerFetches()
+	fetches, runners := o.peerFetches()
 	own, ownRunners := o.Fetches()
 	share := math.Float64frombits(o.fetchCapacity.Load())
-	return StoreLoad{Fetches: transit + own, Capacity: share * float64(runners+ownRunners), PerRunner: share}
+	return StoreLoad{Fetches: fetches + own, Capacity: share * float64(runners+ownRunners), PerRunner: share}
 }
 
 // Fetches returns the number of fetches on this host's runners and the number of
 // these runners.
-func (o *Owner) Fetches() (transit, runners int) {
+func (o *Owner) Fetches() (fetches, runners int) {
 	for _, controller := range o.controllersByID() {
-		transit += controller.Fetches()
+		fetches += controller.Fetches()
 		runners++
 	}
-	return transit, runners
+	return fetches, runners
 }
 
 // PrefillTimes returns the prefill times per token of this host's runners in
 // nanoseconds, as far as they are known.
 func (o *Owner) PrefillTimes() []float64 {
-	var readings []float64
+	var prefillTimes []float64
 	for _, controller := range o.controllersByID() {
 		if perToken := controller.PrefillPerToken(); perToken > 0 {
-			readings = append(readings, perToken)
+			prefillTimes = append(prefillTimes, perToken)
 		}
 	}
-	return readings
+	return prefillTimes
 }
 
 // RequestLoad returns the number of requests on this host's runners and of their
--- a/internal/adapters/queue.go
+++ b/internal/adapters/queue.go
@@ -113,16 +113,16 @@
 		c.lastSeq++
 		w = &pendingLoad{key: ask.Key, dueAt: now.Add(ask.LatencyBudget), seq: c.lastSeq}
 	}
-	took := c.timeUntilLoaded(w, now)
-	if took > c.maxLoadWait(ask) {
+	loadTime := c.timeUntilLoaded(w, now)
+	if loadTime > c.maxLoadWait(ask) {
 		return time.Time{}, ErrLoadTooSlow
 	}
 	if !known {
-		wait, ok := c.slotWait(ask, took, now)
+		wait, ok := c.slotWait(ask, loadTime, now)
 		if !ok {
 			return time.Time{}, ErrNoFreeSlot
 		}
-		took += wait
+		loadTime += wait
 		w.slotExpectedAt = now.Add(wait)
 		c.pending = append(c.pending, w)
 		c.wakeUp()
@@ -132,7 +132,7 @@
 	if !ask.Waited {
 		w.requests++
 	}
-	return now.Add(took), nil
+	return now.Add(loadTime), nil
 }
 
 // slotLeft reports whether there is a slot for one more load beside the pending ones;
@@ -248,15 +248,15 @@
 // still be in time go first, the most urgent one before the others, and late ones
 // take what is left: as many as the store can do are on time.
 func (c *Controller) nextPending() *pendingLoad {
-	var first *pendingLoad
+	var best *pendingLoad
 	now := c.Now()
 	for _, w := range c.pending {
-		inTime := first != nil && !first.dueAt.Before(now.Add(c.idleLoadTime(first.key)))
-		if first == nil || c.precedes(w, first, inTime, now) {
-			first = w
+		inTime := best != nil && !best.dueAt.Before(now.Add(c.idleLoadTime(best.key)))
+		if best == nil || c.precedes(w, best, inTime, now) {
+			best = w
 		}
 	}
-	return first
+	return best
 }
 
 // staleAfter is how long after its estimated end a load is dropped if no request has
--- a/internal/adapters/replicas.go
+++ b/internal/adapters/replicas.go
@@ -95,10 +95,10 @@
 // Has reports whether another runner holds an adapter.
 func (r *Replicas) Has(key Key) bool { return r.byKey[key] != nil }
 
-// Retain drops all runners that are not alive.
-func (r *Replicas) Retain(alive func(runner string) bool) {
+// Retain drops the runners for which keep returns false.
+func (r *Replicas) Retain(keep func(runner string) bool) {
 	for key, known := range r.byKey {
-		known.runners = slices.DeleteFunc(known.runners, func(runner string) bool { return !alive(runner) })
+		known.runners = slices.DeleteFunc(known.runners, func(runner string) bool { return !keep(runner) })
 		known.next = 0
 		if len(known.runners) == 0 {
 			delete(r.byKey, key)
--- a/internal/adapters/slots.go
+++ b/internal/adapters/slots.go
@@ -32,6 +32,7 @@
 	unloading
 )
 
+// adapterSlot is a slot in use.
 type adapterSlot struct {
 	phase   phase
 	readyAt time.Time
@@ -73,8 +74,10 @@
 type AdapterSlots struct {
 	capacity int
 	entries  map[site.Adapter]*adapterSlot
-	recent   map[Key]uint64
-	clock    uint64
+	// recent holds the adapters that left the runner recently, with the clock at that
+	// time.
+	recent map[Key]uint64
+	clock  uint64
 	// runtimeFactor is the ratio of actual to expected run times of requests on this
 	// runner.
 	runtimeFactor float64
@@ -305,6 +308,7 @@
 	p.readyAt = readyAt
 }
 
+// drop frees an adapter's slot and remembers the adapter as recently held.
 func (s *AdapterSlots) drop(adapter site.Adapter) {
 	left := Key{Adapter: adapter}
 	if p := s.entries[adapter]; p != nil {
