--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -64,14 +64,14 @@
 
 // Error implements error.
 func (e *DuplicateError) Error() string {
-	return "Idempotency-Key already used by request " + e.Request + " at " + e.At.Format(time.RFC3339) + "; its verdict is " + e.Earlier.String()
+	return "the same Idempotency-Key came before, as request " + e.Request + " at " + e.At.Format(time.RFC3339) + "; its verdict is " + e.Earlier.String()
 }
 
 // Verdict returns the verdict of the earlier request.
 func (e *DuplicateError) Verdict() verdict.Verdict { return e.Earlier }
 
 // ErrUnavailable rejects a request whose key could not be claimed.
-var ErrUnavailable = errors.New("cannot claim the Idempotency-Key that prevents a second run of the request")
+var ErrUnavailable = errors.New("the claim that keeps this request from running twice cannot be made now")
 
 // Store stores claims in the object API.
 type Store struct {
--- a/internal/configsync/parts.go
+++ b/internal/configsync/parts.go
@@ -43,7 +43,7 @@
 		c.revision, c.parts = snapshot.Revision(), parts
 	}
 	if (p.Index > 0 && p.Revision != c.revision) || p.Index < 0 || p.Index >= len(c.parts) {
-		return partResult{}, peer.NewRefusal(errors.Errorf("part %d of revision %d is not available", p.Index, p.Revision))
+		return partResult{}, peer.NewRefusal(errors.Errorf("no part %d of revision %d", p.Index, p.Revision))
 	}
 	return partResult{Revision: c.revision, Count: len(c.parts), Data: c.parts[p.Index]}, nil
 }
--- a/internal/engine/stream.go
+++ b/internal/engine/stream.go
@@ -24,7 +24,7 @@
 	drainBytes   = 512
 )
 
-var errSilenceTimeout = errors.New("timed out waiting for the next piece")
+var errSilenceTimeout = errors.New("no piece within the time allowed")
 
 // callerError wraps an error from delivering a piece to the caller.
 type callerError struct{ error }
@@ -88,7 +88,7 @@
 		return a.streamFailure(CodeMalformed, err)
 	}
 	if named.Model != a.call.Model {
-		return a.streamFailure(CodeWrongModel, errors.Errorf("requested model %s, response names %q", a.call.Model, named.Model))
+		return a.streamFailure(CodeWrongModel, errors.Errorf("asked for %s, answered as %q", a.call.Model, named.Model))
 	}
 	return nil
 }
@@ -138,7 +138,7 @@
 	}
 	a.buffered[piece.Position] = piece
 	if len(a.buffered) > maxBufferedPieces {
-		return nil, errors.Errorf("piece %d is missing and %d later ones are buffered", a.next, len(a.buffered))
+		return nil, errors.Errorf("piece %d is missing and %d came after it", a.next, len(a.buffered))
 	}
 	var ready []Piece
 	for {
--- a/internal/entry/counter.go
+++ b/internal/entry/counter.go
@@ -24,7 +24,7 @@
 	return &leasedCounter{host: host, mesh: state, counter: quota.NewCounter(), keyOf: keyOf}
 }
 
-var errNotCountingHost = errors.New("this host does not hold the right to count this part")
+var errNotCountingHost = errors.New("this host does not count it")
 
 // countingRight returns this host's right to count a part, or errNotCountingHost.
 func (c *leasedCounter) countingRight(key string, part int, now time.Time) (quota.Ownership, error) {
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -98,13 +98,13 @@
 
 var (
 	errNoCounter = errors.New("no reachable host counts this part of the quota")
-	errNoQuota   = errors.New("no quota known for this workspace")
+	errNoQuota   = errors.New("this host knows no quota of the workspace")
 )
 
 // answerAsk handles a request for units of a part that this host counts.
 func (q *quotaManager) answerAsk(ask quota.GrantRequest) (quota.GrantResponse, error) {
 	if ask.Part < 0 || ask.Part >= quota.Parts || !(ask.Cost >= 0) || !(ask.Prefetch >= 0) || !(ask.Returned >= 0) {
-		return quota.GrantResponse{}, errors.Errorf("invalid quota request: part %d, cost %g, ahead %g, back %g", ask.Part, ask.Cost, ask.Prefetch, ask.Returned)
+		return quota.GrantResponse{}, errors.Errorf("part %d, cost %g, ahead %g, back %g", ask.Part, ask.Cost, ask.Prefetch, ask.Returned)
 	}
 	now := q.now()
 	right, err := q.counting.countingRight(ask.Key, ask.Part, now)
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -186,7 +186,7 @@
 func (s *Service) handleFetch(_ context.Context, _ peer.Identity, params FetchParams) (FetchResult, error) {
 	replica := s.Kinds[params.Kind]
 	if replica == nil {
-		return FetchResult{}, peer.NewRefusal(errors.Errorf("unknown kind of record %q", params.Kind))
+		return FetchResult{}, peer.NewRefusal(errors.Errorf("no records of kind %q are kept", params.Kind))
 	}
 	var snapshot registry.Snapshot
 	if params.Since == 0 {
@@ -210,7 +210,7 @@
 func (s *Service) handlePiece(_ context.Context, _ peer.Identity, params PieceParams) (PieceResult, error) {
 	data, ok := s.archives.piece(params)
 	if !ok {
-		return PieceResult{}, peer.NewRefusal(errors.New("the archive has expired or does not have this piece"))
+		return PieceResult{}, peer.NewRefusal(errors.New("no such piece is kept"))
 	}
 	return PieceResult{Data: data}, nil
 }
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -49,7 +49,7 @@
 		return Identity{}, errors.Wrap(err, "hello")
 	}
 	if !equalProofs(answer.Proof, computeProof(key, "server", nonce, answer.Identity)) {
-		return Identity{}, errors.New("the peer failed to prove the shared key")
+		return Identity{}, errors.New("the peer does not know the shared key")
 	}
 	proof := proveParams{Proof: computeProof(key, "client", answer.Nonce, self)}
 	if err := rpc.Call(ctx, methodProve, proof, nil); err != nil {
