--- a/internal/adapters/keeper.go
+++ b/internal/adapters/keeper.go
@@ -204,7 +204,7 @@
 		k.refuse(ErrUnresponsive)
 		return syncPause
 	}
-	if report.Born != 0 && report.Born != k.runner.Born {
+	if report.Born != 0 && report.Born != k.runner.StartedMS {
 		return k.otherLifetime(report.Born)
 	}
 	k.mu.Lock()
@@ -239,9 +239,9 @@
 // otherLifetime passes over a report of another lifetime than the keeper's. One of
 // a later lifetime ends what is believed of this one; an earlier one is late.
 func (k *Controller) otherLifetime(born int64) time.Duration {
-	k.log.Info("report of another lifetime", "born", born, "keeper_born", k.runner.Born)
+	k.log.Info("report of another lifetime", "born", born, "keeper_born", k.runner.StartedMS)
 	k.refuse(ErrUnresponsive)
-	if born > k.runner.Born {
+	if born > k.runner.StartedMS {
 		k.OnRestart(k.runner.Instance, born)
 	}
 	return syncPause
--- a/internal/adapters/late_test.go
+++ b/internal/adapters/late_test.go
@@ -81,7 +81,7 @@
 		engine.restart()
 
 		after := keeperAt(&now, 3, engine)
-		after.runner = after.runner.Aged(engine.born)
+		after.runner = after.runner.WithStart(engine.born)
 		after.slots.Inherited = before.unanswered(now)
 		for i := range 8 {
 			_, _ = after.Admit(admission(10+i, time.Second))
@@ -130,7 +130,7 @@
 			now := epoch
 			engine := &forgetfulEngine{born: test.born, held: map[Key]bool{keyed(1): true}}
 			k := keeperAt(&now, 3, engine)
-			k.runner = &site.Runner{ID: "r~200", Instance: "r", Born: 200, Slots: 64}
+			k.runner = &site.Runner{ID: "r~200", Instance: "r", StartedMS: 200, Slots: 64}
 			var told []int64
 			k.OnRestart = func(instance string, born int64) {
 				must.Eq(t, "r", instance)
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -159,8 +159,8 @@
 	d.publish()
 	d.log.Info("configuration in force", "version", config.Version, "revision", revision, "routes", config.Len(), "bytes", bytes, "read_ms", d.now().Sub(begun).Milliseconds(),
 		"keys_needed", config.Workspaces != nil, "workspaces", len(config.Workspaces.Names()))
-	if config.Workspaces != nil && len(config.Workspaces.Shared) > 0 {
-		d.log.Error("a key stands at two workspaces; the first one listed holds it", "version", config.Version, "workspaces", config.Workspaces.Shared)
+	if config.Workspaces != nil && len(config.Workspaces.WithSharedKey) > 0 {
+		d.log.Error("a key stands at two workspaces; the first one listed holds it", "version", config.Version, "workspaces", config.Workspaces.WithSharedKey)
 	}
 }
 
@@ -199,10 +199,10 @@
 // list takes a runner's word on itself over.
 func (d *Directory) list(runner *site.Runner, revision uint64) {
 	before, known := d.runners[runner.Instance]
-	if known && runner.Born == 0 && before.Born != 0 {
-		runner = runner.Aged(before.Born)
+	if known && runner.StartedMS == 0 && before.StartedMS != 0 {
+		runner = runner.WithStart(before.StartedMS)
 	}
-	if known && runner.Born < before.Born {
+	if known && runner.StartedMS < before.StartedMS {
 		// A write of the lifetime before that the store carried out late. Taken, all
 		// hosts would go back to a process that is no more.
 		d.log.Info("entry of an earlier lifetime passed over", "runner", runner.ID, "instead_of", before.ID, "revision", revision)
@@ -227,10 +227,10 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known, ok := d.runners[instance]
-	if !ok || born <= known.Born {
+	if !ok || born <= known.StartedMS {
 		return
 	}
-	d.list(known.Aged(born), known.revision)
+	d.list(known.WithStart(born), known.revision)
 	d.publish()
 }
 
@@ -453,8 +453,8 @@
 // after says that a runner took an address over from another one. Where the starts
 // are not told, the entry written last is the later one.
 func (l listed) after(other listed) bool {
-	if l.Born != other.Born && l.Born != 0 && other.Born != 0 {
-		return l.Born > other.Born
+	if l.StartedMS != other.StartedMS && l.StartedMS != 0 && other.StartedMS != 0 {
+		return l.StartedMS > other.StartedMS
 	}
 	if l.revision != other.revision {
 		return l.revision > other.revision
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -34,7 +34,7 @@
 	if err := json.Unmarshal(spec, &told); err != nil {
 		return nil, errors.Wrap(err, "test runner")
 	}
-	return &site.Runner{ID: site.Lifetime(name, told.Born), Instance: name, Born: told.Born, Service: "s", Address: told.Address}, nil
+	return &site.Runner{ID: site.LifetimeID(name, told.Born), Instance: name, StartedMS: told.Born, Service: "s", Address: told.Address}, nil
 }
 
 func (decoder) StripRunner(spec json.RawMessage) json.RawMessage         { return spec }
@@ -184,7 +184,7 @@
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	d.Runners.Changed([]registry.Change{{Record: spec("r", `{"Born":1,"Address":"r:1"}`, 1)}}, registry.Position{Revision: 1})
-	must.True(t, d.Leaves(site.Lifetime("r", 1)))
+	must.True(t, d.Leaves(site.LifetimeID("r", 1)))
 	d.Runners.Changed([]registry.Change{{Record: spec("r", `{"Born":2,"Address":"r:1"}`, 2)}}, registry.Position{Revision: 2})
 	must.Len(t, 1, d.Snapshot().ByService["s"])
 	now = now.Add(2 * leavingLife)
--- a/internal/entry/outcomes.go
+++ b/internal/entry/outcomes.go
@@ -177,7 +177,7 @@
 	}
 	byAdapter := make(map[site.Adapter]int, len(ended))
 	for name, requests := range ended {
-		byAdapter[site.AdapterNamed(name)] = requests
+		byAdapter[site.ParseAdapter(name)] = requests
 	}
 	keeper.RequestsEnded(byAdapter)
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -16,7 +16,7 @@
 )
 
 func tokens(rate float64) site.Quota {
-	return site.Quota{Rate: rate, Burst: rate, InTokens: true, PlainTokens: 200}
+	return site.Quota{Rate: rate, Burst: rate, InTokens: true, DefaultTokens: 200}
 }
 
 // allowed returns the units that the deployment allows a workspace to use in one window.
--- a/internal/serve/charge.go
+++ b/internal/serve/charge.go
@@ -97,7 +97,7 @@
 	if workspace == nil {
 		return nil
 	}
-	fields := []any{"workspace", workspace.Name, "priority", workspace.RankOf(l.route)}
+	fields := []any{"workspace", workspace.Name, "priority", workspace.PriorityOn(l.route)}
 	if l.charge.Outcome == ChargeUnmetered {
 		return fields
 	}
--- a/internal/serve/charge_test.go
+++ b/internal/serve/charge_test.go
@@ -34,7 +34,7 @@
 		Name: "live", Kind: site.Streaming, Timeout: 5 * time.Second, TargetLatency: 600 * time.Millisecond, TargetGap: 250 * time.Millisecond,
 		MaxAttempts: 2, Resumable: true, Targets: []site.Target{{Service: llm, Weight: 1}},
 	}
-	workspace := &site.Workspace{Name: "harbour", Quota: site.Quota{Rate: 100, Burst: 100, InTokens: true, PlainTokens: 200}}
+	workspace := &site.Workspace{Name: "harbour", Quota: site.Quota{Rate: 100, Burst: 100, InTokens: true, DefaultTokens: 200}}
 	request := &forward.Request{
 		RequestMetadata: forward.RequestMetadata{ID: "q", Adapter: site.Adapter{Model: model, Name: "a1"}, PromptTokens: 800, OutputTokens: 100, TokenCounts: counted},
 		Method:          http.MethodPost, Host: "host", Target: "/live/x", Header: http.Header{},
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -217,7 +217,7 @@
 	l.deadline = arrived.Add(requestTimeout(route, request))
 	l.fingerprint = contentOf(request).Fingerprint()
 	snapshot := s.Directory.Snapshot()
-	name := route.Pick(rand.Float64())
+	name := route.PickService(rand.Float64())
 	l.service = snapshot.Config.Services[name]
 	if l.service == nil {
 		l.refuse(retryAfterLong, "the route's service is not configured")
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -67,8 +67,8 @@
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// Pick chooses a target by weight; draw is uniform in [0, 1).
-func (r *Route) Pick(draw float64) string {
+// PickService chooses a target by weight; draw is uniform in [0, 1).
+func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
@@ -188,9 +188,9 @@
 	// Instance is the name under which the runner is listed and that requests and
 	// orders carry. A process that starts again may do so under the same one.
 	Instance string
-	// Born is the start of the process in milliseconds since 1970, 0 where it does
+	// StartedMS is the start of the process in milliseconds since 1970, 0 where it does
 	// not tell.
-	Born       int64
+	StartedMS  int64
 	Service    string
 	Address    string
 	DataCentre string
@@ -204,11 +204,11 @@
 // lifetimeMark stands between an instance and its start.
 const lifetimeMark = "~"
 
-// Lifetime gives the ID of a lifetime. A runner that started again under its
+// LifetimeID gives the ID of a lifetime. A runner that started again under its
 // instance holds and knows nothing of before; kept under the instance alone, the
 // adapters, the orders' sequence and the load of the lifetime before would be taken
 // for those of the new one.
-func Lifetime(instance string, born int64) string {
+func LifetimeID(instance string, born int64) string {
 	if born == 0 {
 		return instance
 	}
@@ -221,11 +221,11 @@
 	return instance
 }
 
-// Aged gives the runner with its start, where its description does not tell it.
-func (r *Runner) Aged(born int64) *Runner {
+// WithStart gives the runner with its start, where its description does not tell it.
+func (r *Runner) WithStart(born int64) *Runner {
 	aged := *r
-	aged.ID = Lifetime(r.Instance, born)
-	aged.Born = born
+	aged.ID = LifetimeID(r.Instance, born)
+	aged.StartedMS = born
 	return &aged
 }
 
@@ -254,8 +254,8 @@
 	Version int64
 }
 
-// AdapterNamed reads what Adapter's String gives.
-func AdapterNamed(text string) Adapter {
+// ParseAdapter reads what Adapter's String gives.
+func ParseAdapter(text string) Adapter {
 	model, name, _ := strings.Cut(text, "/")
 	return Adapter{Model: model, Name: name}
 }
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -28,11 +28,11 @@
 	route := &Route{Targets: []Target{{Service: "a", Weight: 1}, {Service: "none"}, {Service: "b", Weight: 3}}}
 	counts := map[string]int{}
 	for i := range 1000 {
-		counts[route.Pick(float64(i)/1000)]++
+		counts[route.PickService(float64(i)/1000)]++
 	}
 	must.Eq(t, map[string]int{"a": 250, "b": 750}, counts)
-	must.Eq(t, "", (&Route{}).Pick(0.5))
-	must.Eq(t, "b", route.Pick(1), must.Sprint("a draw at the end"))
+	must.Eq(t, "", (&Route{}).PickService(0.5))
+	must.Eq(t, "b", route.PickService(1), must.Sprint("a draw at the end"))
 }
 
 // A stream runs twice only where it may be resumed; nothing else that is not idempotent
@@ -47,13 +47,13 @@
 
 // A lifetime's ID leads back to the instance that requests and orders carry.
 func TestLifetimes(t *testing.T) {
-	must.Eq(t, "i-1", Lifetime("i-1", 0))
-	must.NotEq(t, Lifetime("i-1", 7), Lifetime("i-1", 8))
-	must.Eq(t, "i-1", InstanceOf(Lifetime("i-1", 7)))
+	must.Eq(t, "i-1", LifetimeID("i-1", 0))
+	must.NotEq(t, LifetimeID("i-1", 7), LifetimeID("i-1", 8))
+	must.Eq(t, "i-1", InstanceOf(LifetimeID("i-1", 7)))
 	must.Eq(t, "i-1", InstanceOf("i-1"))
-	aged := (&Runner{ID: "i-1", Instance: "i-1"}).Aged(9)
-	must.Eq(t, Lifetime("i-1", 9), aged.ID)
+	aged := (&Runner{ID: "i-1", Instance: "i-1"}).WithStart(9)
+	must.Eq(t, LifetimeID("i-1", 9), aged.ID)
 	must.Eq(t, "i-1", aged.Instance)
-	named := AdapterNamed(Adapter{Model: "m", Name: "a/b"}.String())
+	named := ParseAdapter(Adapter{Model: "m", Name: "a/b"}.String())
 	must.Eq(t, Adapter{Model: "m", Name: "a/b"}, named)
 }
--- a/internal/site/workspace.go
+++ b/internal/site/workspace.go
@@ -27,8 +27,8 @@
 	Burst float64
 	// InTokens says that the unit is a token and not a request.
 	InTokens bool
-	// PlainTokens is what a request counts that tells no numbers of tokens.
-	PlainTokens int64
+	// DefaultTokens is what a request counts that tells no numbers of tokens.
+	DefaultTokens int64
 }
 
 // Bounded says whether the quota bounds anything.
@@ -43,13 +43,13 @@
 	case told:
 		return float64(tokens)
 	default:
-		return float64(q.PlainTokens)
+		return float64(q.DefaultTokens)
 	}
 }
 
-// RankOf gives the priority of a workspace's request on a route: the workspace's own
+// PriorityOn gives the priority of a workspace's request on a route: the workspace's own
 // goes before the route's.
-func (w *Workspace) RankOf(route *Route) int {
+func (w *Workspace) PriorityOn(route *Route) int {
 	if w == nil || w.Priority == nil {
 		return route.Priority
 	}
@@ -60,8 +60,8 @@
 type Workspaces struct {
 	byName  map[string]*Workspace
 	holders credential.Holders
-	// Shared names the workspaces with a key that one listed before them holds.
-	Shared []string
+	// WithSharedKey names the workspaces with a key that one listed before them holds.
+	WithSharedKey []string
 }
 
 // NewWorkspaces makes the workspaces of a configuration. Of two that list a key the
@@ -72,7 +72,7 @@
 		workspaces.byName[workspace.Name] = workspace
 		for _, key := range workspace.Keys {
 			if !workspaces.holders.Add(key, workspace.Name) {
-				workspaces.Shared = append(workspaces.Shared, workspace.Name)
+				workspaces.WithSharedKey = append(workspaces.WithSharedKey, workspace.Name)
 			}
 		}
 	}
