--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -1,7 +1,6 @@
-// Package site holds what a deployment consists of, as the operators configure
-// it and as its runners describe themselves: routes, services, limits, runners
-// and versions of adapters. The types are plain values and never change once
-// they are shared.
+// Package site defines the data model of a deployment: routes, services, limits, workspaces,
+// runners and adapter versions. The types are plain values and are immutable once they are
+// shared.
 package site
 
 import (
@@ -10,17 +9,18 @@
 	"time"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind is the kind of a route's requests. It determines whether a request may run more than
+// once.
 type Kind uint8
 
-// Kinds of requests. The zero value is the one that may never run twice.
+// Kinds of requests. The zero value is the one that must never run twice.
 const (
 	NonIdempotent Kind = iota
 	Idempotent
 	Streaming
 )
 
-// String gives the kind's name in logs.
+// String returns the name of the kind as it appears in logs.
 func (k Kind) String() string {
 	switch k {
 	case Idempotent:
@@ -32,51 +32,52 @@
 	}
 }
 
-// Target is a service that takes a share of a route's requests.
+// Target is a service that receives a share of a route's requests, proportional to its weight.
 type Target struct {
 	Service string
 	Weight  int
 }
 
-// Route tells where requests for a host name and a path go.
+// Route assigns requests for a host name and a path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest time that a request may be kept waiting.
+	// Timeout is the maximum time a request may wait.
 	Timeout time.Duration
-	// TargetLatency is the time up to the answer (of streams: the first event)
-	// within which a request is on time.
+	// TargetLatency is the maximum time to the response (of a stream: to its first event) for a
+	// request to count as on time.
 	TargetLatency time.Duration
-	// TargetGap is the longest pause between two events of a stream on time.
+	// TargetGap is the maximum pause between two events for a stream to count as on time.
 	TargetGap time.Duration
-	// Priority is the rank among routes; 0 goes first.
+	// Priority orders routes; lower values are served first.
 	Priority int
-	// MaxAttempts is the largest number of runners that one request may reach.
+	// MaxAttempts is the maximum number of runners that one request may reach.
 	MaxAttempts int
-	// Resumable streams may be continued by another runner.
+	// Resumable streams may be continued on another runner.
 	Resumable bool
-	// Public routes take requests without a key.
+	// Public routes accept requests without a key.
 	Public  bool
 	Targets []Target
 }
 
-// MayRepeat says whether a request may run more than once.
+// MayRepeat reports whether a request may run more than once.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Idempotent || (r.Kind == Streaming && r.Resumable)
 }
 
-// PickService chooses a target by weight; draw is uniform in [0, 1).
+// PickService selects the service of one of the targets by weight. The draw must be uniform in
+// [0, 1).
 func (r *Route) PickService(draw float64) string {
 	total := 0
 	for _, target := range r.Targets {
 		total += target.Weight
 	}
-	left := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, target := range r.Targets {
-		left -= float64(target.Weight)
-		if left < 0 {
+		remaining -= float64(target.Weight)
+		if remaining < 0 {
 			return target.Service
 		}
 	}
@@ -89,25 +90,25 @@
 // Service is a group of runners that serve the same requests.
 type Service struct {
 	Name string
-	// MaxConnections is the number of connections that one runner accepts from
-	// all hosts together.
+	// MaxConnections is the maximum number of connections that one runner accepts from all hosts
+	// together.
 	MaxConnections int
-	// Engine is set for services of model engines.
+	// Engine is nil unless the runners of the service are model engines.
 	Engine *Engine
 }
 
 // Engine describes the model engines of a service.
 type Engine struct {
 	Slots int
-	// WeightsMB is a runner's memory for the weights of models and adapters.
+	// WeightsMB is the memory of a runner for the weights of models and adapters.
 	WeightsMB    float64
 	AdapterSlots int
-	// LoadsPerSecond is the weight store's allowance for base models.
+	// LoadsPerSecond is the rate of base model loads that the weight store allows.
 	LoadsPerSecond float64
 	Models         []Model
 }
 
-// Model is a base model and its adapters, which are named a1, a2 and so on.
+// Model is a base model. Its adapters are named a1, a2 and so on.
 type Model struct {
 	Name      string
 	WeightsMB float64
@@ -116,7 +117,7 @@
 	Adapters  int
 }
 
-// Model gives a base model by its name.
+// Model returns a base model by name.
 func (e *Engine) Model(name string) (Model, bool) {
 	for _, model := range e.Models {
 		if model.Name == name {
@@ -126,7 +127,7 @@
 	return Model{}, false
 }
 
-// Limits bound what callers may send.
+// Limits bounds what callers may send.
 type Limits struct {
 	MaxBodyBytes int64
 }
@@ -136,13 +137,13 @@
 	Version  int64
 	Services map[string]*Service
 	Limits   Limits
-	// Workspaces is nil where callers need no key.
+	// Workspaces is nil if callers need no key.
 	Workspaces *Workspaces
 	byHost     map[string][]*Route
 	routes     int
 }
 
-// NewConfig makes a configuration.
+// NewConfig returns a configuration without workspaces.
 func NewConfig(version int64, routes []*Route, services []*Service, limits Limits) *Config {
 	config := &Config{
 		Version:  version,
@@ -161,11 +162,10 @@
 	return config
 }
 
-// Len gives the number of routes.
+// Len returns the number of routes.
 func (c *Config) Len() int { return c.routes }
 
-// Match finds the route with the longest prefix of the path among those of a
-// host name.
+// Match returns the route of a host name with the longest matching path prefix.
 func (c *Config) Match(host, path string) (*Route, bool) {
 	var best *Route
 	for _, route := range c.byHost[strings.ToLower(host)] {
@@ -179,82 +179,80 @@
 	return best, best != nil
 }
 
-// Runner is a target as it describes itself. Address stays over restarts and may
-// later belong to another runner.
+// Runner is a runner's description of itself. An address outlives restarts and may later belong
+// to another runner.
 type Runner struct {
-	// ID names one lifetime of the runner's process: what is believed of a lifetime
-	// is kept under its ID and ends with it.
+	// ID identifies one lifetime of the runner's process, see LifetimeID. State of a lifetime is
+	// stored under its ID and dropped at its end.
 	ID string
-	// Instance is the name under which the runner is listed and that requests and
-	// orders carry. A process that starts again may do so under the same one.
+	// Instance is the name under which the runner is listed, and which requests and orders
+	// carry. A restarted process may keep it.
 	Instance string
-	// StartedMS is the start of the process in milliseconds since 1970, 0 where it does
-	// not tell.
+	// StartedMS is the start of the process in milliseconds since 1970, or 0 if unknown.
 	StartedMS  int64
 	Service    string
 	Address    string
 	DataCentre string
 	Slots      int
 	Leaving    bool
-	// Models are the base models that the runner held when it last described
-	// itself.
+	// Models are the base models that were loaded when the runner last described itself.
 	Models []string
 }
 
-// lifetimeMark stands between an instance and its start.
-const lifetimeMark = "~"
+// lifetimeSeparator separates an instance from its start time in the ID of a lifetime.
+const lifetimeSeparator = "~"
 
-// LifetimeID gives the ID of a lifetime. A runner that started again under its
-// instance holds and knows nothing of before; kept under the instance alone, the
-// adapters, the orders' sequence and the load of the lifetime before would be taken
-// for those of the new one.
-func LifetimeID(instance string, born int64) string {
-	if born == 0 {
+// LifetimeID returns the ID of a lifetime of an instance. Without the start time, the adapters,
+// the sequence numbers of orders and the load of a process that has ended would be attributed to
+// the process that restarted under the same instance.
+func LifetimeID(instance string, startedMS int64) string {
+	if startedMS == 0 {
 		return instance
 	}
-	return instance + lifetimeMark + strconv.FormatInt(born, 10)
+	return instance + lifetimeSeparator + strconv.FormatInt(startedMS, 10)
 }
 
-// InstanceOf gives the instance of a lifetime by its ID.
+// InstanceOf returns the instance of a lifetime ID.
 func InstanceOf(lifetime string) string {
-	instance, _, _ := strings.Cut(lifetime, lifetimeMark)
+	instance, _, _ := strings.Cut(lifetime, lifetimeSeparator)
 	return instance
 }
 
-// WithStart gives the runner with its start, where its description does not tell it.
-func (r *Runner) WithStart(born int64) *Runner {
-	aged := *r
-	aged.ID = LifetimeID(r.Instance, born)
-	aged.StartedMS = born
-	return &aged
+// WithStart returns a copy of the runner with the given start time and the ID that follows from
+// it, for runners whose description contains no start time.
+func (r *Runner) WithStart(startedMS int64) *Runner {
+	updated := *r
+	updated.ID = LifetimeID(r.Instance, startedMS)
+	updated.StartedMS = startedMS
+	return &updated
 }
 
-// Holds says whether the runner named the base model.
+// Holds reports whether the runner listed the base model as loaded.
 func (r *Runner) Holds(model string) bool {
-	for _, held := range r.Models {
-		if held == model {
+	for _, reported := range r.Models {
+		if reported == model {
 			return true
 		}
 	}
 	return false
 }
 
-// Adapter names an adapter of a base model.
+// Adapter identifies an adapter of a base model.
 type Adapter struct {
 	Model string
 	Name  string
 }
 
-// String gives the adapter's name in logs and keys.
+// String returns the adapter's name as used in logs and keys.
 func (a Adapter) String() string { return a.Model + "/" + a.Name }
 
-// AdapterVersion is the newest version of an adapter that was announced.
+// AdapterVersion is the latest announced version of an adapter.
 type AdapterVersion struct {
 	Adapter
 	Version int64
 }
 
-// ParseAdapter reads what Adapter's String gives.
+// ParseAdapter parses the output of Adapter.String.
 func ParseAdapter(text string) Adapter {
 	model, name, _ := strings.Cut(text, "/")
 	return Adapter{Model: model, Name: name}
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// A path belongs to the route with the longest prefix, whatever the order in which the
-// configuration lists them; a host name's case does not matter.
+// The longest matching prefix wins in any order of the routes, and host names are
+// case-insensitive.
 func TestLongestPrefixWins(t *testing.T) {
 	config := NewConfig(1, []*Route{
 		{Name: "all", Host: "A.example", Prefix: "/"},
@@ -23,7 +23,7 @@
 	must.False(t, ok)
 }
 
-// A route that is split sends to each service its share, and never to one without any.
+// Each target receives its share of the requests, and a target of weight 0 none.
 func TestPickByWeight(t *testing.T) {
 	route := &Route{Targets: []Target{{Service: "a", Weight: 1}, {Service: "none"}, {Service: "b", Weight: 3}}}
 	counts := map[string]int{}
@@ -35,9 +35,8 @@
 	must.Eq(t, "b", route.PickService(1), must.Sprint("a draw at the end"))
 }
 
-// A stream runs twice only where it may be resumed; nothing else that is not idempotent
-// ever does.
-func TestWhatMayRepeat(t *testing.T) {
+// Of requests that are not idempotent, only resumable streams may run twice.
+func TestMayRepeat(t *testing.T) {
 	must.False(t, (&Route{}).MayRepeat())
 	must.False(t, (&Route{Resumable: true}).MayRepeat())
 	must.True(t, (&Route{Kind: Idempotent}).MayRepeat())
@@ -45,15 +44,15 @@
 	must.True(t, (&Route{Kind: Streaming, Resumable: true}).MayRepeat())
 }
 
-// A lifetime's ID leads back to the instance that requests and orders carry.
+// The ID of a lifetime maps back to the instance.
 func TestLifetimes(t *testing.T) {
 	must.Eq(t, "i-1", LifetimeID("i-1", 0))
 	must.NotEq(t, LifetimeID("i-1", 7), LifetimeID("i-1", 8))
 	must.Eq(t, "i-1", InstanceOf(LifetimeID("i-1", 7)))
 	must.Eq(t, "i-1", InstanceOf("i-1"))
-	aged := (&Runner{ID: "i-1", Instance: "i-1"}).WithStart(9)
-	must.Eq(t, LifetimeID("i-1", 9), aged.ID)
-	must.Eq(t, "i-1", aged.Instance)
-	named := ParseAdapter(Adapter{Model: "m", Name: "a/b"}.String())
-	must.Eq(t, Adapter{Model: "m", Name: "a/b"}, named)
+	withStart := (&Runner{ID: "i-1", Instance: "i-1"}).WithStart(9)
+	must.Eq(t, LifetimeID("i-1", 9), withStart.ID)
+	must.Eq(t, "i-1", withStart.Instance)
+	parsed := ParseAdapter(Adapter{Model: "m", Name: "a/b"}.String())
+	must.Eq(t, Adapter{Model: "m", Name: "a/b"}, parsed)
 }
--- a/internal/site/workspace.go
+++ b/internal/site/workspace.go
@@ -6,49 +6,50 @@
 	"github.com/cherrystage/cherrystage/internal/credential"
 )
 
-// Workspace is a customer of the deployment: its callers show one of its keys, and
-// all hosts together keep it to its quota.
+// Workspace is a customer of the deployment. Its callers authenticate with one of its keys, and
+// its quota is enforced over all hosts together.
 type Workspace struct {
 	Name string
-	// Keys are the digests of the keys in force. A workspace without keys cannot be
-	// called for.
+	// Keys are the digests of the valid keys. Without any, every caller of the workspace is
+	// rejected.
 	Keys  []credential.Digest
 	Quota Quota
-	// Priority goes before that of the route, where it is given; 0 goes first.
+	// Priority overrides the priority of the route unless it is nil; lower values are served
+	// first.
 	Priority *int
 }
 
-// Quota bounds what a workspace may ask for, over all hosts together: a token bucket
-// in units, which are requests or tokens.
+// Quota is the request limit of a workspace over all hosts together: a token bucket whose units
+// are requests or tokens of a model.
 type Quota struct {
-	// Rate is in units a second; 0 sets no bound.
+	// Rate is in units per second; 0 means unlimited.
 	Rate float64
-	// Burst is in units beyond the rate.
+	// Burst is the capacity beyond the rate, in units.
 	Burst float64
-	// InTokens says that the unit is a token and not a request.
+	// InTokens is true if units are tokens, false if they are requests.
 	InTokens bool
-	// DefaultTokens is what a request counts that tells no numbers of tokens.
+	// DefaultTokens is the cost of a request whose number of tokens is unknown.
 	DefaultTokens int64
 }
 
-// Bounded says whether the quota bounds anything.
+// Bounded reports whether the quota limits anything.
 func (q Quota) Bounded() bool { return q.Rate > 0 }
 
-// Cost gives the units that a request counts. Tokens is the sum of those of its prompt
-// and its answer; told says whether the caller told them.
-func (q Quota) Cost(tokens int64, told bool) float64 {
+// Cost returns the cost of a request in units. Tokens is the sum of the tokens in its prompt and
+// its response; it is used only if the caller stated them.
+func (q Quota) Cost(tokens int64, known bool) float64 {
 	switch {
 	case !q.InTokens:
 		return 1
-	case told:
+	case known:
 		return float64(tokens)
 	default:
 		return float64(q.DefaultTokens)
 	}
 }
 
-// PriorityOn gives the priority of a workspace's request on a route: the workspace's own
-// goes before the route's.
+// PriorityOn returns the priority of a request of the workspace on a route: that of the
+// workspace if it has one, otherwise that of the route.
 func (w *Workspace) PriorityOn(route *Route) int {
 	if w == nil || w.Priority == nil {
 		return route.Priority
@@ -56,22 +57,22 @@
 	return *w.Priority
 }
 
-// Workspaces are those of one configuration. They are immutable.
+// Workspaces are the workspaces of one configuration. It is immutable.
 type Workspaces struct {
-	byName  map[string]*Workspace
-	holders credential.Holders
-	// WithSharedKey names the workspaces with a key that one listed before them holds.
+	byName     map[string]*Workspace
+	keyHolders credential.Holders
+	// WithSharedKey contains the names of workspaces that list a key of an earlier workspace.
 	WithSharedKey []string
 }
 
-// NewWorkspaces makes the workspaces of a configuration. Of two that list a key the
-// first one holds it, on every host, so that all agree whose request it is.
+// NewWorkspaces returns the workspaces of a configuration. A key that several workspaces list
+// belongs to the first of them, so that all hosts attribute its requests alike.
 func NewWorkspaces(list []*Workspace) *Workspaces {
-	workspaces := &Workspaces{byName: make(map[string]*Workspace, len(list)), holders: credential.Holders{}}
+	workspaces := &Workspaces{byName: make(map[string]*Workspace, len(list)), keyHolders: credential.Holders{}}
 	for _, workspace := range list {
 		workspaces.byName[workspace.Name] = workspace
 		for _, key := range workspace.Keys {
-			if !workspaces.holders.Add(key, workspace.Name) {
+			if !workspaces.keyHolders.Add(key, workspace.Name) {
 				workspaces.WithSharedKey = append(workspaces.WithSharedKey, workspace.Name)
 			}
 		}
@@ -79,16 +80,16 @@
 	return workspaces
 }
 
-// ByKey finds the workspace that a key belongs to.
+// ByKey returns the workspace that a key belongs to.
 func (w *Workspaces) ByKey(key credential.Digest) (*Workspace, bool) {
 	if w == nil {
 		return nil, false
 	}
-	name, ok := w.holders.Holder(key)
+	name, ok := w.keyHolders.Holder(key)
 	return w.byName[name], ok
 }
 
-// ByName finds a workspace.
+// ByName returns a workspace by name.
 func (w *Workspaces) ByName(name string) (*Workspace, bool) {
 	if w == nil {
 		return nil, false
@@ -97,7 +98,7 @@
 	return workspace, ok
 }
 
-// Names gives the workspaces' names, sorted.
+// Names returns the names of all workspaces in sorted order.
 func (w *Workspaces) Names() []string {
 	if w == nil {
 		return nil
