--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,5 @@
-// Package logging writes log lines without ever making the writer wait.
+// Package logging writes log lines asynchronously, so that a slow log output never delays
+// requests.
 package logging
 
 import (
@@ -9,86 +10,87 @@
 )
 
 const (
-	// queueLines is how many lines wait at most: about a second of a host's
-	// busiest time, in about a megabyte.
-	queueLines = 2048
-	// linesPerSecond bounds what is written in the long run; a host under the
-	// heaviest load of the sites decides on some 60 requests a second.
-	linesPerSecond = 400
-	// dropNotice is how often dropped lines are told of.
-	dropNotice = time.Second
+	// queueCapacity is the maximum number of queued lines: about one second of a host's peak
+	// output, in about one megabyte.
+	queueCapacity = 2048
+	// maxLinesPerSecond limits the output. A host under the heaviest load of the known
+	// deployments handles some 60 requests a second.
+	maxLinesPerSecond = 400
+	// rateInterval is the interval over which the rate is enforced and dropped lines are
+	// reported.
+	rateInterval = time.Second
 )
 
-// Writer passes lines on to an output from a goroutine of its own. Lines that
-// find the queue full, or that go beyond the rate, are dropped and counted.
+// Writer passes lines to an output from its own goroutine. Lines that exceed the queue or the
+// rate are dropped and counted.
 type Writer struct {
-	lines   chan []byte
-	dropped atomic.Int64
-	told    int64
-	done    chan struct{}
+	lines           chan []byte
+	dropped         atomic.Int64
+	reportedDropped int64
+	done            chan struct{}
 }
 
 // NewWriter starts a writer.
 func NewWriter(out io.Writer) *Writer {
-	w := &Writer{lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	w := &Writer{lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go w.run(out)
 	return w
 }
 
-// Write implements io.Writer. It never blocks.
+// Write implements io.Writer. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
-	kept := append([]byte(nil), line...)
+	copied := append([]byte(nil), line...)
 	select {
-	case w.lines <- kept:
+	case w.lines <- copied:
 	default:
 		w.dropped.Add(1)
 	}
 	return len(line), nil
 }
 
-// Dropped gives the number of lines that were not written.
+// Dropped returns the number of lines that were not written.
 func (w *Writer) Dropped() int64 { return w.dropped.Load() }
 
-// Close writes what waits, for at most a time, and stops.
-func (w *Writer) Close(patience time.Duration) {
+// Close writes the queued lines, waiting at most for the timeout, and stops the writer.
+func (w *Writer) Close(timeout time.Duration) {
 	w.lines <- nil
 	select {
 	case <-w.done:
-	case <-time.After(patience):
+	case <-time.After(timeout):
 	}
 }
 
 func (w *Writer) run(out io.Writer) {
 	defer close(w.done)
-	second := time.Now()
+	intervalStart := time.Now()
 	written := 0
 	for line := range w.lines {
 		if line == nil {
 			return
 		}
 		now := time.Now()
-		if now.Sub(second) >= dropNotice {
-			w.tellDropped(out)
-			second = now
+		if now.Sub(intervalStart) >= rateInterval {
+			w.reportDropped(out)
+			intervalStart = now
 			written = 0
 		}
-		if written >= linesPerSecond {
+		if written >= maxLinesPerSecond {
 			w.dropped.Add(1)
 			continue
 		}
 		written++
-		// Nobody can be told that standard output fails; the counter shows it.
+		// An output that fails leaves no place to report the error; the counter shows it.
 		if _, err := out.Write(line); err != nil {
 			w.dropped.Add(1)
 		}
 	}
 }
 
-func (w *Writer) tellDropped(out io.Writer) {
+func (w *Writer) reportDropped(out io.Writer) {
 	dropped := w.dropped.Load()
-	if dropped == w.told {
+	if dropped == w.reportedDropped {
 		return
 	}
-	_, _ = fmt.Fprintf(out, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"lines\":%d,\"total\":%d}\n", dropped-w.told, dropped)
-	w.told = dropped
+	_, _ = fmt.Fprintf(out, "{\"@level\":\"warn\",\"@message\":\"log lines dropped\",\"lines\":%d,\"total\":%d}\n", dropped-w.reportedDropped, dropped)
+	w.reportedDropped = dropped
 }
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -10,54 +10,52 @@
 	"github.com/shoenig/test/must"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ free chan struct{} }
+// blockedWriter is an output that blocks until it is unblocked.
+type blockedWriter struct{ unblock chan struct{} }
 
-func (s stuck) Write(line []byte) (int, error) {
-	<-s.free
+func (s blockedWriter) Write(line []byte) (int, error) {
+	<-s.unblock
 	return len(line), nil
 }
 
-// Whoever reads the log has stopped. Requests must go on: a line is dropped and
-// counted, and no writer waits.
+// An output that blocks must not block writers: lines are dropped and counted.
 func TestWriterNeverBlocks(t *testing.T) {
-	free := make(chan struct{})
-	w := NewWriter(stuck{free})
+	unblock := make(chan struct{})
+	w := NewWriter(blockedWriter{unblock})
 	begin := time.Now()
-	for range 3 * queueLines {
+	for range 3 * queueCapacity {
 		_, err := w.Write([]byte("line\n"))
 		must.NoError(t, err)
 	}
 	must.Less(t, time.Second, time.Since(begin))
-	must.Greater(t, queueLines, int(w.Dropped()))
-	close(free)
+	must.Greater(t, queueCapacity, int(w.Dropped()))
+	close(unblock)
 }
 
-// lines is an output that keeps what it gets.
-type lines struct {
+// lockedBuffer is an output that stores what it receives.
+type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
 }
 
-func (l *lines) Write(line []byte) (int, error) {
+func (l *lockedBuffer) Write(line []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.text.Write(line)
 }
 
-// A flood of lines goes beyond the rate. The rest is dropped, and the next
-// second's first line tells how many.
-func TestWriterTellsWhatItDropped(t *testing.T) {
-	out := &lines{}
+// Lines beyond the rate are dropped, and the first line of the next second reports how many.
+func TestWriterReportsDroppedLines(t *testing.T) {
+	out := &lockedBuffer{}
 	w := NewWriter(out)
-	for range linesPerSecond + 100 {
+	for range maxLinesPerSecond + 100 {
 		_, _ = w.Write([]byte("line\n"))
 	}
-	time.Sleep(dropNotice + 50*time.Millisecond)
+	time.Sleep(rateInterval + 50*time.Millisecond)
 	_, _ = w.Write([]byte("after\n"))
 	w.Close(time.Second)
 	text := out.text.String()
-	must.Eq(t, linesPerSecond, strings.Count(text, "line\n"))
+	must.Eq(t, maxLinesPerSecond, strings.Count(text, "line\n"))
 	must.StrContains(t, text, `"lines":100`)
 	must.StrContains(t, text, "after\n")
 }
