--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings holds the daemon's settings, read from flags and
-// environment variables and checked at start.
+// Package settings defines the daemon's settings, which are read from flags and environment
+// variables and validated at startup.
 package settings
 
 import (
@@ -12,8 +12,8 @@
 	"github.com/pkg/errors"
 )
 
-// Settings are all settings of the daemon. Every flag has an environment
-// variable of the same meaning.
+// Settings are all settings of the daemon. Each flag, except --version, has an equivalent
+// environment variable.
 type Settings struct {
 	Standalone bool `long:"standalone" env:"CHERRYSTAGE_STANDALONE" description:"run alone, with a stand-in platform, stand-in engines and a sample inventory in this process; for first tries only"`
 
@@ -45,7 +45,7 @@
 	Version bool   `long:"version" description:"print the version and end"`
 }
 
-// Limits bound what callers can make a host hold.
+// Limits bounds the resources that callers can occupy on a host.
 type Limits struct {
 	MaxBodyBytes   int64         `long:"max-body-bytes" env:"CHERRYSTAGE_MAX_BODY_BYTES" default:"1048576" description:"largest body of a request, in bytes"`
 	MaxHeaderBytes int           `long:"max-header-bytes" env:"CHERRYSTAGE_MAX_HEADER_BYTES" default:"32768" description:"largest header of a request, in bytes"`
@@ -55,7 +55,7 @@
 	RetryBudget    float64       `long:"retry-budget" env:"CHERRYSTAGE_RETRY_BUDGET" default:"0.2" description:"second tries allowed, as a share of first tries"`
 }
 
-// Timing sets how long is waited for what.
+// Timing sets intervals and timeouts.
 type Timing struct {
 	LeaseLife         time.Duration `long:"lease-life" env:"CHERRYSTAGE_LEASE_LIFE" default:"5s" description:"life of a node lease; it is renewed three times as often"`
 	HeartbeatInterval time.Duration `long:"heartbeat-interval" env:"CHERRYSTAGE_HEARTBEAT_INTERVAL" default:"500ms" description:"time between heartbeats to a peer"`
@@ -70,7 +70,8 @@
 	DrainLimit        time.Duration `long:"drain-limit" env:"CHERRYSTAGE_DRAIN_LIMIT" default:"10m" description:"longest time after SIGTERM that open streams may take"`
 }
 
-// Loads set the weight store's allowance and how stalls and batches are weighed.
+// Loads sets the rate of loads that the weight store allows and the preset that weighs short
+// stalls against full batches.
 type Loads struct {
 	Rate     float64       `long:"load-rate" env:"CHERRYSTAGE_LOAD_RATE" default:"3.5" description:"loads a second that the weight store allows to the whole deployment"`
 	Parallel int           `long:"load-parallel" env:"CHERRYSTAGE_LOAD_PARALLEL" default:"1" description:"loads at a time that the weight store serves at full speed"`
@@ -80,10 +81,10 @@
 }
 
 const (
-	minKeyLength    = 16
-	maxRetryBudget  = 1
-	minLeaseBeats   = 4
-	longestInterval = 24 * time.Hour
+	minPeerKeyLength      = 16
+	maxRetryBudget        = 1
+	minHeartbeatsPerLease = 4
+	maxDuration           = 24 * time.Hour
 )
 
 var (
@@ -91,9 +92,9 @@
 	presets   = []string{"stalls", "batches"}
 )
 
-// Check says which setting is wrong, in words that name its flag.
+// Check validates the settings. The error names the flag of the first invalid one.
 func (s *Settings) Check() error {
-	checks := []func() error{s.checkWords, s.checkAddresses, s.checkKeys, s.checkLimits, s.checkTiming, s.checkLoads}
+	checks := []func() error{s.checkEnums, s.checkAddresses, s.checkKeys, s.checkLimits, s.checkTiming, s.checkLoads}
 	for _, check := range checks {
 		if err := check(); err != nil {
 			return err
@@ -102,12 +103,12 @@
 	return nil
 }
 
-func (s *Settings) checkWords() error {
+func (s *Settings) checkEnums() error {
 	if !slices.Contains(logLevels, s.LogLevel) {
-		return errors.Errorf("--log-level %q: want one of %s", s.LogLevel, strings.Join(logLevels, ", "))
+		return errors.Errorf("--log-level %q: must be one of %s", s.LogLevel, strings.Join(logLevels, ", "))
 	}
 	if !slices.Contains(presets, s.Loads.Preset) {
-		return errors.Errorf("--preset %q: want one of %s", s.Loads.Preset, strings.Join(presets, ", "))
+		return errors.Errorf("--preset %q: must be one of %s", s.Loads.Preset, strings.Join(presets, ", "))
 	}
 	return nil
 }
@@ -119,7 +120,7 @@
 	}
 	for flag, address := range addresses {
 		if _, _, err := net.SplitHostPort(address); err != nil {
-			return errors.Errorf("%s %q: want HOST:PORT: %v", flag, address, err)
+			return errors.Errorf("%s %q: must be HOST:PORT: %v", flag, address, err)
 		}
 	}
 	if s.Host == "" || s.DataCentre == "" {
@@ -131,7 +132,7 @@
 	}
 	for flag, url := range urls {
 		if !strings.HasPrefix(url, "http://") && !strings.HasPrefix(url, "https://") {
-			return errors.Errorf("%s %q: want a URL that begins with http:// or https://", flag, url)
+			return errors.Errorf("%s %q: must be a URL that begins with http:// or https://", flag, url)
 		}
 	}
 	return nil
@@ -141,17 +142,17 @@
 	if s.Standalone {
 		return nil
 	}
-	if len(s.PeerKey) < minKeyLength {
-		return errors.Errorf("--peer-key: want at least %d characters", minKeyLength)
+	if len(s.PeerKey) < minPeerKeyLength {
+		return errors.Errorf("--peer-key: must have at least %d characters", minPeerKeyLength)
 	}
 	if len(s.OperatorKeys) == 0 {
-		return errors.New("--operator: want at least one NAME=DIGEST, else nobody can administer this host")
+		return errors.New("--operator: at least one NAME=DIGEST is required to administer this host")
 	}
-	for _, pair := range s.OperatorKeys {
-		name, digest, found := strings.Cut(pair, "=")
+	for _, operator := range s.OperatorKeys {
+		name, digest, found := strings.Cut(operator, "=")
 		_, err := credential.Parse(digest)
 		if !found || name == "" || err != nil {
-			return errors.Errorf("--operator %q: want NAME=DIGEST with a SHA-256 digest in hexadecimal", name)
+			return errors.Errorf("--operator %q: must be NAME=DIGEST with a SHA-256 digest in hexadecimal", name)
 		}
 	}
 	return nil
@@ -161,15 +162,15 @@
 	l := s.Limits
 	switch {
 	case l.MaxBodyBytes <= 0:
-		return errors.Errorf("--max-body-bytes %d: want more than 0", l.MaxBodyBytes)
+		return errors.Errorf("--max-body-bytes %d: must be greater than 0", l.MaxBodyBytes)
 	case l.MaxHeaderBytes <= 0:
-		return errors.Errorf("--max-header-bytes %d: want more than 0", l.MaxHeaderBytes)
+		return errors.Errorf("--max-header-bytes %d: must be greater than 0", l.MaxHeaderBytes)
 	case l.MaxStreams <= 0:
-		return errors.Errorf("--max-streams %d: want more than 0", l.MaxStreams)
+		return errors.Errorf("--max-streams %d: must be greater than 0", l.MaxStreams)
 	case l.MaxQueue < 0:
-		return errors.Errorf("--max-queue %d: want 0 or more", l.MaxQueue)
+		return errors.Errorf("--max-queue %d: must not be negative", l.MaxQueue)
 	case l.RetryBudget < 0 || l.RetryBudget > maxRetryBudget:
-		return errors.Errorf("--retry-budget %g: want 0 to %d", l.RetryBudget, maxRetryBudget)
+		return errors.Errorf("--retry-budget %g: must be between 0 and %d", l.RetryBudget, maxRetryBudget)
 	}
 	return checkDurations(map[string]time.Duration{"--max-wait": l.MaxWait})
 }
@@ -185,11 +186,11 @@
 	if err != nil {
 		return err
 	}
-	if t.LeaseLife < minLeaseBeats*t.HeartbeatInterval {
-		return errors.Errorf("--lease-life %s: want at least %d times --heartbeat-interval %s", t.LeaseLife, minLeaseBeats, t.HeartbeatInterval)
+	if t.LeaseLife < minHeartbeatsPerLease*t.HeartbeatInterval {
+		return errors.Errorf("--lease-life %s: must be at least %d times --heartbeat-interval %s", t.LeaseLife, minHeartbeatsPerLease, t.HeartbeatInterval)
 	}
 	if t.DrainNotice < 0 || t.DrainNotice >= t.DrainLimit {
-		return errors.Errorf("--drain-notice %s: want 0 or more, and less than --drain-limit %s", t.DrainNotice, t.DrainLimit)
+		return errors.Errorf("--drain-notice %s: must not be negative and must be less than --drain-limit %s", t.DrainNotice, t.DrainLimit)
 	}
 	return nil
 }
@@ -198,25 +199,25 @@
 	l := s.Loads
 	switch {
 	case l.Rate <= 0:
-		return errors.Errorf("--load-rate %g: want more than 0", l.Rate)
+		return errors.Errorf("--load-rate %g: must be greater than 0", l.Rate)
 	case l.Parallel <= 0:
-		return errors.Errorf("--load-parallel %d: want more than 0", l.Parallel)
+		return errors.Errorf("--load-parallel %d: must be greater than 0", l.Parallel)
 	case l.Shares <= 0:
-		return errors.Errorf("--load-shares %d: want more than 0", l.Shares)
+		return errors.Errorf("--load-shares %d: must be greater than 0", l.Shares)
 	}
 	return checkDurations(map[string]time.Duration{"--load-time": l.Time})
 }
 
 func checkDurations(durations map[string]time.Duration) error {
 	for flag, duration := range durations {
-		if duration <= 0 || duration > longestInterval {
-			return errors.Errorf("%s %s: want more than 0 and at most %s", flag, duration, longestInterval)
+		if duration <= 0 || duration > maxDuration {
+			return errors.Errorf("%s %s: must be greater than 0 and at most %s", flag, duration, maxDuration)
 		}
 	}
 	return nil
 }
 
-// AdvertisedPeerAddress gives the address under which peers reach this host.
+// AdvertisedPeerAddress returns the address under which peers reach this host.
 func (s *Settings) AdvertisedPeerAddress() string {
 	if s.PeerAddress != "" {
 		return s.PeerAddress
@@ -224,7 +225,7 @@
 	return s.PeersListen
 }
 
-// OperatorsByDigest gives the operators' names by the digests of their keys.
+// OperatorsByDigest returns the operators' names by the digests of their keys.
 func (s *Settings) OperatorsByDigest() credential.Holders {
 	byDigest := credential.Holders{}
 	for _, pair := range s.OperatorKeys {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func valid(t *testing.T) *Settings {
+func validSettings(t *testing.T) *Settings {
 	t.Helper()
 	cfg := &Settings{}
 	_, err := flags.NewParser(cfg, flags.None).ParseArgs([]string{
@@ -19,10 +19,10 @@
 	return cfg
 }
 
-func TestWrongSettingsAreNamed(t *testing.T) {
+func TestErrorNamesInvalidSetting(t *testing.T) {
 	for _, row := range []struct {
-		flag  string
-		spoil func(s *Settings)
+		flag       string
+		invalidate func(s *Settings)
 	}{
 		{"--callers", func(s *Settings) { s.CallersListen = "8080" }},
 		{"--peers", func(s *Settings) { s.PeersListen = "" }},
@@ -49,9 +49,9 @@
 		{"--load-shares", func(s *Settings) { s.Loads.Shares = 0 }},
 	} {
 		t.Run(row.flag, func(t *testing.T) {
-			cfg := valid(t)
+			cfg := validSettings(t)
 			must.NoError(t, cfg.Check())
-			row.spoil(cfg)
+			row.invalidate(cfg)
 			err := cfg.Check()
 			must.Error(t, err)
 			must.StrContains(t, err.Error(), row.flag)
