--- a/internal/hostmetrics/hostmetrics.go
+++ b/internal/hostmetrics/hostmetrics.go
@@ -13,32 +13,32 @@
 	"github.com/pkg/errors"
 )
 
-// maxPage bounds a metrics page.
-const maxPage = 4 << 20
+// maxPageBytes limits the size of a metrics page.
+const maxPageBytes = 4 << 20
 
-// Workspace is what a fleet's hosts did for a workspace since they started.
+// Workspace is the sum of a workspace's metrics over hosts, each counted since the host's start.
 type Workspace struct {
 	Name string `json:"name"`
 	quota.WorkspaceMetrics
-	// Hosts is the number of hosts that had requests of it.
+	// Hosts is the number of hosts that report metrics of the workspace.
 	Hosts int `json:"hosts"`
 }
 
-// page is what is read of a host's metrics.
+// page is the part of a host's metrics page that is used.
 type page struct {
 	Workspaces map[string]quota.WorkspaceMetrics `json:"workspaces"`
 }
 
-// SumWorkspaces reads the metrics pages of hosts and adds up the use of each workspace. A host
-// that does not answer is an error: a sum without it would tell too little.
+// SumWorkspaces reads the metrics pages of hosts and adds up the usage of each workspace, sorted
+// by name. It fails if any host does not respond, because the sums would be too low.
 func SumWorkspaces(ctx context.Context, urls []string) ([]Workspace, error) {
 	byName := map[string]*Workspace{}
 	for _, url := range urls {
-		read, err := get(ctx, url)
+		fetched, err := fetchPage(ctx, url)
 		if err != nil {
 			return nil, errors.Wrap(err, url)
 		}
-		add(byName, read)
+		addPage(byName, fetched)
 	}
 	rows := make([]Workspace, 0, len(byName))
 	for _, workspace := range byName {
@@ -48,33 +48,33 @@
 	return rows, nil
 }
 
-func add(byName map[string]*Workspace, read page) {
-	for name, use := range read.Workspaces {
-		one := byName[name]
-		if one == nil {
-			one = &Workspace{Name: name}
-			byName[name] = one
+func addPage(byName map[string]*Workspace, fetched page) {
+	for name, metrics := range fetched.Workspaces {
+		total := byName[name]
+		if total == nil {
+			total = &Workspace{Name: name}
+			byName[name] = total
 		}
-		one.Hosts++
-		one.Rate, one.Burst, one.InTokens = use.Rate, use.Burst, use.InTokens
-		one.Add(use.Usage)
+		total.Hosts++
+		total.Rate, total.Burst, total.InTokens = metrics.Rate, metrics.Burst, metrics.InTokens
+		total.Add(metrics.Usage)
 	}
 }
 
-func get(ctx context.Context, url string) (page, error) {
-	var read page
+func fetchPage(ctx context.Context, url string) (page, error) {
+	var fetched page
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return read, err
+		return fetched, err
 	}
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
-		return read, err
+		return fetched, err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return read, errors.Errorf("status %d", response.StatusCode)
+		return fetched, errors.Errorf("status %d", response.StatusCode)
 	}
-	err = json.NewDecoder(io.LimitReader(response.Body, maxPage)).Decode(&read)
-	return read, errors.Wrap(err, "metrics")
+	err = json.NewDecoder(io.LimitReader(response.Body, maxPageBytes)).Decode(&fetched)
+	return fetched, errors.Wrap(err, "metrics")
 }
--- a/internal/hostmetrics/hostmetrics_test.go
+++ b/internal/hostmetrics/hostmetrics_test.go
@@ -9,9 +9,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// Two hosts served a workspace, one of them another one as well. An operator sees the sums,
-// and is told where a host did not answer.
-func TestUseOfWorkspacesOverHosts(t *testing.T) {
+// Metrics of a workspace are summed over the hosts that report it, and a host that does not
+// respond is an error.
+func TestSumWorkspaces(t *testing.T) {
 	serve := func(page string) string {
 		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, page) }))
 		t.Cleanup(server.Close)
