--- a/cmd/cherrystaged/main.go
+++ b/cmd/cherrystaged/main.go
@@ -25,9 +25,9 @@
 // version is set by the build.
 var version = "dev"
 
-// gcPercent trades a little processor time for memory: the hosts are small, and
-// most of the heap is buffers of open streams.
-const gcPercent = 50
+// defaultGCPercent trades some CPU time for memory: the hosts are small, and most of the heap
+// consists of buffers of open streams.
+const defaultGCPercent = 50
 
 // Exit codes.
 const (
@@ -36,7 +36,7 @@
 )
 
 func main() {
-	cfg, err := parse(os.Args[1:])
+	cfg, err := parseSettings(os.Args[1:])
 	if err != nil {
 		os.Exit(exitUsage)
 	}
@@ -48,15 +48,15 @@
 		os.Exit(servePlatform(cfg))
 	}
 	log := hclog.New(&hclog.LoggerOptions{Name: "cherrystaged", Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: true, Output: os.Stderr})
-	debug.SetGCPercent(gcPercent)
+	debug.SetGCPercent(defaultGCPercent)
 	if err := serve(cfg, log); err != nil {
 		log.Error("ended", "error", err)
 		os.Exit(exitFailure)
 	}
 }
 
-// parse reads the settings and says on standard error what is wrong with them.
-func parse(args []string) (*settings.Settings, error) {
+// parseSettings parses and validates the settings and prints errors to standard error.
+func parseSettings(args []string) (*settings.Settings, error) {
 	cfg := &settings.Settings{}
 	parser := flags.NewParser(cfg, flags.Default)
 	rest, err := parser.ParseArgs(args)
@@ -77,20 +77,20 @@
 	return cfg, err
 }
 
-// dialer probes idle connections early: something between two hosts may lose
-// track of a connection, and the probes find it before a request does.
+// dialer sends keep-alive probes early, so that a connection that a device between two hosts has
+// dropped is found before a request uses it.
 var dialer = net.Dialer{KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3}}
 
-// serve wires every long-running part into one run group.
+// serve runs all long-running components in one run group.
 func serve(cfg *settings.Settings, log hclog.Logger) error {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	if cfg.Standalone {
-		closeWorld, err := standalone.Start(ctx, cfg)
+		stopStandalone, err := standalone.Start(ctx, cfg)
 		if err != nil {
 			return err
 		}
-		defer closeWorld()
+		defer stopStandalone()
 	}
 	listeners, err := listen(cfg)
 	if err != nil {
@@ -103,38 +103,38 @@
 	var group run.Group
 	group.Add(func() error { n.Background(ctx); return nil }, func(error) { cancel() })
 	group.Add(func() error { return n.ServePeers(listeners.Peers) }, func(error) { _ = listeners.Peers.Close() })
-	group.Add(func() error { return ignoreClosed(operators.Serve(listeners.Operators)) }, func(error) { _ = operators.Close() })
-	addCallers(&group, func() error { return callers.Serve(listeners.Callers) }, func() { _ = callers.Close() })
-	addSignals(&group, n, callers, log)
+	group.Add(func() error { return ignoreServerClosed(operators.Serve(listeners.Operators)) }, func(error) { _ = operators.Close() })
+	addCallerServer(&group, func() error { return callers.Serve(listeners.Callers) }, func() { _ = callers.Close() })
+	addSignalHandler(&group, n, callers, log)
 	log.Info("serving", "host", cfg.Host, "callers", cfg.CallersListen, "operators", cfg.OperatorsListen, "peers", cfg.PeersListen, "standalone", cfg.Standalone)
 	return group.Run()
 }
 
 func listen(cfg *settings.Settings) (node.Listeners, error) {
 	var listeners node.Listeners
-	for _, want := range []struct {
+	for _, endpoint := range []struct {
 		flag, address string
-		into          *net.Listener
+		destination   *net.Listener
 	}{
 		{"--callers", cfg.CallersListen, &listeners.Callers},
 		{"--operators", cfg.OperatorsListen, &listeners.Operators},
 		{"--peers", cfg.PeersListen, &listeners.Peers},
 	} {
-		listener, err := net.Listen("tcp", want.address)
+		listener, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
-			return listeners, errors.Wrap(err, want.flag)
+			return listeners, errors.Wrap(err, endpoint.flag)
 		}
-		*want.into = listener
+		*endpoint.destination = listener
 	}
 	return listeners, nil
 }
 
-// addCallers serves callers. A graceful stop closes the server from outside
-// and ends the group by itself, so the actor waits for the group's end.
-func addCallers(group *run.Group, serve func() error, stop func()) {
+// addCallerServer adds the server for callers. A graceful stop closes the server from outside
+// and ends the group itself, so the actor waits for the end of the group.
+func addCallerServer(group *run.Group, serve func() error, stop func()) {
 	done := make(chan struct{})
 	group.Add(func() error {
-		if err := ignoreClosed(serve()); err != nil {
+		if err := ignoreServerClosed(serve()); err != nil {
 			return err
 		}
 		<-done
@@ -145,16 +145,16 @@
 	})
 }
 
-func ignoreClosed(err error) error {
+func ignoreServerClosed(err error) error {
 	if errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
 	return err
 }
 
-// addSignals stops the daemon gracefully at the first signal and at once at
-// the second.
-func addSignals(group *run.Group, n *node.Node, callers *http.Server, log hclog.Logger) {
+// addSignalHandler stops the daemon gracefully at the first signal and immediately at the
+// second.
+func addSignalHandler(group *run.Group, n *node.Node, callers *http.Server, log hclog.Logger) {
 	signals := make(chan os.Signal, 2)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -167,7 +167,7 @@
 		}
 		go func() {
 			<-signals
-			log.Warn("second signal: stopping at once")
+			log.Warn("second signal: stopping immediately")
 			cancel()
 		}()
 		cut, err := n.Shutdown(ctx, callers)
--- a/cmd/cherrystaged/platform.go
+++ b/cmd/cherrystaged/platform.go
@@ -28,58 +28,56 @@
 )
 
 const (
-	// metricsPort and metricsPath are where deploy/system.toml says that the
-	// metrics are.
+	// metricsPort and metricsPath are the endpoint of the metrics according to
+	// deploy/system.toml.
 	metricsPort = "7399"
 	metricsPath = "/metrics"
-	// logPatience bounds the writing of the last log lines at the end.
-	logPatience = 200 * time.Millisecond
-	// platformGCPercent lets the heap grow to twice what lives: memory is
-	// plentiful beside processor time on the platform's hosts.
+	// logFlushTimeout limits the time for writing the last log lines at exit.
+	logFlushTimeout = 200 * time.Millisecond
+	// platformGCPercent lets the heap grow to twice the live data: on the platform's hosts
+	// memory is plentiful compared to CPU time.
 	platformGCPercent = 200
-	// memoryShare of the memory at which the platform ends the process is what the heap
-	// is kept to. A host that watches for a large fleet reads lists of megabytes in a
-	// moment; left to grow to twice what lives, its heap came near the limit.
-	memoryShare = 0.5
+	// memoryLimitShare is the soft memory limit of the runtime, as a share of the memory at
+	// which the platform kills the process. A host that watches for a large fleet reads lists of
+	// several megabytes at once; with the GC percentage alone, its heap came near the limit.
+	memoryLimitShare = 0.5
 )
 
-// probedDialer finds connections that went silent for good within two seconds:
-// by probes while they are idle, by the time without an acknowledgement while
-// they are not.
-var probedDialer = net.Dialer{
+// platformDialer detects dead connections within two seconds: idle ones by keep-alive probes,
+// the others by the TCP user timeout.
+var platformDialer = net.Dialer{
 	KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: time.Second, Interval: 500 * time.Millisecond, Count: 2},
 	Control: func(_, _ string, conn syscall.RawConn) error {
-		var failure error
+		var sockoptErr error
 		err := conn.Control(func(fd uintptr) {
-			failure = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+			sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(tcpUserTimeout.Milliseconds()))
 		})
 		if err != nil {
 			return err
 		}
-		return failure
+		return sockoptErr
 	},
 }
 
-// unacknowledged is how long sent bytes may stay without an acknowledgement.
-const unacknowledged = 1500 * time.Millisecond
+// tcpUserTimeout is the maximum time for which sent data may remain unacknowledged.
+const tcpUserTimeout = 1500 * time.Millisecond
 
-// servePlatform runs an entry host on the users' platform and gives the exit
-// code.
+// servePlatform runs an entry host on the users' platform and returns the exit code.
 func servePlatform(cfg *settings.Settings) int {
 	debug.SetGCPercent(platformGCPercent)
-	placed, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
+	platformSettings, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "cherrystaged:", err)
 		return exitUsage
 	}
-	if placed.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(placed.MemoryBytes)))
+	if platformSettings.MemoryBytes > 0 {
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(platformSettings.MemoryBytes)))
 	}
 	out := logging.NewWriter(os.Stdout)
-	defer out.Close(logPatience)
-	log := hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: true, Output: out}).With("host", placed.Host)
-	log.Info("starting", "version", version, "data_centre", placed.DataCentre, "front", placed.Front, "store", placed.Store)
-	if err := runEntry(entryConfig(placed, cfg.PeerKey), placed, out, log); err != nil {
+	defer out.Close(logFlushTimeout)
+	log := hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: true, Output: out}).With("host", platformSettings.Host)
+	log.Info("starting", "version", version, "data_centre", platformSettings.DataCentre, "front", platformSettings.Front, "store", platformSettings.Store)
+	if err := runEntry(entryConfig(platformSettings, cfg.PeerKey), platformSettings, out, log); err != nil {
 		log.Error("ended", "error", err.Error())
 		return exitFailure
 	}
@@ -87,17 +85,17 @@
 	return 0
 }
 
-func runEntry(cfg entry.Config, placed platform.Settings, out *logging.Writer, log hclog.Logger) error {
+func runEntry(cfg entry.Config, platformSettings platform.Settings, out *logging.Writer, log hclog.Logger) error {
 	e := entry.New(cfg, entry.Platform{
-		Store:       platform.NewStore(placed.Store, probedDialer.DialContext),
+		Store:       platform.NewStore(platformSettings.Store, platformDialer.DialContext),
 		Decoder:     platform.Records{},
 		Dialect:     platform.Headers{},
-		Engines:     platform.NewEngines(probedDialer.DialContext),
+		Engines:     platform.NewEngines(platformDialer.DialContext),
 		ConfigKind:  platform.KindConfig,
 		RunnerKind:  platform.KindRunners,
 		VersionKind: platform.KindAdapterVersions,
-	}, probedDialer.DialContext, clock.Now, log)
-	listeners, err := listenAll(placed)
+	}, platformDialer.DialContext, clock.Now, log)
+	listeners, err := listenPlatform(platformSettings)
 	if err != nil {
 		return err
 	}
@@ -109,70 +107,70 @@
 	var group run.Group
 	group.Add(func() error { e.Background(ctx); return nil }, func(error) { cancel() })
 	group.Add(func() error { return e.ServePeers(listeners.peers) }, func(error) { _ = listeners.peers.Close() })
-	addPage(&group, listeners.ready, platform.ReadyPath, readiness(e))
-	addPage(&group, listeners.metrics, metricsPath, func(c echo.Context) error { return c.String(http.StatusOK, vars.String()) })
-	addCallers(&group, func() error { return e.ServeCallers(listeners.front) }, func() { _ = listeners.front.Close() })
-	addPlatformSignals(&group, e, log)
+	addPageServer(&group, listeners.ready, platform.ReadyPath, readinessHandler(e))
+	addPageServer(&group, listeners.metrics, metricsPath, func(c echo.Context) error { return c.String(http.StatusOK, vars.String()) })
+	addCallerServer(&group, func() error { return e.ServeCallers(listeners.front) }, func() { _ = listeners.front.Close() })
+	addPlatformSignalHandler(&group, e, log)
 	return group.Run()
 }
 
-// defaultPeerKey serves deployments that set no key: their hosts' internal ports
-// are reached by nobody else. It must not depend on where a host runs.
+// defaultPeerKey is used by deployments that configure no key, whose internal ports only their
+// own hosts can reach. It must be the same on every host.
 const defaultPeerKey = "cherrystage entry hosts"
 
-func entryConfig(placed platform.Settings, peerKey string) entry.Config {
+func entryConfig(platformSettings platform.Settings, peerKey string) entry.Config {
 	if peerKey == "" {
 		peerKey = defaultPeerKey
 	}
 	return entry.Config{
-		Host:          placed.Host,
-		DataCentre:    placed.DataCentre,
-		PeerAddress:   placed.Peers,
-		Seeds:         placed.Seeds,
+		Host:          platformSettings.Host,
+		DataCentre:    platformSettings.DataCentre,
+		PeerAddress:   platformSettings.Peers,
+		Seeds:         platformSettings.Seeds,
 		PeerKey:       []byte(peerKey),
-		OrderGap:      placed.Bounds.OrderLease,
-		ShutdownGrace: placed.Bounds.Grace,
+		OrderGap:      platformSettings.Bounds.OrderLease,
+		ShutdownGrace: platformSettings.Bounds.Grace,
 		RetryLimit: retrybudget.Limit{
-			Ratio:  placed.Bounds.RetryRatio,
-			Slack:  placed.Bounds.RetrySlack,
-			Window: placed.Bounds.RetryWindow,
+			Ratio:  platformSettings.Bounds.RetryRatio,
+			Slack:  platformSettings.Bounds.RetrySlack,
+			Window: platformSettings.Bounds.RetryWindow,
 		},
 		QuotaTolerance: quota.Tolerance{
-			Window:    placed.Bounds.QuotaWindow,
-			Overshoot: placed.Bounds.QuotaOvershoot,
-			Slack:     placed.Bounds.QuotaSlack,
+			Window:    platformSettings.Bounds.QuotaWindow,
+			Overshoot: platformSettings.Bounds.QuotaOvershoot,
+			Slack:     platformSettings.Bounds.QuotaSlack,
 		},
-		LoadLimit: adapters.ModelLoadLimit{Window: placed.Bounds.LoadWindow, Overshoot: placed.Bounds.LoadOvershoot},
+		LoadLimit: adapters.ModelLoadLimit{Window: platformSettings.Bounds.LoadWindow, Overshoot: platformSettings.Bounds.LoadOvershoot},
 	}
 }
 
 type platformListeners struct{ front, ready, peers, metrics net.Listener }
 
-func listenAll(placed platform.Settings) (platformListeners, error) {
-	var l platformListeners
-	host, _, err := net.SplitHostPort(placed.Peers)
+func listenPlatform(platformSettings platform.Settings) (platformListeners, error) {
+	var listeners platformListeners
+	host, _, err := net.SplitHostPort(platformSettings.Peers)
 	if err != nil {
-		return l, errors.Wrap(err, "peers' address")
+		return listeners, errors.Wrap(err, "peer address")
 	}
-	for _, want := range []struct {
-		what, address string
-		into          *net.Listener
+	for _, endpoint := range []struct {
+		name, address string
+		destination   *net.Listener
 	}{
-		{"front", placed.Front, &l.front},
-		{"readiness", placed.Ready, &l.ready},
-		{"peers", placed.Peers, &l.peers},
-		{"metrics", net.JoinHostPort(host, metricsPort), &l.metrics},
+		{"front", platformSettings.Front, &listeners.front},
+		{"readiness", platformSettings.Ready, &listeners.ready},
+		{"peers", platformSettings.Peers, &listeners.peers},
+		{"metrics", net.JoinHostPort(host, metricsPort), &listeners.metrics},
 	} {
-		listener, err := net.Listen("tcp", want.address)
+		listener, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
-			return l, errors.Wrap(err, want.what)
+			return listeners, errors.Wrap(err, endpoint.name)
 		}
-		*want.into = listener
+		*endpoint.destination = listener
 	}
-	return l, nil
+	return listeners, nil
 }
 
-func readiness(e *entry.Entry) echo.HandlerFunc {
+func readinessHandler(e *entry.Entry) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		if !e.Ready() {
 			return c.NoContent(http.StatusServiceUnavailable)
@@ -181,35 +179,35 @@
 	}
 }
 
-// addPage serves one page on a listener of its own.
-func addPage(group *run.Group, listener net.Listener, path string, handler echo.HandlerFunc) {
+// addPageServer serves a single page on its own listener.
+func addPageServer(group *run.Group, listener net.Listener, path string, handler echo.HandlerFunc) {
 	router := echo.New()
 	router.GET(path, handler)
 	server := &http.Server{Handler: router, ReadHeaderTimeout: time.Second}
-	group.Add(func() error { return ignoreClosed(server.Serve(listener)) }, func(error) { _ = server.Close() })
+	group.Add(func() error { return ignoreServerClosed(server.Serve(listener)) }, func(error) { _ = server.Close() })
 }
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal.
-const settingsPoll = 2 * time.Second
+// settingsPollInterval is the interval of checks for changes to the settings file, which may
+// change without a signal.
+const settingsPollInterval = 2 * time.Second
 
-// addPlatformSignals stops the host gracefully at SIGTERM, and reads the
-// settings again at SIGHUP and when their file has changed.
-func addPlatformSignals(group *run.Group, e *entry.Entry, log hclog.Logger) {
+// addPlatformSignalHandler stops the host gracefully at SIGINT or SIGTERM. It reloads the
+// settings at SIGHUP and when their file has changed.
+func addPlatformSignalHandler(group *run.Group, e *entry.Entry, log hclog.Logger) {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
 	ctx, cancel := context.WithCancel(context.Background())
 	group.Add(func() error {
-		poll := time.NewTicker(settingsPoll)
+		poll := time.NewTicker(settingsPollInterval)
 		defer poll.Stop()
-		changed := settingsChanged()
+		changed := settingsChangeDetector()
 		for {
 			select {
 			case <-ctx.Done():
 				return nil
 			case <-poll.C:
 				if changed() {
-					reload(e, log)
+					reloadSettings(e, log)
 				}
 			case received := <-signals:
 				if received != syscall.SIGHUP {
@@ -217,15 +215,15 @@
 					e.Shutdown(ctx)
 					return nil
 				}
-				reload(e, log)
+				reloadSettings(e, log)
 			}
 		}
 	}, func(error) { cancel() })
 }
 
-// settingsChanged gives a function that says whether the settings file is
-// another one than at its last call.
-func settingsChanged() func() bool {
+// settingsChangeDetector returns a function that reports whether the settings file has changed
+// since its last call.
+func settingsChangeDetector() func() bool {
 	stat := func() (time.Time, int64) {
 		info, err := os.Stat(os.Getenv(platform.SettingsVariable))
 		if err != nil {
@@ -233,24 +231,24 @@
 		}
 		return info.ModTime(), info.Size()
 	}
-	at, size := stat()
+	modTime, size := stat()
 	return func() bool {
-		nowAt, nowSize := stat()
-		changed := !nowAt.IsZero() && (!nowAt.Equal(at) || nowSize != size)
+		newModTime, newSize := stat()
+		changed := !newModTime.IsZero() && (!newModTime.Equal(modTime) || newSize != size)
 		if changed {
-			at, size = nowAt, nowSize
+			modTime, size = newModTime, newSize
 		}
 		return changed
 	}
 }
 
-// reload takes the settings over that can change while the process runs.
-func reload(e *entry.Entry, log hclog.Logger) {
-	placed, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
+// reloadSettings applies the settings that may change while the process runs.
+func reloadSettings(e *entry.Entry, log hclog.Logger) {
+	platformSettings, err := platform.ReadSettings(os.Getenv(platform.SettingsVariable))
 	if err != nil {
-		log.Error("settings not reloaded; the ones before stay in force", "error", err.Error())
+		log.Error("settings not reloaded; the previous settings remain in force", "error", err.Error())
 		return
 	}
-	e.SetShutdownGrace(placed.Bounds.Grace)
-	log.Info("settings reloaded", "grace_ms", placed.Bounds.Grace.Milliseconds())
+	e.SetShutdownGrace(platformSettings.Bounds.Grace)
+	log.Info("settings reloaded", "grace_ms", platformSettings.Bounds.Grace.Milliseconds())
 }
