--- a/cmd/cherryctl/analyze.go
+++ b/cmd/cherryctl/analyze.go
@@ -18,41 +18,41 @@
 	} `positional-args:"yes"`
 }
 
-// Execute sums up by cause which requests were not served on time.
+// Execute summarizes by cause why requests were not served on time.
 func (c *analyzeCommand) Execute([]string) error {
-	requests, unread, err := c.read()
+	requests, unreadable, err := c.readRequests()
 	if err != nil {
 		return err
 	}
-	if unread > 0 {
-		fmt.Fprintln(os.Stderr, "cherryctl:", unread, "lines of requests could not be read")
+	if unreadable > 0 {
+		fmt.Fprintln(os.Stderr, "cherryctl:", unreadable, "lines of requests could not be read")
 	}
 	if len(requests) == 0 {
 		return errors.New("no line tells of a request; the hosts log them at level info")
 	}
-	rows := losses.Summarize(requests, losses.Filter{Kind: c.Kind, Workspace: c.Workspace})
-	return show(rows, func(w *tabwriter.Writer) {
-		row(w, "CAUSE", "REQUESTS", "SHARE", "TOOK", "WAITED", "MOST AT", "EXAMPLE")
-		for _, r := range rows {
-			row(w, r.Cause, r.Requests, fmt.Sprintf("%.1f%%", 100*r.Share), fmt.Sprintf("%.0fms", r.MedianDurationMS),
-				fmt.Sprintf("%.0fms", r.MedianLoadWaitMS), r.WorstWindow.Format("15:04:05"), orDash(r.Example))
+	summaries := losses.Summarize(requests, losses.Filter{Kind: c.Kind, Workspace: c.Workspace})
+	return printResult(summaries, func(w *tabwriter.Writer) {
+		printRow(w, "CAUSE", "REQUESTS", "SHARE", "TOOK", "WAITED", "MOST AT", "EXAMPLE")
+		for _, r := range summaries {
+			printRow(w, r.Cause, r.Requests, fmt.Sprintf("%.1f%%", 100*r.Share), fmt.Sprintf("%.0fms", r.MedianDurationMS),
+				fmt.Sprintf("%.0fms", r.MedianLoadWaitMS), r.WorstWindow.Format("15:04:05"), dashIfEmpty(r.Example))
 		}
 	})
 }
 
-func (c *analyzeCommand) read() (requests []losses.Request, unread int, err error) {
+func (c *analyzeCommand) readRequests() (requests []losses.Request, unreadable int, err error) {
 	if len(c.Args.Files) == 0 {
 		return losses.ReadRequests(os.Stdin)
 	}
 	for _, name := range c.Args.Files {
-		found, passed, err := readFile(name)
+		fileRequests, unreadableInFile, err := readFile(name)
 		if err != nil {
 			return nil, 0, err
 		}
-		requests = append(requests, found...)
-		unread += passed
+		requests = append(requests, fileRequests...)
+		unreadable += unreadableInFile
 	}
-	return requests, unread, nil
+	return requests, unreadable, nil
 }
 
 func readFile(name string) ([]losses.Request, int, error) {
--- a/cmd/cherryctl/apply.go
+++ b/cmd/cherryctl/apply.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-// changeFlags are the flags of every command that changes something.
+// changeFlags are the flags of all commands that make changes.
 type changeFlags struct {
 	From     int64  `long:"from" default:"-1" description:"revision that the change was made from; by default the one that the file names, else the one in force"`
 	Note     string `long:"note" description:"note for the audit trail"`
@@ -31,35 +31,36 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute makes the inventory what the file says.
+// Execute replaces the inventory by the content of a file.
 func (c *applyCommand) Execute([]string) error {
 	var file adminapi.InventoryResult
 	if err := readJSON(c.Args.File, &file); err != nil {
 		return err
 	}
 	if c.From < 0 && file.Revision > 0 {
-		// The file says which revision it was read at: what came since must not be undone unseen.
+		// The file names the revision that it was read at. Starting from that revision keeps the
+		// change from silently undoing later ones.
 		c.From = int64(file.Revision)
 	}
-	return c.submit(adminapi.ChangeRequest{Document: &file.Document})
+	return c.submitChange(adminapi.ChangeRequest{Document: &file.Document})
 }
 
-func readJSON(path string, into any) error {
-	var text []byte
+func readJSON(path string, value any) error {
+	var content []byte
 	var err error
 	if path == "-" {
-		text, err = io.ReadAll(os.Stdin)
+		content, err = io.ReadAll(os.Stdin)
 	} else {
-		text, err = os.ReadFile(path)
+		content, err = os.ReadFile(path)
 	}
 	if err != nil {
 		return errors.Wrap(err, "read")
 	}
-	return errors.Wrap(decodeStrict(text, into), path)
+	return errors.Wrap(decodeStrict(content, value), path)
 }
 
-// submit sends a change and shows its outcome.
-func (f *changeFlags) submit(req adminapi.ChangeRequest) error {
+// submitChange sends a change and prints its outcome.
+func (f *changeFlags) submitChange(req adminapi.ChangeRequest) error {
 	ctx := context.Background()
 	req.Note, req.DryRun, req.ChangeID = f.Note, f.DryRun, f.ChangeID
 	if req.ChangeID == "" {
@@ -68,25 +69,25 @@
 	if f.From >= 0 {
 		req.From = inventory.Revision(f.From)
 	} else {
-		current, err := client().Status(ctx)
+		current, err := newClient().Status(ctx)
 		if err != nil {
 			return err
 		}
 		req.From = current.Revision
 	}
-	result, err := client().Change(ctx, req)
+	result, err := newClient().Change(ctx, req)
 	if err != nil {
 		return errors.WithMessagef(err, "change %s", req.ChangeID)
 	}
-	return show(result, func(w *tabwriter.Writer) {
+	return printResult(result, func(w *tabwriter.Writer) {
 		printOps(w, result.Ops)
 		switch {
 		case len(result.Ops) == 0:
-			row(w, fmt.Sprintf("nothing to change; revision %d", result.Revision))
+			printRow(w, fmt.Sprintf("nothing to change; revision %d", result.Revision))
 		case result.DryRun:
-			row(w, fmt.Sprintf("dry run: %d items would change", len(result.Ops)))
+			printRow(w, fmt.Sprintf("dry run: %d items would change", len(result.Ops)))
 		default:
-			row(w, fmt.Sprintf("accepted as revision %d (change %s)", result.Revision, result.ChangeID))
+			printRow(w, fmt.Sprintf("accepted as revision %d (change %s)", result.Revision, result.ChangeID))
 		}
 	})
 }
@@ -97,9 +98,10 @@
 	return hex.EncodeToString(id[:])
 }
 
-// decodeStrict refuses unknown fields: a misspelt rule must not pass as none.
-func decodeStrict(text []byte, into any) error {
-	decoder := json.NewDecoder(bytes.NewReader(text))
+// decodeStrict rejects unknown fields, because a misspelt field of a rule would otherwise be
+// ignored.
+func decodeStrict(content []byte, value any) error {
+	decoder := json.NewDecoder(bytes.NewReader(content))
 	decoder.DisallowUnknownFields()
-	return decoder.Decode(into)
+	return decoder.Decode(value)
 }
--- a/cmd/cherryctl/digest.go
+++ b/cmd/cherryctl/digest.go
@@ -13,7 +13,7 @@
 
 type digestCommand struct{}
 
-// Execute shows the digest of a key, for the inventory or for --operator.
+// Execute prints the digest of a key as used in the inventory and in --operator.
 func (c *digestCommand) Execute([]string) error {
 	line, err := bufio.NewReader(os.Stdin).ReadString('\n')
 	key := strings.TrimSpace(line)
--- a/cmd/cherryctl/drain.go
+++ b/cmd/cherryctl/drain.go
@@ -11,9 +11,9 @@
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute makes an entry host give its work away.
+// Execute drains an entry host.
 func (c *drainCommand) Execute([]string) error {
-	if err := client().Drain(context.Background(), c.Args.Host); err != nil {
+	if err := newClient().Drain(context.Background(), c.Args.Host); err != nil {
 		return err
 	}
 	fmt.Printf("%s is draining: not ready, its runners are handed over; stop its process when its streams have ended\n", c.Args.Host)
--- a/cmd/cherryctl/get.go
+++ b/cmd/cherryctl/get.go
@@ -19,18 +19,19 @@
 
 // Execute shows the inventory.
 func (c *getCommand) Execute([]string) error {
-	result, err := client().Inventory(context.Background())
+	result, err := newClient().Inventory(context.Background())
 	if err != nil {
 		return err
 	}
-	if err := narrow(&result, c.Args.Kind, c.Args.Name); err != nil {
+	if err := filterInventory(&result, c.Args.Kind, c.Args.Name); err != nil {
 		return err
 	}
-	return show(result, func(w *tabwriter.Writer) { printInventory(w, result) })
+	return printResult(result, func(w *tabwriter.Writer) { printInventory(w, result) })
 }
 
-// narrow keeps only what was asked for.
-func narrow(result *adminapi.InventoryResult, kind, name string) error {
+// filterInventory removes all items but those of a kind (empty: all) and with a name (empty:
+// any). It fails if the kind is unknown or no item has the name.
+func filterInventory(result *adminapi.InventoryResult, kind, name string) error {
 	kind = strings.TrimSuffix(kind, "s")
 	switch kind {
 	case "":
@@ -40,59 +41,59 @@
 		return errors.Errorf("no kind %q: want adapters, callers, services or rules", kind)
 	}
 	d := &result.Document
-	d.Adapters = keep(d.Adapters, kind == "adapter", name, func(i int) string { return d.Adapters[i].Name })
-	d.Callers = keep(d.Callers, kind == "caller", name, func(i int) string { return d.Callers[i].Name })
-	d.Services = keep(d.Services, kind == "service", name, func(i int) string { return d.Services[i].Name })
-	d.Rules = keep(d.Rules, kind == "rule", name, func(i int) string { return d.Rules[i].Name })
+	d.Adapters = filterItems(d.Adapters, kind == "adapter", name, func(i int) string { return d.Adapters[i].Name })
+	d.Callers = filterItems(d.Callers, kind == "caller", name, func(i int) string { return d.Callers[i].Name })
+	d.Services = filterItems(d.Services, kind == "service", name, func(i int) string { return d.Services[i].Name })
+	d.Rules = filterItems(d.Rules, kind == "rule", name, func(i int) string { return d.Rules[i].Name })
 	if name != "" && len(d.Adapters)+len(d.Callers)+len(d.Services)+len(d.Rules) == 0 {
 		return errors.Errorf("no %s %q in revision %d", kind, name, result.Revision)
 	}
 	return nil
 }
 
-func keep[T any](items []T, kind bool, name string, nameOf func(int) string) []T {
-	var kept []T
+func filterItems[T any](items []T, kindSelected bool, name string, nameOf func(int) string) []T {
+	var filtered []T
 	for i := range items {
-		if kind && (name == "" || nameOf(i) == name) {
-			kept = append(kept, items[i])
+		if kindSelected && (name == "" || nameOf(i) == name) {
+			filtered = append(filtered, items[i])
 		}
 	}
-	return kept
+	return filtered
 }
 
 func printInventory(w *tabwriter.Writer, result adminapi.InventoryResult) {
-	row(w, "REVISION", result.Revision)
+	printRow(w, "REVISION", result.Revision)
 	if len(result.Adapters) > 0 {
-		row(w, "ADAPTER", "BASE", "CURRENT", "VERSIONS", "CALLERS")
+		printRow(w, "ADAPTER", "BASE", "CURRENT", "VERSIONS", "CALLERS")
 	}
 	for _, a := range result.Adapters {
-		row(w, a.Name, a.Base, a.Current, strings.Join(a.Versions, ","), strings.Join(a.Callers, ","))
+		printRow(w, a.Name, a.Base, a.Current, strings.Join(a.Versions, ","), strings.Join(a.Callers, ","))
 	}
 	if len(result.Callers) > 0 {
-		row(w, "CALLER", "PRIORITY", "WEIGHT")
+		printRow(w, "CALLER", "PRIORITY", "WEIGHT")
 	}
 	for _, c := range result.Callers {
-		row(w, c.Name, c.Priority, max(1, c.Weight))
+		printRow(w, c.Name, c.Priority, max(1, c.Weight))
 	}
 	if len(result.Services) > 0 {
-		row(w, "SERVICE", "CALLERS")
+		printRow(w, "SERVICE", "CALLERS")
 	}
 	for _, s := range result.Services {
-		row(w, s.Name, strings.Join(s.Callers, ","))
+		printRow(w, s.Name, strings.Join(s.Callers, ","))
 	}
 	if len(result.Rules) > 0 {
-		row(w, "RULE", "CALLER", "ADAPTER", "SERVICE", "PATH", "NON-IDEMPOTENT", "PRIORITY")
+		printRow(w, "RULE", "CALLER", "ADAPTER", "SERVICE", "PATH", "NON-IDEMPOTENT", "PRIORITY")
 	}
 	for _, r := range result.Rules {
 		priority := "-"
 		if r.Priority != nil {
 			priority = strconv.Itoa(*r.Priority)
 		}
-		row(w, r.Name, orDash(r.Caller), orDash(r.Adapter), orDash(r.Service), orDash(r.PathPrefix), r.NonIdempotent, priority)
+		printRow(w, r.Name, dashIfEmpty(r.Caller), dashIfEmpty(r.Adapter), dashIfEmpty(r.Service), dashIfEmpty(r.PathPrefix), r.NonIdempotent, priority)
 	}
 }
 
-func orDash(text string) string {
+func dashIfEmpty(text string) string {
 	if text == "" {
 		return "-"
 	}
--- a/cmd/cherryctl/main.go
+++ b/cmd/cherryctl/main.go
@@ -1,5 +1,5 @@
-// Command cherryctl is the operators' tool: it changes the inventory and the
-// rules, and reads the outcomes.
+// Command cherryctl is the command-line tool for operators. It changes the inventory and its
+// rules and shows the state of a deployment.
 package main
 
 import (
@@ -13,44 +13,45 @@
 	"github.com/pkg/errors"
 )
 
-// Exit codes that scripts can rely on.
+// Exit codes, which scripts may rely on.
 const (
 	exitOK      = 0
 	exitFailure = 1
 	exitUsage   = 2
-	// exitStale: the change was made from an old revision; nothing was changed.
+	// exitStale means that the change was based on an old revision and was not applied.
 	exitStale = 3
-	// exitUnknown: the change may or may not have been accepted.
+	// exitUnknown means that the change may or may not have been accepted.
 	exitUnknown = 4
-	// exitUnavailable: nothing was changed, since the platform is away.
+	// exitUnavailable means that the change was not applied because the platform is unavailable.
 	exitUnavailable = 5
-	// exitTimeout: what was waited for did not come in time.
+	// exitTimeout means that the awaited state was not reached in time.
 	exitTimeout = 6
 )
 
-// globals are the flags of every subcommand.
-type globals struct {
+// globalFlags are the flags common to all subcommands.
+type globalFlags struct {
 	Address string `long:"address" env:"CHERRYCTL_ADDRESS" default:"http://127.0.0.1:8081" description:"URL of an entry host's administration API"`
 	Key     string `long:"key" env:"CHERRYCTL_KEY" description:"the operator's key"`
 	Output  string `short:"o" long:"output" default:"table" choice:"table" choice:"json" description:"form of the output"`
 }
 
-var global globals
+var global globalFlags
 
-func client() *adminclient.Client { return adminclient.New(global.Address, global.Key, nil) }
+func newClient() *adminclient.Client { return adminclient.New(global.Address, global.Key, nil) }
 
 func main() {
 	parser := flags.NewNamedParser("cherryctl", flags.HelpFlag|flags.PassDoubleDash)
 	parser.LongDescription = "Changes the inventory and the rules of a Cherrystage deployment, and reads the outcomes.\n\n" +
 		"Exit codes: 0 done; 1 failed; 2 wrong usage; 3 made from an old revision, nothing changed; " +
 		"4 outcome unknown; 5 platform away, nothing changed; 6 not in time."
-	mustAdd(parser)
+	addCommands(parser)
 	_, err := parser.Parse()
-	os.Exit(report(err))
+	os.Exit(reportError(err))
 }
 
-// mustAdd adds the flags and subcommands; a mistake here is one of the build.
-func mustAdd(parser *flags.Parser) {
+// addCommands adds the flags and subcommands. It panics on errors, which can only be mistakes in
+// this code.
+func addCommands(parser *flags.Parser) {
 	_, err := parser.AddGroup("Every command", "", &global)
 	for _, command := range []struct {
 		name, short string
@@ -80,38 +81,38 @@
 	}
 }
 
-// report says what went wrong and gives the exit code.
-func report(err error) int {
+// reportError prints an error, or the help text, and returns the exit code.
+func reportError(err error) int {
 	if err == nil {
 		return exitOK
 	}
-	var usage *flags.Error
-	if errors.As(err, &usage) {
-		if usage.Type == flags.ErrHelp {
-			fmt.Println(usage.Message)
+	var usageError *flags.Error
+	if errors.As(err, &usageError) {
+		if usageError.Type == flags.ErrHelp {
+			fmt.Println(usageError.Message)
 			return exitOK
 		}
-		fmt.Fprintln(os.Stderr, "cherryctl:", usage.Message)
+		fmt.Fprintln(os.Stderr, "cherryctl:", usageError.Message)
 		return exitUsage
 	}
 	fmt.Fprintln(os.Stderr, "cherryctl:", err)
-	return codeOf(err)
+	return exitCode(err)
 }
 
-func codeOf(err error) int {
+func exitCode(err error) int {
 	if errors.Is(err, errTimeout) {
 		return exitTimeout
 	}
-	var failed *adminclient.APIError
-	if !errors.As(err, &failed) {
+	var apiError *adminclient.APIError
+	if !errors.As(err, &apiError) {
 		return exitFailure
 	}
 	switch {
-	case failed.Code == adminapi.CodeStale:
+	case apiError.Code == adminapi.CodeStale:
 		return exitStale
-	case failed.Code == adminapi.CodeUnavailable && failed.Verdict() == verdict.NotRun:
+	case apiError.Code == adminapi.CodeUnavailable && apiError.Verdict() == verdict.NotRun:
 		return exitUnavailable
-	case failed.Verdict() == verdict.MayHaveRun:
+	case apiError.Verdict() == verdict.MayHaveRun:
 		return exitUnknown
 	default:
 		return exitFailure
--- a/cmd/cherryctl/output.go
+++ b/cmd/cherryctl/output.go
@@ -12,19 +12,19 @@
 
 const tablePadding = 2
 
-// show prints a value as JSON, or by the table function.
-func show(value any, table func(w *tabwriter.Writer)) error {
+// printResult prints a value as JSON or, by the given function, as a table.
+func printResult(value any, printTable func(w *tabwriter.Writer)) error {
 	if global.Output == "json" {
 		encoder := json.NewEncoder(os.Stdout)
 		encoder.SetIndent("", "  ")
 		return encoder.Encode(value)
 	}
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, tablePadding, ' ', 0)
-	table(w)
+	printTable(w)
 	return w.Flush()
 }
 
-func row(w *tabwriter.Writer, cells ...any) {
+func printRow(w *tabwriter.Writer, cells ...any) {
 	texts := make([]string, len(cells))
 	for i, cell := range cells {
 		texts[i] = fmt.Sprint(cell)
@@ -32,13 +32,13 @@
 	_, _ = fmt.Fprintln(w, strings.Join(texts, "\t"))
 }
 
-// printOps prints the steps of a change as a diff.
+// printOps prints the operations of a change.
 func printOps(w *tabwriter.Writer, ops []inventory.Op) {
 	for _, op := range ops {
-		sign := "put"
+		action := "put"
 		if op.Deletes() {
-			sign = "delete"
+			action = "delete"
 		}
-		row(w, sign, op.Item())
+		printRow(w, action, op.Item())
 	}
 }
--- a/cmd/cherryctl/put.go
+++ b/cmd/cherryctl/put.go
@@ -20,7 +20,7 @@
 	if err != nil {
 		return err
 	}
-	return c.submit(adminapi.ChangeRequest{Ops: []inventory.Op{op}})
+	return c.submitChange(adminapi.ChangeRequest{Ops: []inventory.Op{op}})
 }
 
 func putOp(kind, file string) (inventory.Op, error) {
@@ -69,5 +69,5 @@
 	default:
 		return unknownKind(c.Args.Kind)
 	}
-	return c.submit(adminapi.ChangeRequest{Ops: []inventory.Op{op}})
+	return c.submitChange(adminapi.ChangeRequest{Ops: []inventory.Op{op}})
 }
--- a/cmd/cherryctl/quotas.go
+++ b/cmd/cherryctl/quotas.go
@@ -9,7 +9,7 @@
 	"github.com/cherrystage/cherrystage/internal/hostmetrics"
 )
 
-// metricsTimeout bounds the reading of all hosts' metrics.
+// metricsTimeout limits the time to read the metrics of all hosts.
 const metricsTimeout = 5 * time.Second
 
 type quotasCommand struct {
@@ -18,7 +18,7 @@
 	} `positional-args:"yes"`
 }
 
-// Execute sums up over hosts what workspaces used of their quotas.
+// Execute shows the quota usage of workspaces, summed over hosts.
 func (c *quotasCommand) Execute([]string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), metricsTimeout)
 	defer cancel()
@@ -26,14 +26,14 @@
 	if err != nil {
 		return err
 	}
-	return show(rows, func(w *tabwriter.Writer) {
-		row(w, "WORKSPACE", "RATE", "BURST", "UNIT", "CHARGED", "REFUSED", "UNKNOWN", "UNITS", "RETURNED", "HOSTS")
+	return printResult(rows, func(w *tabwriter.Writer) {
+		printRow(w, "WORKSPACE", "RATE", "BURST", "UNIT", "CHARGED", "REFUSED", "UNKNOWN", "UNITS", "RETURNED", "HOSTS")
 		for _, r := range rows {
 			unit := "requests"
 			if r.InTokens {
 				unit = "tokens"
 			}
-			row(w, r.Name, fmt.Sprintf("%.0f/s", r.Rate), fmt.Sprintf("%.0f", r.Burst), unit, r.Charged, r.Refused, r.Unknown,
+			printRow(w, r.Name, fmt.Sprintf("%.0f/s", r.Rate), fmt.Sprintf("%.0f", r.Burst), unit, r.Charged, r.Refused, r.Unknown,
 				fmt.Sprintf("%.0f", r.Units), fmt.Sprintf("%.0f", r.Returned), r.Hosts)
 		}
 	})
--- a/cmd/cherryctl/trace.go
+++ b/cmd/cherryctl/trace.go
@@ -16,15 +16,15 @@
 	} `positional-args:"yes"`
 }
 
-// traced is the output of the command.
-type traced struct {
+// traceResult is the output of the command.
+type traceResult struct {
 	Lines []losses.TraceLine  `json:"lines"`
 	Hosts []losses.HostToRead `json:"hosts"`
 }
 
-// Execute shows what hosts logged of one request, and which hosts' logs say more.
+// Execute shows what hosts logged about a request, and which other logs to read.
 func (c *traceCommand) Execute([]string) error {
-	logs, err := openAll(c.Args.Files)
+	logs, err := openLogs(c.Args.Files)
 	if err != nil {
 		return err
 	}
@@ -35,23 +35,23 @@
 	if len(lines) == 0 {
 		return errors.Errorf("no line tells of request %q", c.Args.ID)
 	}
-	found := traced{Lines: lines, Hosts: losses.HostsToRead(lines)}
-	return show(found, func(w *tabwriter.Writer) {
-		row(w, "TIME", "HOST", "LINE", "WORKSPACE", "RUNNER", "WHY")
-		for _, l := range found.Lines {
-			row(w, l.At.Format("15:04:05.000"), l.Host, l.Message, orDash(l.Workspace), orDash(l.Runner), orDash(l.Explanation()))
+	result := traceResult{Lines: lines, Hosts: losses.HostsToRead(lines)}
+	return printResult(result, func(w *tabwriter.Writer) {
+		printRow(w, "TIME", "HOST", "LINE", "WORKSPACE", "RUNNER", "WHY")
+		for _, l := range result.Lines {
+			printRow(w, l.At.Format("15:04:05.000"), l.Host, l.Message, dashIfEmpty(l.Workspace), dashIfEmpty(l.Runner), dashIfEmpty(l.Explanation()))
 		}
-		row(w, "")
-		row(w, "READ", "SINCE")
-		for _, h := range found.Hosts {
-			row(w, h.Host, h.Why)
+		printRow(w, "")
+		printRow(w, "READ", "SINCE")
+		for _, h := range result.Hosts {
+			printRow(w, h.Host, h.Why)
 		}
 	})
 }
 
-// openAll reads files one after the other, or standard input without any. They are
-// closed with the process.
-func openAll(names []string) (io.Reader, error) {
+// openLogs returns the concatenated content of files, or standard input if there are none. The
+// files are closed when the process exits.
+func openLogs(names []string) (io.Reader, error) {
 	if len(names) == 0 {
 		return os.Stdin, nil
 	}
--- a/cmd/cherryctl/wait.go
+++ b/cmd/cherryctl/wait.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-const waitPoll = 100 * time.Millisecond
+const waitPollInterval = 100 * time.Millisecond
 
 var errTimeout = errors.New("not in time")
 
@@ -26,26 +26,27 @@
 func (c *waitCommand) Execute([]string) error {
 	deadline := time.Now().Add(c.Timeout)
 	for {
-		status, err := client().Status(context.Background())
+		status, err := newClient().Status(context.Background())
 		if err != nil {
 			return err
 		}
-		behind := behindOf(status, c.Args.Revision)
+		behind := hostsBehind(status, c.Args.Revision)
 		if len(behind) == 0 {
-			return show(status.Hosts, func(w *tabwriter.Writer) {
-				row(w, fmt.Sprintf("revision %d is in force on %d hosts", c.Args.Revision, len(status.Hosts)))
+			return printResult(status.Hosts, func(w *tabwriter.Writer) {
+				printRow(w, fmt.Sprintf("revision %d is in force on %d hosts", c.Args.Revision, len(status.Hosts)))
 			})
 		}
 		if time.Now().After(deadline) {
 			return errors.Wrapf(errTimeout, "revision %d is not known to be in force on %v", c.Args.Revision, behind)
 		}
-		time.Sleep(waitPoll)
+		time.Sleep(waitPollInterval)
 	}
 }
 
-// behindOf gives the live hosts that are not known to have a revision in
-// force: those behind, and those that are listed but not heard.
-func behindOf(status adminapi.Status, revision uint64) []string {
+// hostsBehind returns the live hosts on which a revision is not known to be in force: those with
+// an older revision and those that are listed but not heard. Hosts that are leaving and not
+// heard do not count.
+func hostsBehind(status adminapi.Status, revision uint64) []string {
 	var behind []string
 	for _, host := range status.Hosts {
 		if host.State == fleet.StateLeaving && !host.Speaking {
