--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -9,135 +9,136 @@
 )
 
 const (
-	// demandLimit bounds the models with an estimate on one host.
-	demandLimit = 8192
-	// pendingLimit bounds the models counted for one peer between two heartbeats.
-	pendingLimit = 512
-	// toldLife is how long a home's word on a rate is believed.
-	toldLife = 30 * time.Second
-	// rateInterval is the time between two words on rates to one owner.
-	rateInterval = 5 * time.Second
+	// maxEstimates limits the number of models with an estimate on one host.
+	maxEstimates = 8192
+	// maxPendingModels limits the number of models counted for one peer between two heartbeats.
+	maxPendingModels = 512
+	// reportedRateTTL is how long a rate that a home reported remains valid.
+	reportedRateTTL = 30 * time.Second
+	// rateReportInterval is the interval of rate reports to each owner.
+	rateReportInterval = 5 * time.Second
 )
 
-// demandKeeper counts this host's requests, hands the counts to the homes of
-// their models, keeps the estimates of the models that this host is home of,
-// and tells owners the rates of what is resident on their runners.
-type demandKeeper struct {
+// demandTracker estimates the demand for models. It counts this host's requests and sends the
+// counts to the models' homes, the hosts that keep their estimates. For the models that this
+// host is home of, it keeps the estimates and reports rates to the owners of the runners on
+// which they are resident.
+type demandTracker struct {
 	node      *Node
 	estimator *demand.Estimator
 
-	mu      sync.Mutex
-	pending map[string]map[string]float64
-	told    map[string]toldRate
-	toldAt  map[string]time.Time
+	mu            sync.Mutex
+	pending       map[string]map[string]float64
+	reportedRates map[string]reportedRate
+	ratesSentAt   map[string]time.Time
 }
 
-// toldRate is a rate that a model's home told.
-type toldRate struct {
+// reportedRate is a rate reported by a model's home.
+type reportedRate struct {
 	perSecond float64
 	at        time.Time
 }
 
-func newDemandKeeper(n *Node) *demandKeeper {
-	return &demandKeeper{
-		node: n, estimator: demand.NewEstimator(demandLimit), pending: map[string]map[string]float64{},
-		told: map[string]toldRate{}, toldAt: map[string]time.Time{},
+func newDemandTracker(n *Node) *demandTracker {
+	return &demandTracker{
+		node: n, estimator: demand.NewEstimator(maxEstimates), pending: map[string]map[string]float64{},
+		reportedRates: map[string]reportedRate{}, ratesSentAt: map[string]time.Time{},
 	}
 }
 
-// Count counts one request. At the model's home it goes into the estimate;
-// elsewhere it waits for the next heartbeat to the home.
-func (k *demandKeeper) Count(model string, now time.Time) {
-	home := dispatch.Home(model, k.node.candidates(now))
-	if home == "" || home == k.node.cfg.Host {
-		k.estimator.Add(model, 1, now)
+// Count counts one request. If this host is the model's home the count goes into the estimate,
+// otherwise into the next heartbeat to the home.
+func (d *demandTracker) Count(model string, now time.Time) {
+	home := dispatch.Home(model, d.node.candidates(now))
+	if home == "" || home == d.node.cfg.Host {
+		d.estimator.Add(model, 1, now)
 		return
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	counts := k.pending[home]
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	counts := d.pending[home]
 	if counts == nil {
 		counts = map[string]float64{}
-		k.pending[home] = counts
+		d.pending[home] = counts
 	}
-	if _, known := counts[model]; known || len(counts) < pendingLimit {
+	if _, known := counts[model]; known || len(counts) < maxPendingModels {
 		counts[model]++
 	}
 }
 
-// take gives the counts for a peer since the last call.
-func (k *demandKeeper) take(host string) []demand.Count {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// takeCounts returns the counts for a peer since the last call.
+func (d *demandTracker) takeCounts(host string) []demand.Count {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	var counts []demand.Count
-	for model, n := range k.pending[host] {
+	for model, n := range d.pending[host] {
 		counts = append(counts, demand.Count{Model: model, N: n})
 	}
-	delete(k.pending, host)
+	delete(d.pending, host)
 	return counts
 }
 
-// counted takes a peer's counts.
-func (k *demandKeeper) counted(counts []demand.Count) {
+// addCounts adds the counts of a peer to the estimates.
+func (d *demandTracker) addCounts(counts []demand.Count) {
 	now := time.Now()
 	for _, count := range counts {
-		k.estimator.Add(count.Model, count.N, now)
+		d.estimator.Add(count.Model, count.N, now)
 	}
 }
 
-// PerSecond gives the likely requests a second for a model over all hosts: by
-// this host's estimate where it is the model's home, else by the home's word.
-func (k *demandKeeper) PerSecond(model string, now time.Time) float64 {
-	own := k.estimator.PerSecond(model, now)
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	told, ok := k.told[model]
-	if !ok || now.Sub(told.at) > toldLife {
+// PerSecond returns the expected requests per second for a model over all hosts: the larger one
+// of this host's estimate and a valid rate reported by the model's home.
+func (d *demandTracker) PerSecond(model string, now time.Time) float64 {
+	own := d.estimator.PerSecond(model, now)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	reported, ok := d.reportedRates[model]
+	if !ok || now.Sub(reported.at) > reportedRateTTL {
 		return own
 	}
-	return max(own, told.perSecond)
+	return max(own, reported.perSecond)
 }
 
-// ratesFor gives, now and then, the rates of the models that this host is home
-// of and that are resident on a peer's runners: the peer decides by them what
-// to evict.
-func (k *demandKeeper) ratesFor(host string) []demand.Count {
+// ratesFor returns the rates of the models that this host is home of and that are resident on a
+// peer's runners, and nil until the next report is due. The peer uses them to select models to
+// evict.
+func (d *demandTracker) ratesFor(host string) []demand.Count {
 	now := time.Now()
-	k.mu.Lock()
-	due := now.Sub(k.toldAt[host]) >= rateInterval
+	d.mu.Lock()
+	due := now.Sub(d.ratesSentAt[host]) >= rateReportInterval
 	if due {
-		k.toldAt[host] = now
+		d.ratesSentAt[host] = now
 	}
-	k.mu.Unlock()
+	d.mu.Unlock()
 	if !due {
 		return nil
 	}
-	candidates := k.node.candidates(now)
+	candidates := d.node.candidates(now)
 	var rates []demand.Count
-	for _, view := range k.node.table.Views() {
+	for _, view := range d.node.table.Views() {
 		if view.Owner != host {
 			continue
 		}
 		for _, slot := range view.Models {
-			if dispatch.Home(slot.Model, candidates) == k.node.cfg.Host {
-				rates = append(rates, demand.Count{Model: slot.Model, N: k.estimator.PerSecond(slot.Model, now)})
+			if dispatch.Home(slot.Model, candidates) == d.node.cfg.Host {
+				rates = append(rates, demand.Count{Model: slot.Model, N: d.estimator.PerSecond(slot.Model, now)})
 			}
 		}
 	}
 	return rates
 }
 
-// tell takes a home's word on rates.
-func (k *demandKeeper) tell(rates []demand.Count) {
+// setReportedRates stores the rates that a home reported.
+func (d *demandTracker) setReportedRates(rates []demand.Count) {
 	now := time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for model, told := range k.told {
-		if now.Sub(told.at) > toldLife {
-			delete(k.told, model)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for model, reported := range d.reportedRates {
+		if now.Sub(reported.at) > reportedRateTTL {
+			delete(d.reportedRates, model)
 		}
 	}
 	for _, rate := range rates {
-		k.told[rate.Model] = toldRate{perSecond: rate.N, at: now}
+		d.reportedRates[rate.Model] = reportedRate{perSecond: rate.N, at: now}
 	}
 }
--- a/internal/node/foresight.go
+++ b/internal/node/foresight.go
@@ -15,66 +15,66 @@
 )
 
 const (
-	foresightInterval = time.Second
-	// foresightLimit bounds the models looked at in one round.
-	foresightLimit = 128
-	// prefetchesAhead bounds the foreseen loads that a home asks for in a round.
-	prefetchesAhead = 4
-	// foresightLeast is the least rate, in requests a second, for which a model
-	// is loaded before anyone asks: one request in two minutes.
-	foresightLeast = 1.0 / 120
-	// habitLead is how long before an hour its habitual models are loaded.
-	habitLead = 3 * time.Minute
-	// habitRate is the rate that a habit alone counts for.
-	habitRate = 1.0 / 60
-	// versionShare is the part of an adapter's demand that a version that is
-	// not current yet is loaded for.
-	versionShare = 0.9
-
-	demandPrefix   = "demand/"
-	demandInterval = 30 * time.Second
-	demandSaved    = 2048
+	prefetchInterval = time.Second
+	// maxForecasts limits the number of models examined in one round.
+	maxForecasts = 128
+	// maxPrefetchesPerRound limits the prefetches that a home requests in one round.
+	maxPrefetchesPerRound = 4
+	// minPrefetchRate is the minimum rate, in requests per second, at which a model is
+	// prefetched: one request in two minutes.
+	minPrefetchRate = 1.0 / 120
+	// hourlyPatternLead is how long before an hour the models that are usually requested in it
+	// are prefetched.
+	hourlyPatternLead = 3 * time.Minute
+	// hourlyPatternRate is the minimum rate assumed for such a model, in requests per second.
+	hourlyPatternRate = 1.0 / 60
+	// newVersionShare is the share of an adapter's demand that is assumed for a version that is
+	// not current yet.
+	newVersionShare = 0.9
+
+	demandPrefix       = "demand/"
+	demandSaveInterval = 30 * time.Second
+	maxSavedEstimates  = 2048
 )
 
-// foresee asks for the loads that will likely be needed, of the models that
-// this host is home of. Models lost with a runner's restart come back by it
-// too, the hottest first.
-func (n *Node) foresee(ctx context.Context) {
+// prefetchExpected requests loads of the models that this host is home of and that will probably
+// be needed. This also restores the models that a runner lost in a restart, in order of demand.
+func (n *Node) prefetchExpected(ctx context.Context) {
 	now := time.Now()
 	if n.isDraining() {
 		return
 	}
-	asked := 0
+	prefetches := 0
 	for _, forecast := range n.forecasts(now) {
-		if asked == prefetchesAhead {
+		if prefetches == maxPrefetchesPerRound {
 			return
 		}
 		if n.prefetch(ctx, forecast, now) {
-			asked++
+			prefetches++
 		}
 	}
 }
 
-// forecasts gives the models to look at, the most likely first.
+// forecasts returns the models to examine, in descending order of expected demand.
 func (n *Node) forecasts(now time.Time) []demand.Forecast {
-	wanted := map[string]float64{}
-	add := func(model string, perSecond float64) { wanted[model] = max(wanted[model], perSecond) }
+	rates := map[string]float64{}
+	add := func(model string, perSecond float64) { rates[model] = max(rates[model], perSecond) }
 	snapshot := n.follower.Snapshot()
-	hottest := n.demand.estimator.Hottest(now, foresightLimit)
-	n.fresh.note(snapshot, hottest, now)
+	hottest := n.demand.estimator.Hottest(now, maxForecasts)
+	n.recentVersions.observe(snapshot, hottest, now)
 	for _, forecast := range hottest {
-		if forecast.PerSecond < foresightLeast {
+		if forecast.PerSecond < minPrefetchRate {
 			break
 		}
 		n.addVersions(snapshot, forecast, add)
 	}
-	if until := now.Truncate(time.Hour).Add(time.Hour).Sub(now); until < habitLead {
-		for _, forecast := range n.demand.estimator.UsualAtHour(now.Add(habitLead), foresightLimit) {
-			add(forecast.Model, max(forecast.PerSecond, habitRate))
+	if until := now.Truncate(time.Hour).Add(time.Hour).Sub(now); until < hourlyPatternLead {
+		for _, forecast := range n.demand.estimator.UsualAtHour(now.Add(hourlyPatternLead), maxForecasts) {
+			add(forecast.Model, max(forecast.PerSecond, hourlyPatternRate))
 		}
 	}
-	forecasts := make([]demand.Forecast, 0, len(wanted))
-	for model, perSecond := range wanted {
+	forecasts := make([]demand.Forecast, 0, len(rates))
+	for model, perSecond := range rates {
 		forecasts = append(forecasts, demand.Forecast{Model: model, PerSecond: perSecond})
 	}
 	slices.SortFunc(forecasts, func(a, b demand.Forecast) int {
@@ -83,9 +83,8 @@
 	return forecasts
 }
 
-// addVersions turns the demand for a model into that for the versions that
-// will be asked for: the current one, and one that was listed lately, which
-// operators are likely to make current.
+// addVersions converts the demand for a model to demand for the versions that will be requested:
+// the current one and a recently added one, which operators will probably make current.
 func (n *Node) addVersions(snapshot *inventory.Snapshot, forecast demand.Forecast, add func(model string, perSecond float64)) {
 	name, version := inventory.SplitModel(forecast.Model)
 	adapter, ok := snapshot.Adapter(name)
@@ -93,59 +92,59 @@
 		return
 	}
 	if version != adapter.Current {
-		// Demand for what was current until lately goes to what is now.
+		// Demand for a version that was current moves to the current one.
 		add(inventory.ModelName(name, adapter.Current), forecast.PerSecond)
 		return
 	}
 	add(forecast.Model, forecast.PerSecond)
-	if coming, ok := n.fresh.versions[name]; ok && coming.version != adapter.Current {
-		add(inventory.ModelName(name, coming.version), forecast.PerSecond*versionShare)
+	if recent, ok := n.recentVersions.versions[name]; ok && recent.version != adapter.Current {
+		add(inventory.ModelName(name, recent.version), forecast.PerSecond*newVersionShare)
 	}
 }
 
-// freshVersions remembers, of the adapters in demand, the versions that were
-// listed lately. It belongs to the loop that foresees.
-type freshVersions struct {
-	seen     *inventory.Snapshot
-	versions map[string]freshVersion
+// versionHistory records the recently added versions of adapters in demand. Only the prefetch
+// loop accesses it.
+type versionHistory struct {
+	lastSnapshot *inventory.Snapshot
+	versions     map[string]recentVersion
 }
 
-type freshVersion struct {
+type recentVersion struct {
 	version string
 	at      time.Time
 }
 
-// freshLife is how long a new version is expected to become current.
-const freshLife = time.Hour
+// recentVersionTTL is how long a new version is expected to become current.
+const recentVersionTTL = time.Hour
 
-// note compares a new snapshot with the one before.
-func (f *freshVersions) note(snapshot *inventory.Snapshot, hottest []demand.Forecast, now time.Time) {
-	if f.seen == nil || f.versions == nil {
-		f.seen = snapshot
-		f.versions = map[string]freshVersion{}
+// observe compares a snapshot with the previous one.
+func (h *versionHistory) observe(snapshot *inventory.Snapshot, hottest []demand.Forecast, now time.Time) {
+	if h.lastSnapshot == nil || h.versions == nil {
+		h.lastSnapshot = snapshot
+		h.versions = map[string]recentVersion{}
 	}
-	for name, fresh := range f.versions {
-		if now.Sub(fresh.at) > freshLife {
-			delete(f.versions, name)
+	for name, recent := range h.versions {
+		if now.Sub(recent.at) > recentVersionTTL {
+			delete(h.versions, name)
 		}
 	}
-	if f.seen.Revision() == snapshot.Revision() {
+	if h.lastSnapshot.Revision() == snapshot.Revision() {
 		return
 	}
 	for _, forecast := range hottest {
 		name, _ := inventory.SplitModel(forecast.Model)
-		before, known := f.seen.Adapter(name)
+		before, known := h.lastSnapshot.Adapter(name)
 		after, _ := snapshot.Adapter(name)
 		for _, version := range after.Versions {
 			if known && !slices.Contains(before.Versions, version) {
-				f.versions[name] = freshVersion{version: version, at: now}
+				h.versions[name] = recentVersion{version: version, at: now}
 			}
 		}
 	}
-	f.seen = snapshot
+	h.lastSnapshot = snapshot
 }
 
-// prefetch asks for a load of a model that is nowhere; it reports whether it did.
+// prefetch requests a load of a model that is not on any runner. It reports whether it did.
 func (n *Node) prefetch(ctx context.Context, forecast demand.Forecast, now time.Time) bool {
 	if dispatch.Home(forecast.Model, n.candidates(now)) != n.cfg.Host || len(n.table.RunnersWith(forecast.Model)) > 0 {
 		return false
@@ -169,19 +168,19 @@
 	return n.draining
 }
 
-// saveDemand stores this host's estimates, so that whoever becomes home of its
-// models after it need not begin from nothing.
+// saveDemand stores this host's estimates for the hosts that become home of its models after it.
 func (n *Node) saveDemand(ctx context.Context) {
-	text, err := json.Marshal(n.demand.estimator.Save(time.Now(), demandSaved))
-	if err != nil || len(text) > objectapi.MaxValueBytes {
-		n.log.Warn("demand not saved", "bytes", len(text), "error", err)
+	encoded, err := json.Marshal(n.demand.estimator.Save(time.Now(), maxSavedEstimates))
+	if err != nil || len(encoded) > objectapi.MaxValueBytes {
+		n.log.Warn("cannot save demand estimates", "bytes", len(encoded), "error", err)
 		return
 	}
 	key := demandPrefix + n.cfg.Host
 	version := n.demandVersion
-	version, err = n.objects.Put(ctx, key, text, version)
+	version, err = n.objects.Put(ctx, key, encoded, version)
 	if errors.Is(err, objectapi.ErrConflict) {
-		// An earlier process of this host wrote it: take what it knew over first.
+		// An earlier process of this host wrote the object. Read its estimates before
+		// overwriting them.
 		version = n.restoreDemand(ctx, n.cfg.Host)
 	}
 	if version > 0 {
@@ -189,7 +188,7 @@
 	}
 }
 
-// restoreDemand takes the stored estimates of a host over.
+// restoreDemand adds the stored estimates of a host, for models that this host is home of.
 func (n *Node) restoreDemand(ctx context.Context, host string) objectapi.Version {
 	object, err := n.objects.Get(ctx, demandPrefix+host)
 	if err != nil {
@@ -197,7 +196,7 @@
 	}
 	var saved []demand.SavedEstimate
 	if err := json.Unmarshal(object.Value, &saved); err != nil {
-		n.log.Warn("stored demand not readable", "host", host, "error", err)
+		n.log.Warn("cannot decode stored demand estimates", "host", host, "error", err)
 		return object.Version
 	}
 	now := time.Now()
@@ -209,33 +208,33 @@
 	return object.Version
 }
 
-// inheritDemand takes the estimates of members over that are not candidates
-// any more, as far as this host is now home of their models.
-func (n *Node) inheritDemand(ctx context.Context) {
+// takeOverDemand restores the estimates of members that are no longer candidates, for models
+// that this host is home of now.
+func (n *Node) takeOverDemand(ctx context.Context) {
 	current := n.candidates(time.Now())
-	var left []string
+	var departed []string
 	for _, host := range n.lastCandidates {
 		if !slices.Contains(current, host) {
-			left = append(left, host)
+			departed = append(departed, host)
 		}
 	}
 	changed := !slices.Equal(current, n.lastCandidates)
 	n.lastCandidates = current
-	for _, host := range left {
+	for _, host := range departed {
 		n.restoreDemand(ctx, host)
 	}
-	if changed && len(left) == 0 {
-		// A member came: the models it is home of now are known to others.
-		n.handDemand(ctx)
+	if changed && len(departed) == 0 {
+		// A member has joined. Other hosts have the estimates of the models that it is home of.
+		n.sendDemand(ctx)
 	}
 }
 
-// handDemand sends the estimates of models whose home has changed to it.
-func (n *Node) handDemand(ctx context.Context) {
+// sendDemand sends estimates of models with a different home to that home.
+func (n *Node) sendDemand(ctx context.Context) {
 	now := time.Now()
 	candidates := n.candidates(now)
 	byHome := map[string][]demand.SavedEstimate{}
-	for _, item := range n.demand.estimator.Save(now, demandSaved) {
+	for _, item := range n.demand.estimator.Save(now, maxSavedEstimates) {
 		if home := dispatch.Home(item.Model, candidates); home != "" && home != n.cfg.Host {
 			byHome[home] = append(byHome[home], item)
 		}
@@ -246,7 +245,7 @@
 			continue
 		}
 		if err := n.call(ctx, member.Address, methodDemand, demandParams{Items: items}, nil); err != nil {
-			n.log.Debug("demand not handed over", "peer", home, "error", err)
+			n.log.Debug("cannot send demand estimates", "peer", home, "error", err)
 		}
 	}
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -7,9 +7,9 @@
 	"github.com/cherrystage/cherrystage/internal/dispatch"
 )
 
-// figures are this host's metrics. docs/operators/metrics.md lists them with
-// their units.
-type figures struct {
+// hostMetrics are the metrics of this host. docs/operators/metrics.md lists them with their
+// units.
+type hostMetrics struct {
 	dispatch.Figures
 	Revision        uint64  `json:"revision"`
 	Adapters        int     `json:"adapters"`
@@ -31,16 +31,16 @@
 	EvictionsLocked int     `json:"runners_blocked_by_unheard_hosts"`
 }
 
-// Vars gives this host's metrics for the expvar page.
-func (n *Node) Vars() expvar.Var { return expvar.Func(func() any { return n.figures() }) }
+// Vars returns the metrics of this host for the expvar page.
+func (n *Node) Vars() expvar.Var { return expvar.Func(func() any { return n.collectMetrics() }) }
 
-func (n *Node) figures() figures {
+func (n *Node) collectMetrics() hostMetrics {
 	now := time.Now()
 	snapshot := n.follower.Snapshot()
-	f := figures{
+	result := hostMetrics{
 		Figures: n.metrics.Figures(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
-		Open: n.streams.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.budget.Denied(),
-		PinsHeld: n.holder.Count(), RunnersOwned: len(n.controller.Owned()),
+		Open: n.openRequests.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.retryBudget.Denied(),
+		PinsHeld: n.pinHolder.Count(), RunnersOwned: len(n.controller.Owned()),
 		LeaseSeconds: max(0, n.controller.Lease().Sub(now).Seconds()), LoadsWanted: n.controller.Wanted(),
 		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.Calls(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
 		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
@@ -48,8 +48,8 @@
 	}
 	for _, view := range n.ownedViews() {
 		if view.Unheard > 0 {
-			f.EvictionsLocked++
+			result.EvictionsLocked++
 		}
 	}
-	return f
+	return result
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -1,4 +1,4 @@
-// Package node puts the parts of the daemon together: one entry host.
+// Package node assembles the components of an entry host.
 package node
 
 import (
@@ -32,89 +32,90 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Dialer opens connections; tests put a network of their own here.
+// Dialer opens connections. Tests replace it to use an in-memory network.
 type Dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
 const (
-	// memberSilence is how many heartbeats may be missed before a member
-	// counts as suspect.
-	memberSilence = 5
-	// usualService is the usual time of a request until one was measured.
-	usualService = 2 * time.Second
-	maxResumes   = 3
-	// orderLives is how many times its timeout an order may go on at an engine:
-	// a load that was not answered in time may share the weight store with others.
-	orderLives = 3
+	// maxMissedHeartbeats is the number of missed heartbeats after which a member is suspected.
+	maxMissedHeartbeats = 5
+	// initialServiceTime is the assumed service time of a request until one has been measured.
+	initialServiceTime = 2 * time.Second
+	maxResumes         = 3
+	// orderLifeFactor times the timeout of an order is the maximum time that the order may take
+	// at an engine. A load that was not answered in time may share the weight store with others.
+	orderLifeFactor = 3
 )
 
-// Node is one entry host.
+// Node is an entry host.
 type Node struct {
 	cfg     *settings.Settings
 	self    peer.Identity
 	log     hclog.Logger
 	started time.Time
 
-	objects    *objectapi.Client
-	hostList   *hostlist.Client
-	weights    *weights.Client
-	engines    *engine.Client
-	pool       *peer.Pool
-	server     *peer.Server
-	hosts      *fleet.Table
-	members    *fleet.Members
-	table      *routing.Table
-	holder     *residency.Holder
-	follower   *configlog.Follower
-	publisher  *configlog.Publisher
-	reader     *configlog.Reader
-	sync       *configsync.Service
-	membership *membership.Service
-	controller *control.Controller
-	allowance  *loading.Allowance
-	loads      *loading.Service
-	demand     *demandKeeper
-	dispatcher *dispatch.Dispatcher
-	claims     *claims.Store
-	gate       *dispatch.Gate
-	metrics    *dispatch.Metrics
-	traces     *dispatch.Traces
-	budget     *dispatch.Budget
-	streams    *streams
-	placer     *dispatch.Placer
-
-	kept     atomic.Pointer[candidateList]
-	caught   atomic.Bool
-	mu       sync.Mutex
-	leaving  bool
-	draining bool
-	owned    map[string]residency.View
-	// runCtx ends with the node; work that a peer's message starts runs under it.
+	objects      *objectapi.Client
+	hostList     *hostlist.Client
+	weights      *weights.Client
+	engines      *engine.Client
+	pool         *peer.Pool
+	server       *peer.Server
+	hosts        *fleet.Table
+	members      *fleet.Members
+	table        *routing.Table
+	pinHolder    *residency.Holder
+	follower     *configlog.Follower
+	publisher    *configlog.Publisher
+	reader       *configlog.Reader
+	sync         *configsync.Service
+	membership   *membership.Service
+	controller   *control.Controller
+	allowance    *loading.Allowance
+	loads        *loading.Service
+	demand       *demandTracker
+	dispatcher   *dispatch.Dispatcher
+	claims       *claims.Store
+	gate         *dispatch.Gate
+	metrics      *dispatch.Metrics
+	traces       *dispatch.Traces
+	retryBudget  *dispatch.Budget
+	openRequests *requestLimiter
+	placer       *dispatch.Placer
+
+	candidateCache atomic.Pointer[candidateList]
+	wasCaughtUp    atomic.Bool
+	mu             sync.Mutex
+	leaving        bool
+	draining       bool
+	viewsByRunner  map[string]residency.View
+	// runCtx is cancelled when the node stops. Work triggered by messages of peers runs under
+	// it.
 	runCtx context.Context
-	// demandVersion and lastCandidates belong to the loops that keep demand.
+	// demandVersion, recentVersions, shareState and lastCandidates are each accessed by one
+	// background loop only.
 	demandVersion  objectapi.Version
-	fresh          freshVersions
-	claimed        shareClaims
+	recentVersions versionHistory
+	shareState     shareClaimState
 	lastCandidates []string
-	// handedOver is closed once a drain has given all runners away.
+	// handedOver is closed when a drain has given up all runners.
 	handedOver chan struct{}
 }
 
-// New makes a node. All connections out are made by dial.
+// New returns a node that opens all outgoing connections through dial.
 func New(cfg *settings.Settings, dial Dialer, log hclog.Logger) *Node {
 	n := &Node{
-		cfg:     cfg,
-		self:    peer.Identity{Host: cfg.Host, Incarnation: newIncarnation()},
-		log:     log,
-		started: time.Now(),
-		owned:   map[string]residency.View{},
-		runCtx:  context.Background(),
+		cfg:           cfg,
+		self:          peer.Identity{Host: cfg.Host, Incarnation: newIncarnation()},
+		log:           log,
+		started:       time.Now(),
+		viewsByRunner: map[string]residency.View{},
+		runCtx:        context.Background(),
 
 		handedOver: make(chan struct{}),
 	}
-	n.makeClients(dial)
-	n.makeState()
-	n.makeServices()
-	n.makeDispatcher()
+	n.initClients(dial)
+	n.initState()
+	n.initServices()
+	n.initDispatcher()
 	return n
 }
 
@@ -124,7 +125,7 @@
 	return hex.EncodeToString(id[:])
 }
 
-func (n *Node) makeClients(dial Dialer) {
+func (n *Node) initClients(dial Dialer) {
 	t := n.cfg.Timing
 	platform := &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second}
 	n.objects = objectapi.NewClient(n.cfg.ObjectAPI, platform)
@@ -139,45 +140,45 @@
 	n.pool = peer.NewPool(n.self, []byte(n.cfg.PeerKey), peer.Dialer(dial), n.log.Named("peer"))
 }
 
-func (n *Node) makeState() {
+func (n *Node) initState() {
 	l := n.cfg.Limits
 	n.hosts = fleet.NewTable()
-	n.members = fleet.NewMembers(memberSilence * n.cfg.Timing.HeartbeatInterval)
+	n.members = fleet.NewMembers(maxMissedHeartbeats * n.cfg.Timing.HeartbeatInterval)
 	n.table = routing.NewTable()
-	n.holder = residency.NewHolder()
+	n.pinHolder = residency.NewHolder()
 	n.follower = configlog.NewFollower()
 	n.publisher = configlog.NewPublisher(n.objects)
 	n.reader = configlog.NewReader(n.objects)
 	n.allowance = loading.NewAllowance(n.cfg.Loads.Rate, n.cfg.Loads.Shares, n.started)
-	n.demand = newDemandKeeper(n)
-	n.gate = dispatch.NewGate(l.MaxStreams, l.MaxQueue, l.MaxWait, usualService)
+	n.demand = newDemandTracker(n)
+	n.gate = dispatch.NewGate(l.MaxStreams, l.MaxQueue, l.MaxWait, initialServiceTime)
 	n.metrics = &dispatch.Metrics{}
 	n.traces = dispatch.NewTraces()
-	n.budget = dispatch.NewBudget(l.RetryBudget)
-	n.streams = newStreams(l.MaxStreams + l.MaxQueue)
+	n.retryBudget = dispatch.NewBudget(l.RetryBudget)
+	n.openRequests = newRequestLimiter(l.MaxStreams + l.MaxQueue)
 }
 
-func (n *Node) makeServices() {
+func (n *Node) initServices() {
 	t := n.cfg.Timing
 	queue := loading.NewQueue(n.cfg.Loads.Parallel, n.allowance, n.cfg.Loads.Time)
 	n.loads = loading.NewService(n.cfg.Host, queue, n.allowance, n.members, n.pool, t.OrderTimeout, n.log.Named("loading"))
 	n.controller = control.New(control.Config{
 		Self: n.self, DataCentre: n.cfg.DataCentre, LeaseLife: t.LeaseLife, ReportInterval: t.ReportInterval,
-		OrderLife: orderLives * t.OrderTimeout, Parallel: n.cfg.Loads.Parallel,
+		OrderLife: orderLifeFactor * t.OrderTimeout, Parallel: n.cfg.Loads.Parallel,
 	}, control.Deps{
 		Engines: n.engines, Objects: n.objects, Loads: n.loads, Demand: n.demand, Peers: n.pool,
-		Hosts: n.hosts, Members: n.members, Holder: n.holder, Publish: n.publish, Log: n.log.Named("control"),
+		Hosts: n.hosts, Members: n.members, Holder: n.pinHolder, Publish: n.publishView, Log: n.log.Named("control"),
 	})
 	n.membership = membership.NewService(membership.Deps{
-		Peers: n.pool, Hosts: n.hosts, Members: n.members, Self: n.member, Views: n.ownedViews, OnViews: n.seen,
-		TakeCounts: n.demand.take, OnCounts: n.demand.counted, TakeRates: n.demand.ratesFor, OnRates: n.demand.tell, OnMember: n.heard, Log: n.log.Named("membership"),
-	}, t.HeartbeatInterval, splitSeeds(n.cfg.SeedPeers))
+		Peers: n.pool, Hosts: n.hosts, Members: n.members, Self: n.member, Views: n.ownedViews, OnViews: n.updatePeerViews,
+		TakeCounts: n.demand.takeCounts, OnCounts: n.demand.addCounts, TakeRates: n.demand.ratesFor, OnRates: n.demand.setReportedRates, OnMember: n.pullNewerConfig, Log: n.log.Named("membership"),
+	}, t.HeartbeatInterval, parseSeedPeers(n.cfg.SeedPeers))
 	n.sync = configsync.New(configsync.Config{
 		Host: n.cfg.Host, DataCentre: n.cfg.DataCentre, WatchWait: t.WatchWait, Poll: t.PollInterval,
-	}, n.follower, n.objects, n.pool, n.hosts, n.announce, n.log.Named("config"))
+	}, n.follower, n.objects, n.pool, n.hosts, n.notifyPeers, n.log.Named("config"))
 }
 
-func splitSeeds(text string) []string {
+func parseSeedPeers(text string) []string {
 	var seeds []string
 	for _, seed := range strings.Split(text, ",") {
 		if seed = strings.TrimSpace(seed); seed != "" {
@@ -187,14 +188,14 @@
 	return seeds
 }
 
-func (n *Node) makeDispatcher() {
+func (n *Node) initDispatcher() {
 	weights := routing.PresetNamed(n.cfg.Loads.Preset)
 	n.claims = claims.NewStore(n.objects, n.cfg.Host)
 	n.placer = dispatch.NewPlacer(n.cfg.Host, n.table, n.members, n.pool, weights, n.cfg.Loads.Time)
 	n.dispatcher = dispatch.New(dispatch.Config{Self: n.self, MaxWait: n.cfg.Limits.MaxWait, Weights: weights}, dispatch.Deps{
 		Engines: n.engines, Services: plain.NewClient(n.engineDial(), n.cfg.Timing.FirstPieceTimeout),
-		Owner: n.controller, Peers: n.pool, Table: n.table, Hosts: n.hosts, Members: n.members, Holder: n.holder,
-		Claims: n.claims, Gate: n.gate, Budget: n.budget, Breakers: dispatch.NewBreakers(),
+		Owner: n.controller, Peers: n.pool, Table: n.table, Hosts: n.hosts, Members: n.members, Holder: n.pinHolder,
+		Claims: n.claims, Gate: n.gate, Budget: n.retryBudget, Breakers: dispatch.NewBreakers(),
 		Placer: n.placer, Demand: n.demand, Traces: n.traces, Metrics: n.metrics, Log: n.log.Named("dispatch"),
 	})
 	mux := peer.NewMux()
@@ -203,7 +204,7 @@
 	n.sync.Register(mux)
 	n.membership.Register(mux)
 	n.placer.Register(mux)
-	n.registerOwn(mux)
+	n.registerPeerMethods(mux)
 	n.server = peer.NewServer(n.self, []byte(n.cfg.PeerKey), mux, n.log.Named("peer"))
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -16,53 +16,53 @@
 
 const (
 	hostListInterval = time.Second
-	idleInterval     = 5 * time.Second
-	// pinIdle is how long an unused pin is kept: long enough for a model in
-	// use, short enough that a host cut off blocks few evictions.
-	pinIdle       = 15 * time.Second
-	limitInterval = 250 * time.Millisecond
-	// limitsInterval is the time between readings of the weight store's limits.
-	limitsInterval = 10 * time.Second
-	headerTimeout  = 10 * time.Second
+	idlePinInterval  = 5 * time.Second
+	// maxPinIdleTime is how long an unused pin is kept: long enough for models in regular use,
+	// short enough that a host that was cut off blocks few evictions.
+	maxPinIdleTime         = 15 * time.Second
+	admissionLimitInterval = 250 * time.Millisecond
+	// loadLimitInterval is the interval at which the weight store's limits are read.
+	loadLimitInterval = 10 * time.Second
+	headerTimeout     = 10 * time.Second
 )
 
-// Listeners are the addresses that a node serves on.
+// Listeners are the listeners of a node.
 type Listeners struct {
 	Callers, Operators, Peers net.Listener
 }
 
-// Background runs everything but the servers until the context ends.
+// Background runs all components except the servers until the context is cancelled.
 func (n *Node) Background(ctx context.Context) {
 	n.mu.Lock()
 	n.runCtx = ctx
 	n.mu.Unlock()
-	n.readHosts(ctx)
-	n.readLimits(ctx)
+	n.refreshHostList(ctx)
+	n.refreshLoadLimit(ctx)
 	var wg sync.WaitGroup
-	wg.Go(func() { timing.Every(ctx, hostListInterval, func() { n.readHosts(ctx) }) })
-	wg.Go(func() { timing.Every(ctx, limitsInterval, func() { n.readLimits(ctx) }) })
+	wg.Go(func() { timing.Every(ctx, hostListInterval, func() { n.refreshHostList(ctx) }) })
+	wg.Go(func() { timing.Every(ctx, loadLimitInterval, func() { n.refreshLoadLimit(ctx) }) })
 	wg.Go(func() { n.membership.Run(ctx) })
 	wg.Go(func() { n.sync.Run(ctx) })
 	wg.Go(func() { n.controller.Run(ctx) })
 	wg.Go(func() { n.loads.Run(ctx) })
-	wg.Go(func() { timing.Every(ctx, limitInterval, n.setLimit) })
-	wg.Go(func() { timing.Every(ctx, foresightInterval, func() { n.foresee(ctx) }) })
-	wg.Go(func() { timing.Every(ctx, demandInterval, func() { n.saveDemand(ctx) }) })
-	wg.Go(func() { timing.Every(ctx, foresightInterval, func() { n.inheritDemand(ctx) }) })
+	wg.Go(func() { timing.Every(ctx, admissionLimitInterval, n.updateAdmissionLimit) })
+	wg.Go(func() { timing.Every(ctx, prefetchInterval, func() { n.prefetchExpected(ctx) }) })
+	wg.Go(func() { timing.Every(ctx, demandSaveInterval, func() { n.saveDemand(ctx) }) })
+	wg.Go(func() { timing.Every(ctx, prefetchInterval, func() { n.takeOverDemand(ctx) }) })
 	wg.Go(func() { timing.Every(ctx, shareInterval, func() { n.claimShares(ctx) }) })
 	wg.Go(func() {
-		timing.Every(ctx, idleInterval, func() { n.dispatcher.GiveBackIdle(ctx, time.Now().Add(-pinIdle)) })
+		timing.Every(ctx, idlePinInterval, func() { n.dispatcher.GiveBackIdle(ctx, time.Now().Add(-maxPinIdleTime)) })
 	})
-	wg.Go(func() { timing.Every(ctx, sweepInterval, func() { n.sweepClaims(ctx) }) })
+	wg.Go(func() { timing.Every(ctx, claimSweepInterval, func() { n.sweepClaims(ctx) }) })
 	wg.Wait()
 	n.pool.Close()
 	n.server.Close()
 }
 
-func (n *Node) readHosts(ctx context.Context) {
+func (n *Node) refreshHostList(ctx context.Context) {
 	list, err := n.hostList.Hosts(ctx)
 	if err != nil {
-		n.log.Debug("host list not read; the last one stays in force", "error", err)
+		n.log.Debug("cannot read host list; keeping the last one", "error", err)
 		return
 	}
 	if n.hosts.Update(list) {
@@ -70,30 +70,30 @@
 	}
 }
 
-// readLimits follows the weight store when it allows fewer loads than the
-// settings say. Without an answer the last limits stay.
-func (n *Node) readLimits(ctx context.Context) {
+// refreshLoadLimit adopts the load rate that the weight store allows if it is lower than the
+// configured one. The previous rate remains if the weight store does not respond.
+func (n *Node) refreshLoadLimit(ctx context.Context) {
 	if n.weights == nil {
 		return
 	}
 	limits, err := n.weights.Limits(ctx)
 	if err != nil {
-		n.log.Debug("the weight store's limits not read; the last ones stay in force", "error", err)
+		n.log.Debug("cannot read limits of the weight store; keeping the last ones", "error", err)
 		return
 	}
 	n.allowance.SetRate(min(limits.PerSecond, n.cfg.Loads.Rate), time.Now())
 }
 
-// ServePeers serves peers until the listener closes.
+// ServePeers serves peers until the listener is closed.
 func (n *Node) ServePeers(listener net.Listener) error { return n.server.Serve(listener) }
 
-// CallerServer gives the HTTP server for callers.
+// CallerServer returns the HTTP server for callers.
 func (n *Node) CallerServer() *http.Server {
-	api := callerapi.New(n.dispatcher, n.follower, n.streams, n.Ready, n.cfg.Limits.MaxBodyBytes)
+	api := callerapi.New(n.dispatcher, n.follower, n.openRequests, n.Ready, n.cfg.Limits.MaxBodyBytes)
 	return n.httpServer(api.Handler())
 }
 
-// OperatorServer gives the HTTP server for operators.
+// OperatorServer returns the HTTP server for operators.
 func (n *Node) OperatorServer() *http.Server {
 	api := adminapi.New(n.publisher, n.reader, n, n.cfg.OperatorsByDigest())
 	return n.httpServer(api.Handler())
@@ -103,7 +103,7 @@
 	return &http.Server{Handler: handler, MaxHeaderBytes: n.cfg.Limits.MaxHeaderBytes, ReadHeaderTimeout: headerTimeout}
 }
 
-// Ready tells the balancer whether this host takes new requests.
+// Ready reports whether this host accepts new requests, for the load balancer.
 func (n *Node) Ready() bool {
 	n.mu.Lock()
 	leaving := n.leaving
@@ -111,15 +111,15 @@
 	return !leaving && n.follower.Snapshot().Revision() > 0 && n.caughtUp(time.Now())
 }
 
-// startGrace is how long a fresh host waits to hear the other entry hosts.
-const startGrace = 2 * time.Second
+// startupGrace is how long a new host waits to hear the other entry hosts.
+const startupGrace = 2 * time.Second
 
-// caughtUp says whether a fresh host has heard its peers and is not behind any
-// of them. The object API may be away, or a read of it stale, and the first
-// peer heard may be behind: a caller sent here too early would see an accepted
-// change revert. Once it was true it stays so.
+// caughtUp reports whether a new host has heard its peers and has a revision at least as recent
+// as theirs. Once true, it remains true. The object API may be unavailable or return stale data,
+// and the first peer heard may be behind. If the host became ready too early, callers would see
+// an accepted change revert.
 func (n *Node) caughtUp(now time.Time) bool {
-	if n.caught.Load() {
+	if n.wasCaughtUp.Load() {
 		return true
 	}
 	own := uint64(n.follower.Snapshot().Revision())
@@ -129,48 +129,47 @@
 		}
 	}
 	for _, host := range n.hosts.ByRole(fleet.RoleEntry) {
-		if !n.members.Alive(host.ID, now) && now.Sub(n.started) < startGrace {
+		if !n.members.Alive(host.ID, now) && now.Sub(n.started) < startupGrace {
 			return false
 		}
 	}
-	n.caught.Store(true)
+	n.wasCaughtUp.Store(true)
 	return true
 }
 
-// drainHere makes this host not ready and gives its runners away. Requests
-// that still come are served.
-func (n *Node) drainHere() {
+// startDrain makes this host not ready and gives up its runners. It continues to serve requests.
+func (n *Node) startDrain() {
 	n.mu.Lock()
-	already := n.draining
+	alreadyDraining := n.draining
 	n.leaving = true
 	n.draining = true
 	n.mu.Unlock()
-	if already {
+	if alreadyDraining {
 		return
 	}
-	n.log.Info("draining: not ready any more; runners are handed over", "open", n.streams.Open())
-	n.announce()
+	n.log.Info("draining: no longer ready; handing over runners", "open", n.openRequests.Open())
+	n.notifyPeers()
 	go func() {
 		defer close(n.handedOver)
 		n.handOver()
 	}()
 }
 
-// sweepInterval is how often old claims are removed.
-const sweepInterval = 10 * time.Minute
+// claimSweepInterval is the interval at which old claims are removed.
+const claimSweepInterval = 10 * time.Minute
 
-// sweepClaims removes old claims on one host of the fleet. Two that both believe
-// to be it do no harm: removals are conditional.
+// sweepClaims removes old claims. One host of the fleet does so; several doing it at once are
+// harmless, because removals are conditional.
 func (n *Node) sweepClaims(ctx context.Context) {
 	if fleet.First("claims", n.candidates(time.Now())) != n.cfg.Host {
 		return
 	}
 	removed, err := n.claims.Sweep(ctx, time.Now())
 	if err != nil {
-		n.log.Warn("old claims not swept; tried again later", "removed", removed, "error", err)
+		n.log.Warn("cannot remove all old claims; will retry", "removed", removed, "error", err)
 		return
 	}
-	n.log.Debug("old claims swept", "removed", removed)
+	n.log.Debug("removed old claims", "removed", removed)
 }
 
 const handOverTimeout = 10 * time.Second
@@ -180,19 +179,18 @@
 	defer cancel()
 	n.controller.Drain(ctx)
 	n.releaseShares(ctx)
-	n.handDemand(ctx)
-	n.announce()
+	n.sendDemand(ctx)
+	n.notifyPeers()
 	n.dispatcher.HandedOver()
 }
 
-// Shutdown ends this host's service without cutting a request off: it is not
-// ready at once, takes new work until the balancer has noticed, and then waits
-// for the open streams. It returns the number that were cut off, because the
-// limit passed or the context ended.
+// Shutdown stops this host gracefully: it becomes not ready at once, accepts new requests until
+// the load balancer has noticed, and waits for open streams. It returns the number of requests
+// that were cut off because the drain limit was exceeded or the context was cancelled.
 func (n *Node) Shutdown(ctx context.Context, callers *http.Server) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.Timing.DrainLimit)
 	defer cancel()
-	n.drainHere()
+	n.startDrain()
 	notice := time.NewTimer(n.cfg.Timing.DrainNotice)
 	defer notice.Stop()
 	select {
@@ -205,11 +203,11 @@
 	}
 	err := callers.Shutdown(ctx)
 	select {
-	case <-n.streams.Empty():
+	case <-n.openRequests.Empty():
 	case <-ctx.Done():
 	}
-	n.farewell()
-	cut := n.streams.Open()
+	n.returnPins()
+	cut := n.openRequests.Open()
 	if err != nil {
 		_ = callers.Close()
 	}
@@ -219,35 +217,36 @@
 	return cut, errors.Wrap(err, "drain")
 }
 
-// farewellTime lets the last messages go out.
-const farewellTime = 200 * time.Millisecond
+// lastMessagesDelay is the time to send the last messages before exit.
+const lastMessagesDelay = 200 * time.Millisecond
 
-// farewell gives all unused pins back: left out, they would block evictions for
-// as long as the platform lists this host.
-func (n *Node) farewell() {
+// returnPins returns all unused pins. Otherwise they would block evictions for as long as the
+// platform lists this host.
+func (n *Node) returnPins() {
 	n.dispatcher.GiveBackIdle(n.context(), time.Now().Add(time.Hour))
-	timing.Sleep(n.context(), farewellTime)
+	timing.Sleep(n.context(), lastMessagesDelay)
 }
 
-// setLimit sets how many requests this host admits at a time: what the runners
-// can batch less what other hosts have there, and at least a fair part.
-func (n *Node) setLimit() {
+// updateAdmissionLimit sets the maximum number of concurrent requests of this host: the
+// overcommitted batch capacity of all runners without the requests of other hosts, but at least
+// an equal share of the capacity.
+func (n *Node) updateAdmissionLimit() {
 	runners := n.table.All("")
-	places, elsewhere := 0, 0
+	capacity, usedByOthers := 0, 0
 	for _, runner := range runners {
 		if runner.Live {
-			places += runner.MaxBatch
-			elsewhere += max(0, runner.Occupancy-runner.OwnRequests)
+			capacity += runner.MaxBatch
+			usedByOthers += max(0, runner.Occupancy-runner.OwnRequests)
 		}
 	}
-	if places == 0 {
+	if capacity == 0 {
 		return
 	}
 	hosts := max(1, len(n.members.Candidates("", time.Now())))
-	limit := max(places*overcommit/100-elsewhere, places/hosts)
+	limit := max(capacity*overcommitPercent/100-usedByOthers, capacity/hosts)
 	n.gate.SetLimit(min(limit, n.cfg.Limits.MaxStreams))
 }
 
-// overcommit, in percent of the runners' batches, keeps a short queue before
-// each engine, so that a place that frees is filled at once.
-const overcommit = 150
+// overcommitPercent, relative to the runners' batches, keeps a short queue at each engine, so
+// that free places are filled immediately.
+const overcommitPercent = 150
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -13,29 +13,28 @@
 
 const (
 	shareInterval = 2 * time.Second
-	// shareRefresh is the time after which the claims are read again although
-	// the members are the same: what is read when nothing changes must not grow
-	// with the fleet.
-	shareRefresh = 30 * time.Second
+	// shareRefreshInterval is the interval at which the claims are read if the members have not
+	// changed. It keeps the reads from growing with the fleet.
+	shareRefreshInterval = 30 * time.Second
 )
 
-// shareClaims is what the loop that claims shares remembers.
-type shareClaims struct {
+// shareClaimState is the state of the loop that claims shares.
+type shareClaimState struct {
 	members []string
 	readAt  time.Time
 }
 
-// due says whether the claims must be looked at.
-func (s *shareClaims) due(members []string, now time.Time) bool {
-	return !slices.Equal(members, s.members) || now.Sub(s.readAt) >= shareRefresh
+// due reports whether the claims must be read.
+func (s *shareClaimState) due(members []string, now time.Time) bool {
+	return !slices.Equal(members, s.members) || now.Sub(s.readAt) >= shareRefreshInterval
 }
 
 func (n *Node) shareOwner() loading.Owner {
 	return loading.Owner{Host: n.self.Host, Incarnation: n.self.Incarnation}
 }
 
-// claimShares brings this host's claim on the weight store's allowance to its
-// part. While the object API is away the shares stay as they are.
+// claimShares adjusts this host's claim on the load rate of the weight store to its share. The
+// shares remain as they are while the object API is unavailable.
 func (n *Node) claimShares(ctx context.Context) {
 	n.mu.Lock()
 	draining := n.draining
@@ -44,7 +43,7 @@
 		return
 	}
 	members := n.candidates(time.Now())
-	if !n.claimed.due(members, time.Now()) {
+	if !n.shareState.due(members, time.Now()) {
 		return
 	}
 	claims, version, err := n.readShares(ctx)
@@ -60,12 +59,12 @@
 	own := next.Count(n.shareOwner())
 	n.allowance.SetOwn(own, version == 0, time.Now())
 	if !changed && next.Settled(members) {
-		n.claimed = shareClaims{members: members, readAt: time.Now()}
+		n.shareState = shareClaimState{members: members, readAt: time.Now()}
 	}
 }
 
-// processEnded says whether a process is proven over: its host is gone from
-// the list, or its lease has ended.
+// processEnded reports whether a process has certainly ended: its host was removed from the
+// list, runs another incarnation, or its lease has ended.
 func (n *Node) processEnded(ctx context.Context, owner loading.Owner) bool {
 	if n.hosts.Removed(owner.Host) {
 		return true
@@ -77,7 +76,7 @@
 	return n.controller.Ended(ctx, owner.Host, owner.Incarnation)
 }
 
-// releaseShares gives this host's shares back at a planned stop.
+// releaseShares releases this host's shares during a planned stop.
 func (n *Node) releaseShares(ctx context.Context) {
 	n.allowance.SetOwn(0, true, time.Now())
 	claims, version, err := n.readShares(ctx)
@@ -85,7 +84,7 @@
 		return
 	}
 	if err := n.writeShares(ctx, claims.Release(n.shareOwner()), version); err != nil {
-		n.log.Debug("shares not released; they are free once this host's lease has ended", "error", err)
+		n.log.Debug("cannot release shares; they become free when this host's lease ends", "error", err)
 	}
 }
 
@@ -103,10 +102,10 @@
 }
 
 func (n *Node) writeShares(ctx context.Context, claims loading.Claims, version objectapi.Version) error {
-	text, err := json.Marshal(claims)
+	encoded, err := json.Marshal(claims)
 	if err != nil {
 		return errors.Wrap(err, "encode shares")
 	}
-	_, err = n.objects.Put(ctx, loading.SharesKey, text, version)
+	_, err = n.objects.Put(ctx, loading.SharesKey, encoded, version)
 	return err
 }
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 )
 
-// member describes this node to its peers.
+// member returns the description of this node for its peers.
 func (n *Node) member() fleet.Member {
 	n.mu.Lock()
 	leaving := n.leaving
@@ -27,47 +27,46 @@
 	}
 }
 
-// candidatesLife is how long the list of candidates is kept: every request
-// asks for it, to find its adapter's home, and making it costs more the larger
-// the fleet is.
-const candidatesLife = 100 * time.Millisecond
+// candidateCacheTTL is how long the list of candidates is cached. Every request needs it to find
+// the home of its adapter, and the cost of computing it grows with the fleet.
+const candidateCacheTTL = 100 * time.Millisecond
 
 type candidateList struct {
 	hosts []string
 	at    time.Time
 }
 
-// candidates gives the members that hold roles now.
+// candidates returns the members that may currently hold roles.
 func (n *Node) candidates(now time.Time) []string {
-	kept := n.kept.Load()
-	if kept != nil && now.Sub(kept.at) < candidatesLife {
-		return kept.hosts
+	cached := n.candidateCache.Load()
+	if cached != nil && now.Sub(cached.at) < candidateCacheTTL {
+		return cached.hosts
 	}
 	fresh := &candidateList{hosts: n.members.Candidates("", now), at: now}
-	n.kept.Store(fresh)
+	n.candidateCache.Store(fresh)
 	return fresh.hosts
 }
 
-// publish takes what this node's owner side tells of a runner over.
-func (n *Node) publish(view residency.View) {
+// publishView publishes this node's view of a runner that it owns.
+func (n *Node) publishView(view residency.View) {
 	n.mu.Lock()
-	moved := !view.SameModels(n.owned[view.Runner])
-	n.owned[view.Runner] = view
+	modelsChanged := !view.SameModels(n.viewsByRunner[view.Runner])
+	n.viewsByRunner[view.Runner] = view
 	n.mu.Unlock()
 	n.table.Update(view)
-	if moved {
-		// Told at once: homes that place loads by a view half a second old
-		// evict models while other runners have free slots.
+	if modelsChanged {
+		// Sent at once: with views half a second old, homes that place loads would evict models
+		// although other runners have free slots.
 		n.membership.TriggerRound()
 	}
 }
 
-// ownedViews gives what this node tells of the runners it owns.
+// ownedViews returns the views of the runners that this node owns.
 func (n *Node) ownedViews() []residency.View {
 	var views []residency.View
 	for _, id := range n.controller.Owned() {
 		n.mu.Lock()
-		view, ok := n.owned[id]
+		view, ok := n.viewsByRunner[id]
 		n.mu.Unlock()
 		if ok {
 			views = append(views, view)
@@ -76,20 +75,20 @@
 	return views
 }
 
-// seen takes what peers tell of their runners. The fencing number goes to the
-// pins too, so that no grant of an earlier owner is taken any more.
-func (n *Node) seen(views []residency.View) {
+// updatePeerViews stores the views that peers have of their runners. Passing on the fencing
+// number keeps pins of earlier owners from being accepted.
+func (n *Node) updatePeerViews(views []residency.View) {
 	for _, view := range views {
 		if n.table.Update(view) {
-			n.holder.Learn(view.Runner, view.Fence)
+			n.pinHolder.Learn(view.Runner, view.Fence)
 		}
 	}
 }
 
-func (n *Node) heard(member fleet.Member) { n.sync.PullIfNewer(n.context(), member) }
+func (n *Node) pullNewerConfig(member fleet.Member) { n.sync.PullIfNewer(n.context(), member) }
 
-// announce tells the peers of a new revision at once.
-func (n *Node) announce() { n.membership.SendHeartbeats(n.context()) }
+// notifyPeers sends heartbeats at once, for example to announce a new revision.
+func (n *Node) notifyPeers() { n.membership.SendHeartbeats(n.context()) }
 
 func (n *Node) context() context.Context {
 	n.mu.Lock()
@@ -97,17 +96,17 @@
 	return n.runCtx
 }
 
-// Snapshot gives the inventory in force.
+// Snapshot returns the inventory in force.
 func (n *Node) Snapshot() *inventory.Snapshot { return n.follower.Snapshot() }
 
-// Accepted puts a change in force that this node has just had accepted.
+// Accepted puts an accepted change in force on this node.
 func (n *Node) Accepted(change configlog.Change) {
 	n.log.Named("audit").Info("change accepted", "revision", uint64(change.Revision), "change", change.ID,
 		"operator", change.Operator, "from", uint64(change.From), "items", change.Items)
 	n.sync.ApplyAccepted(change)
 }
 
-// Status gives the state of the deployment as this host sees it.
+// Status returns the state of the deployment as seen by this host.
 func (n *Node) Status() adminapi.Status {
 	now := time.Now()
 	snapshot := n.follower.Snapshot()
@@ -127,12 +126,12 @@
 	return status
 }
 
-// Peer methods of this package.
+// Methods that peers can call.
 const (
-	methodExplain = "trace.find"
-	methodDrain   = "node.drain"
-	methodDemand  = "demand.hand"
-	askTimeout    = 2 * time.Second
+	methodExplain   = "trace.find"
+	methodDrain     = "node.drain"
+	methodDemand    = "demand.hand"
+	peerCallTimeout = 2 * time.Second
 )
 
 type explainParams struct {
@@ -144,7 +143,7 @@
 	Story dispatch.Story `json:"story"`
 }
 
-func (n *Node) registerOwn(mux *peer.Mux) {
+func (n *Node) registerPeerMethods(mux *peer.Mux) {
 	peer.Handle(mux, methodExplain, func(_ context.Context, _ peer.Identity, p explainParams) (explainResult, error) {
 		story, found := n.traces.Find(p.Request)
 		return explainResult{Found: found, Story: story}, nil
@@ -154,12 +153,12 @@
 		return struct{}{}, nil
 	})
 	peer.Handle(mux, methodDrain, func(context.Context, peer.Identity, struct{}) (struct{}, error) {
-		n.drainHere()
+		n.startDrain()
 		return struct{}{}, nil
 	})
 }
 
-// Explain gives the story of a request, from whichever host served it.
+// Explain returns how a request was handled, asking the other hosts if necessary.
 func (n *Node) Explain(ctx context.Context, request string) (dispatch.Story, bool) {
 	if story, ok := n.traces.Find(request); ok {
 		return story, true
@@ -178,15 +177,15 @@
 }
 
 func (n *Node) call(ctx context.Context, address, method string, params, result any) error {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, peerCallTimeout)
 	defer cancel()
 	return n.pool.Call(ctx, address, method, params, result)
 }
 
-// Drain makes an entry host give its runners away and take no new requests.
+// Drain makes an entry host not ready and makes it give up its runners.
 func (n *Node) Drain(ctx context.Context, host string) error {
 	if host == n.cfg.Host {
-		n.drainHere()
+		n.startDrain()
 		return nil
 	}
 	member, ok := n.members.Get(host)
--- a/internal/node/streams.go
+++ b/internal/node/streams.go
@@ -2,17 +2,17 @@
 
 import "sync"
 
-// streams counts the requests under way, up to a bound.
-type streams struct {
-	most int
+// requestLimiter counts and limits the open requests.
+type requestLimiter struct {
+	limit int
 
 	mu    sync.Mutex
 	open  int
 	empty chan struct{}
 }
 
-func newStreams(most int) *streams {
-	return &streams{most: most, empty: closedChannel()}
+func newRequestLimiter(limit int) *requestLimiter {
+	return &requestLimiter{limit: limit, empty: closedChannel()}
 }
 
 func closedChannel() chan struct{} {
@@ -21,11 +21,11 @@
 	return c
 }
 
-// Begin counts a request; false if too many are under way.
-func (s *streams) Begin() bool {
+// Begin adds a request. It returns false if the limit is reached.
+func (s *requestLimiter) Begin() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.open >= s.most {
+	if s.open >= s.limit {
 		return false
 	}
 	if s.open == 0 {
@@ -35,8 +35,8 @@
 	return true
 }
 
-// End counts a request that has ended.
-func (s *streams) End() {
+// End removes a request.
+func (s *requestLimiter) End() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open--
@@ -45,15 +45,15 @@
 	}
 }
 
-// Open gives the number of requests under way.
-func (s *streams) Open() int {
+// Open returns the number of open requests.
+func (s *requestLimiter) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.open
 }
 
-// Empty gives a channel that is closed while no request is under way.
-func (s *streams) Empty() <-chan struct{} {
+// Empty returns a channel that is closed while no request is open.
+func (s *requestLimiter) Empty() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.empty
--- a/internal/node/streams_test.go
+++ b/internal/node/streams_test.go
@@ -146,7 +146,7 @@
 		_ = resp.Body.Close()
 		time.Sleep(time.Second)
 		must.Eq(t, 1, c.world.Engine(c.runnerWith("a0@1")).Counts().Cancels)
-		must.Eq(t, 0, c.nodes["e1"].streams.Open())
+		must.Eq(t, 0, c.nodes["e1"].openRequests.Open())
 	})
 }
 
@@ -165,7 +165,7 @@
 			wg.Go(func() { got[i] = c.ask("e1", "a0", fmt.Sprint("open", i), 1000) })
 		}
 		time.Sleep(5 * time.Second)
-		must.Eq(t, 600, c.nodes["e1"].streams.Open())
+		must.Eq(t, 600, c.nodes["e1"].openRequests.Open())
 		stopped := make(chan int, 1)
 		go func() {
 			cut, _ := c.nodes["e1"].Shutdown(context.Background(), c.nodes["e1"].callers)
