--- a/internal/node/baseline_test.go
+++ b/internal/node/baseline_test.go
@@ -16,29 +16,29 @@
 	"github.com/shoenig/test/must"
 )
 
-// baseline is entry hosts that each act for themselves.
+// baseline is a set of entry hosts that do not cooperate.
 type baseline struct {
-	world   *standin.World
-	client  *engine.Client
-	d       deployment
-	store   chan struct{}
-	lastRun time.Time
-	mu      sync.Mutex
+	world     *standin.World
+	client    *engine.Client
+	d         deployment
+	loadSlots chan struct{}
+	lastLoad  time.Time
+	mu        sync.Mutex
 }
 
-// selfish is one host's own knowledge: what it loaded or used where, and its
-// requests on each runner.
-type selfish struct {
-	mu      sync.Mutex
-	used    []map[string]time.Time
-	running []int
-	reports []engine.Report
-	loading map[string]chan struct{}
+// independentHost is the state of one host: when it last loaded or used which model where, its
+// requests on each runner, and the reports that it has read.
+type independentHost struct {
+	mu       sync.Mutex
+	lastUsed []map[string]time.Time
+	running  []int
+	reports  []engine.Report
+	loading  map[string]chan struct{}
 }
 
-// runBaseline plays a trace through hosts that each act for themselves. Only
-// the weight store's allowance is kept for them, in the order of asking.
-func runBaseline(t *testing.T, d deployment, trace []arrival) (result outcome) {
+// runBaseline replays a trace on hosts that do not cooperate, except that the weight store's
+// limits are enforced for them, first come, first served.
+func runBaseline(t *testing.T, d deployment, trace []traceRequest) (result outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		network := standin.NewNetwork()
 		world, err := standin.NewWorld(d.world(), func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
@@ -50,7 +50,7 @@
 			network.Close()
 			time.Sleep(time.Minute)
 		}()
-		b := &baseline{world: world, d: d, store: make(chan struct{}, d.parallel), client: engine.NewClient(engine.Config{
+		b := &baseline{world: world, d: d, loadSlots: make(chan struct{}, d.parallel), client: engine.NewClient(engine.Config{
 			Dial: network.Host("hosts").Dial, ConnectTimeout: time.Second, FirstPieceTimeout: time.Minute,
 			SilenceTimeout: time.Minute, OrderTimeout: time.Minute,
 		})}
@@ -60,12 +60,12 @@
 	return result
 }
 
-func (b *baseline) play(ctx context.Context, trace []arrival) outcome {
-	hosts := make([]*selfish, entryHosts)
+func (b *baseline) play(ctx context.Context, trace []traceRequest) outcome {
+	hosts := make([]*independentHost, entryHosts)
 	for i := range hosts {
-		hosts[i] = &selfish{running: make([]int, b.d.runners), reports: make([]engine.Report, b.d.runners), loading: map[string]chan struct{}{}}
+		hosts[i] = &independentHost{running: make([]int, b.d.runners), reports: make([]engine.Report, b.d.runners), loading: map[string]chan struct{}{}}
 		for range b.d.runners {
-			hosts[i].used = append(hosts[i].used, map[string]time.Time{})
+			hosts[i].lastUsed = append(hosts[i].lastUsed, map[string]time.Time{})
 		}
 		go b.readReports(ctx, hosts[i])
 	}
@@ -92,7 +92,7 @@
 
 func (b *baseline) address(runner int) string { return fmt.Sprintf("runner-%d:80", runner+1) }
 
-func (b *baseline) readReports(ctx context.Context, h *selfish) {
+func (b *baseline) readReports(ctx context.Context, h *independentHost) {
 	for ctx.Err() == nil {
 		for runner := range b.d.runners {
 			report, err := b.client.Report(ctx, b.address(runner))
@@ -106,9 +106,9 @@
 	}
 }
 
-// choose gives the least loaded runner that has the model by this host's
-// knowledge, else the least loaded one.
-func (h *selfish) choose(model string) (runner int, resident bool) {
+// chooseRunner returns the least loaded runner that, as far as this host knows, has the model,
+// or else the least loaded runner.
+func (h *independentHost) chooseRunner(model string) (runner int, resident bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	best, bestLoad, found := 0, 1<<30, false
@@ -125,17 +125,17 @@
 	return best, found
 }
 
-func (b *baseline) serve(ctx context.Context, h *selfish, request arrival, index int) (time.Duration, bool) {
+func (b *baseline) serve(ctx context.Context, h *independentHost, request traceRequest, index int) (time.Duration, bool) {
 	model := fmt.Sprintf("a%04d@1", request.adapter)
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":%d}`, model, request.pieces)
 	arrived := time.Now()
 	for time.Since(arrived) < 30*time.Second {
-		runner, resident := h.choose(model)
+		runner, resident := h.chooseRunner(model)
 		if !resident {
 			b.load(ctx, h, runner, model)
 		}
 		h.mu.Lock()
-		h.used[runner][model] = time.Now()
+		h.lastUsed[runner][model] = time.Now()
 		h.running[runner]++
 		h.mu.Unlock()
 		var first time.Time
@@ -157,36 +157,36 @@
 	return 0, false
 }
 
-func (h *selfish) forget(runner int, model string) {
+func (h *independentHost) forget(runner int, model string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	report := &h.reports[runner]
 	report.Resident = slices.DeleteFunc(slices.Clone(report.Resident), func(m engine.ResidentModel) bool { return m.Model == model })
 }
 
-// load loads a model, evicting what this host used longest ago there. Requests
-// of one host for one model share a load.
-func (b *baseline) load(ctx context.Context, h *selfish, runner int, model string) {
+// load loads a model and evicts the models that this host used least recently on the runner.
+// Requests of one host for the same model share a load.
+func (b *baseline) load(ctx context.Context, h *independentHost, runner int, model string) {
 	h.mu.Lock()
-	if under := h.loading[model]; under != nil {
+	if inProgress := h.loading[model]; inProgress != nil {
 		h.mu.Unlock()
-		<-under
+		<-inProgress
 		return
 	}
 	done := make(chan struct{})
 	h.loading[model] = done
 	h.mu.Unlock()
-	b.permit()
+	b.awaitLoadPermit()
 	for range 4 {
 		order := engine.Order{Kind: engine.OrderLoad, Model: model}
 		if b.client.Order(ctx, b.address(runner), order) == nil {
 			break
 		}
-		victim := h.oldest(runner)
+		victim := h.leastRecentlyUsed(runner)
 		_ = b.client.Order(ctx, b.address(runner), engine.Order{Kind: engine.OrderEvict, Model: victim})
 		h.forget(runner, victim)
 	}
-	<-b.store
+	<-b.loadSlots
 	h.mu.Lock()
 	delete(h.loading, model)
 	close(done)
@@ -195,81 +195,82 @@
 	h.mu.Unlock()
 }
 
-// permit keeps the allowance: so many at a time, and so many a second.
-func (b *baseline) permit() {
-	b.store <- struct{}{}
+// awaitLoadPermit enforces the weight store's limits on concurrent loads and on loads per
+// second.
+func (b *baseline) awaitLoadPermit() {
+	b.loadSlots <- struct{}{}
 	b.mu.Lock()
-	next := b.lastRun.Add(time.Duration(float64(time.Second) / b.d.rate))
+	next := b.lastLoad.Add(time.Duration(float64(time.Second) / b.d.rate))
 	if now := time.Now(); next.Before(now) {
 		next = now
 	}
-	b.lastRun = next
+	b.lastLoad = next
 	b.mu.Unlock()
 	time.Sleep(time.Until(next))
 }
 
-func (h *selfish) oldest(runner int) string {
+func (h *independentHost) leastRecentlyUsed(runner int) string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	victim, oldest := "", time.Now()
 	for _, m := range h.reports[runner].Resident {
-		if at := h.used[runner][m.Model]; at.Before(oldest) {
+		if at := h.lastUsed[runner][m.Model]; at.Before(oldest) {
 			victim, oldest = m.Model, at
 		}
 	}
 	return victim
 }
 
-// runReference gives the stalls of one that knows the whole trace. Its
-// simplifications: slots are one pool, batches are never full, orders and
-// messages take no time; whenever the weight store is free it loads the model
-// that is needed next and is not resident, in the place of the one needed last.
-func runReference(d deployment, trace []arrival) outcome {
-	future := map[int][]int{}
+// runReference computes the stalls of a policy that knows the whole trace. It is simplified: slots
+// form one pool, batches are never full, and orders and messages take no time. Whenever the weight
+// store is free, it loads the next needed model that is not resident and evicts the model whose
+// next use is farthest away.
+func runReference(d deployment, trace []traceRequest) outcome {
+	futureUses := map[int][]int{}
 	for i, request := range trace {
-		future[request.adapter] = append(future[request.adapter], i)
+		futureUses[request.adapter] = append(futureUses[request.adapter], i)
 	}
-	ready := map[int]time.Duration{}
+	readyAt := map[int]time.Duration{}
 	perLoad := max(d.load/time.Duration(d.parallel), time.Duration(float64(time.Second)/d.rate))
-	var free time.Duration
+	var storeFreeAt time.Duration
 	var result outcome
 	lookahead := 0
 	for i, request := range trace {
-		future[request.adapter] = future[request.adapter][1:]
-		// Loads are begun ahead for as long as the store is free before now.
-		for lookahead = max(lookahead, i); lookahead < len(trace) && (lookahead == i || free < request.at); lookahead++ {
+		futureUses[request.adapter] = futureUses[request.adapter][1:]
+		// Loads are started ahead as long as the store becomes free before now.
+		for lookahead = max(lookahead, i); lookahead < len(trace) && (lookahead == i || storeFreeAt < request.at); lookahead++ {
 			wanted := trace[lookahead].adapter
-			if _, ok := ready[wanted]; ok {
+			if _, ok := readyAt[wanted]; ok {
 				continue
 			}
-			if len(ready) >= d.runners*d.slots && !dropFarthest(ready, future, lookahead, wanted == request.adapter) {
+			if len(readyAt) >= d.runners*d.slots && !evictFarthest(readyAt, futureUses, lookahead, wanted == request.adapter) {
 				break
 			}
-			free = max(free, request.at-time.Second) + perLoad
-			ready[wanted] = free - perLoad + d.load
+			storeFreeAt = max(storeFreeAt, request.at-time.Second) + perLoad
+			readyAt[wanted] = storeFreeAt - perLoad + d.load
 			result.loads++
 		}
-		result.stalls = append(result.stalls, max(0, ready[request.adapter]-request.at))
+		result.stalls = append(result.stalls, max(0, readyAt[request.adapter]-request.at))
 	}
 	return result
 }
 
-// dropFarthest drops the resident model that is needed last, if that is later
-// than the need it makes room for.
-func dropFarthest(ready map[int]time.Duration, future map[int][]int, need int, must bool) bool {
+// evictFarthest evicts the resident model whose next use is farthest away, unless it is needed
+// before the model that it makes room for and the eviction is not forced.
+func evictFarthest(readyAt map[int]time.Duration, futureUses map[int][]int, nextUse int, forced bool) bool {
 	victim, farthest := -1, -1
-	for model := range ready {
+	for model := range readyAt {
 		next := 1 << 30
-		if len(future[model]) > 0 {
-			next = future[model][0]
+		if len(futureUses[model]) > 0 {
+			next = futureUses[model][0]
 		}
 		if next > farthest || (next == farthest && model < victim) {
 			victim, farthest = model, next
 		}
 	}
-	if farthest <= need && !must {
+	if farthest <= nextUse && !forced {
 		return false
 	}
-	delete(ready, victim)
+	delete(readyAt, victim)
 	return true
 }
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -30,15 +30,15 @@
 	testPeerKey = "0123456789abcdef"
 )
 
-// cluster is a few entry hosts before stand-ins, on a network in memory, in
-// virtual time.
+// cluster is a small set of entry hosts with stand-ins for the platform and the engines, on an
+// in-memory network in virtual time.
 type cluster struct {
 	t     *testing.T
 	net   *standin.Network
 	world *standin.World
 	nodes map[string]*testNode
-	// tune changes the settings of nodes that are started.
-	tune func(cfg *settings.Settings)
+	// configure changes the settings of nodes before they are started.
+	configure func(cfg *settings.Settings)
 }
 
 type testNode struct {
@@ -58,24 +58,25 @@
 	}
 }
 
-// inCluster runs a test in virtual time with so many entry hosts, ready.
+// inCluster runs a test in virtual time with the given number of entry hosts, once they are
+// ready.
 func inCluster(t *testing.T, hosts int, world standin.WorldConfig, run func(c *cluster)) {
 	t.Helper()
-	synctestCluster(t, hosts, world, nil, run)
+	inConfiguredCluster(t, hosts, world, nil, run)
 }
 
-// synctestCluster is inCluster with other settings of the hosts.
-func synctestCluster(t *testing.T, hosts int, world standin.WorldConfig, tune func(cfg *settings.Settings), run func(c *cluster)) {
+// inConfiguredCluster is like inCluster, with changed settings.
+func inConfiguredCluster(t *testing.T, hosts int, world standin.WorldConfig, configure func(cfg *settings.Settings), run func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, world)
-		c.tune = tune
+		c.configure = configure
 		defer c.close()
 		for i := range hosts {
 			c.start(fmt.Sprintf("e%d", i+1))
 		}
 		c.apply(sampleDocument())
-		// Leases, ownership and shares settle.
+		// Wait for leases, ownership and shares to settle.
 		time.Sleep(6 * time.Second)
 		run(c)
 	})
@@ -114,7 +115,7 @@
 	return cfg
 }
 
-// start starts an entry host and lists it.
+// start starts an entry host and adds it to the host list.
 func (c *cluster) start(id string) *testNode {
 	c.t.Helper()
 	cfg := defaultSettings(c.t)
@@ -124,8 +125,8 @@
 	cfg.CallersListen, cfg.OperatorsListen, cfg.PeersListen = id+":80", id+":81", id+":82"
 	cfg.PeerKey = testPeerKey
 	cfg.OperatorKeys = []string{"kim=" + standalone.Digest(operatorKey)}
-	if c.tune != nil {
-		c.tune(cfg)
+	if c.configure != nil {
+		c.configure(cfg)
 	}
 	must.NoError(c.t, cfg.Check())
 	c.world.AddEntry(id, "hall", cfg.PeersListen)
@@ -148,7 +149,7 @@
 	return node
 }
 
-// logLevel is raised by hand when a test is looked into.
+// logLevel can be raised to debug a test.
 const logLevel = hclog.Off
 
 type testLog struct{ t *testing.T }
@@ -158,7 +159,7 @@
 	return len(text), nil
 }
 
-// kill ends an entry host without any goodbye, as kill -9 does.
+// kill terminates an entry host without a shutdown, like kill -9.
 func (c *cluster) kill(id string) {
 	node := c.nodes[id]
 	delete(c.nodes, id)
@@ -180,7 +181,7 @@
 	}
 	c.world.Close()
 	c.net.Close()
-	// Clients notice the closed connections.
+	// Let clients notice that their connections were closed.
 	time.Sleep(time.Minute)
 }
 
@@ -192,11 +193,11 @@
 	return adminclient.New("http://"+host+":81", operatorKey, c.transport(host))
 }
 
-// apply makes the inventory what the document says, through any host.
+// apply replaces the inventory by the document, through any host.
 func (c *cluster) apply(document inventory.Document) adminapi.ChangeResult {
 	c.t.Helper()
 	for id := range c.nodes {
-		// The host may not have read the revision that it is to start from.
+		// The host may not have read the current revision yet.
 		time.Sleep(time.Second)
 		revision := c.nodes[id].Snapshot().Revision()
 		result, err := c.admin(id).Change(context.Background(), adminapi.ChangeRequest{ChangeID: fmt.Sprint("apply-", revision), From: revision, Document: &document})
@@ -218,24 +219,24 @@
 	time.Sleep(3 * time.Second)
 }
 
-// answer is what a caller saw.
-type answer struct {
-	status  int
-	verdict string
-	code    string
-	retry   string
-	text    string
-	model   string
-	err     error
+// response is what a caller received.
+type response struct {
+	status     int
+	verdict    string
+	code       string
+	retryAfter string
+	text       string
+	model      string
+	err        error
 }
 
-// ask sends a completion through a host and gives what the caller saw.
-func (c *cluster) ask(host, model, id string, tokens int, header ...string) answer {
+// complete sends a completion request through a host and returns the response.
+func (c *cluster) complete(host, model, id string, tokens int, header ...string) response {
 	body := fmt.Sprintf(`{"model":%q,"max_tokens":%d}`, model, tokens)
 	return c.send(host, "/v1/completions", body, append(header, callerapi.HeaderRequestID, id)...)
 }
 
-func (c *cluster) send(host, path, body string, header ...string) answer {
+func (c *cluster) send(host, path, body string, header ...string) response {
 	req, err := http.NewRequest(http.MethodPost, "http://"+host+":80"+path, bytes.NewReader([]byte(body)))
 	must.NoError(c.t, err)
 	req.Header.Set("Authorization", "Bearer "+callerKey)
@@ -244,15 +245,15 @@
 	}
 	resp, err := c.transport(host).RoundTrip(req)
 	if err != nil {
-		return answer{err: err}
+		return response{err: err}
 	}
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(resp.Body)
-	return readAnswer(resp, text, err)
+	return parseResponse(resp, text, err)
 }
 
-func readAnswer(resp *http.Response, text []byte, err error) answer {
-	got := answer{status: resp.StatusCode, verdict: resp.Header.Get(callerapi.HeaderVerdict), retry: resp.Header.Get("Retry-After"), err: err}
+func parseResponse(resp *http.Response, text []byte, err error) response {
+	got := response{status: resp.StatusCode, verdict: resp.Header.Get(callerapi.HeaderVerdict), retryAfter: resp.Header.Get("Retry-After"), err: err}
 	var body struct {
 		Code    string `json:"code"`
 		Model   string `json:"model"`
@@ -269,8 +270,8 @@
 	return got
 }
 
-// wholeText is the answer of a stand-in engine of so many tokens.
-func wholeText(tokens int) string {
+// completeText is the response text of a stand-in engine for a number of tokens.
+func completeText(tokens int) string {
 	text := ""
 	for i := range tokens {
 		text += fmt.Sprintf("t%d ", i)
@@ -278,26 +279,26 @@
 	return text
 }
 
-// requireWhole fails unless the caller got the whole answer of the model.
-func requireWhole(t *testing.T, got answer, model string, tokens int) {
+// requireComplete fails the test unless the response is complete and from the given model.
+func requireComplete(t *testing.T, got response, model string, tokens int) {
 	t.Helper()
 	must.NoError(t, got.err)
 	must.Eq(t, http.StatusOK, got.status, must.Sprintf("%+v", got))
 	must.Eq(t, model, got.model)
-	must.Eq(t, wholeText(tokens), got.text)
+	must.Eq(t, completeText(tokens), got.text)
 	must.Eq(t, "ran", got.verdict)
 }
 
-// evictedInUse counts broken promises on all engines.
+// evictedInUse returns the number of evictions of models in use on all engines.
 func (c *cluster) evictedInUse() int {
-	broken := 0
+	evicted := 0
 	for _, e := range c.world.Engines {
-		broken += e.Counts().EvictedInUse
+		evicted += e.Counts().EvictedInUse
 	}
-	return broken
+	return evicted
 }
 
-// runs counts how often a caller's request was begun on any engine.
+// runs returns how often a request was started on any engine.
 func (c *cluster) runs(id string) int {
 	runs := 0
 	for _, e := range c.world.Engines {
@@ -306,7 +307,7 @@
 	return runs
 }
 
-// ownerOf gives the host that owns a runner, or "".
+// ownerOf returns the host that owns a runner, or "".
 func (c *cluster) ownerOf(runner string) string {
 	for id, node := range c.nodes {
 		for _, owned := range node.controller.Owned() {
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// change makes one change through a host and gives its outcome.
+// change submits one change through a host.
 func (c *cluster) change(host, id string, from inventory.Revision, ops ...inventory.Op) (adminapi.ChangeResult, error) {
 	return c.admin(host).Change(context.Background(), adminapi.ChangeRequest{ChangeID: id, From: from, Ops: ops})
 }
@@ -23,7 +23,7 @@
 	return inventory.Op{PutRule: &inventory.Rule{Name: name, Caller: caller, NonIdempotent: true}}
 }
 
-// requireRevision fails unless every host has at least a revision in force.
+// requireRevision fails the test unless every host has at least the given revision in force.
 func (c *cluster) requireRevision(revision inventory.Revision) {
 	c.t.Helper()
 	for id, node := range c.nodes {
@@ -32,9 +32,9 @@
 }
 
 func TestRace02LostAnswerIsAcceptedOnce(t *testing.T) {
-	// The object API takes a change and loses its answer, twice. The operator
-	// is told that it was accepted, it is in force everywhere, and the audit
-	// trail holds it once. Sent again under its identifier, it is not repeated.
+	// The object API twice applies a change but loses the response. The operator is told that
+	// the change was accepted, it is in force everywhere, and the audit trail contains it once.
+	// Submitting it again with the same ID does not repeat it.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
 		c.world.Platform.LoseAnswers(2)
 		result, err := c.change("e1", "lost", 1, putRule("r", "farm"))
@@ -53,9 +53,8 @@
 }
 
 func TestRace07TwoOperatorsOneRule(t *testing.T) {
-	// Two operators change one rule from the same revision through different
-	// hosts at once. One change is accepted; the other is refused with verdict
-	// not-run and is told what changed since.
+	// Two operators change the same rule from the same revision through different hosts. One
+	// change is accepted. The other is rejected with verdict not-run and the changes made since.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		outcomes := make(chan error, 2)
 		for _, host := range []string{"e1", "e2"} {
@@ -79,9 +78,8 @@
 }
 
 func TestRace08HostStartsWhileStoreIsDown(t *testing.T) {
-	// The object API is down, and of two hosts one was cut off and is a
-	// revision behind. A new host starts, hears both, and serves by the higher
-	// revision; no host ever goes back.
+	// The object API is down, and one of two hosts was cut off and is a revision behind. A new
+	// host that hears both adopts the newer revision, and no host returns to an older one.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		c.net.Cut("e2", "e1")
 		c.net.Cut("e2", "platform")
@@ -107,9 +105,9 @@
 }
 
 func TestChangeInForceWithSilentWatches(t *testing.T) {
-	// Watches tell nothing any more, and the hosts' connections to the platform
-	// have gone silent. A change is in force on all hosts within 5 s all the
-	// same: its host tells its peers, and a poll stands behind that.
+	// Watches deliver nothing, and connections of the hosts to the platform are silent. A change
+	// still comes into force on all hosts within 5 s, through messages between peers and the
+	// poll.
 	inCluster(t, 4, smallWorld(), func(c *cluster) {
 		c.world.Platform.SilenceWatches(true)
 		for id := range c.nodes {
@@ -123,8 +121,8 @@
 }
 
 func TestChangeReachesHostThatHearsNoPeer(t *testing.T) {
-	// One host hears neither its peers nor, since its watch is silent, of
-	// changes. The slow poll of the head alone brings the change within 5 s.
+	// One host hears neither its peers nor, because watches are silent, of changes. The slow
+	// poll of the head alone delivers the change within 5 s.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
 		c.world.Platform.SilenceWatches(true)
 		c.net.Cut("e3", "e1")
@@ -137,16 +135,15 @@
 }
 
 func TestStoreDownForAnHour(t *testing.T) {
-	// The object API is down for an hour. Callers are served, past loads and
-	// evictions too, since these engines check fencing numbers; a change is
-	// refused at once with verdict not-run; and when the API is back the hosts
-	// do not flood it.
+	// The object API is down for an hour. Requests are still served, including loads and
+	// evictions, because these engines check fencing numbers. A change is rejected at once with
+	// verdict not-run. When the API returns, the hosts do not flood it.
 	inCluster(t, 4, smallWorld(), func(c *cluster) {
-		c.fill("e1", "a0", "a1", "a2", "a3")
+		c.loadModels("e1", "a0", "a1", "a2", "a3")
 		c.world.Platform.SetDown(true)
 		time.Sleep(30 * time.Minute)
-		requireWhole(t, c.ask("e2", "a0", "resident", 5), "a0@1", 5)
-		requireWhole(t, c.ask("e3", "a6", "cold", 5), "a6@1", 5)
+		requireComplete(t, c.complete("e2", "a0", "resident", 5), "a0@1", 5)
+		requireComplete(t, c.complete("e3", "a6", "cold", 5), "a6@1", 5)
 		_, err := c.change("e1", "refused", 1, putRule("r", "farm"))
 		var refused *adminclient.APIError
 		must.True(t, errors.As(err, &refused))
@@ -168,8 +165,8 @@
 }
 
 func TestChangeDuringReplacement(t *testing.T) {
-	// A host is replaced in the middle of a change. The change was accepted, so
-	// the new process has it in force before it says that it is ready.
+	// A host is replaced after it accepted a change. The new process has the change in force
+	// before it reports ready.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		_, err := c.change("e1", "mid", 1, putRule("r", "farm"))
 		must.NoError(t, err)
@@ -183,9 +180,9 @@
 }
 
 func TestManyChangesThroughAllHosts(t *testing.T) {
-	// Operators make a hundred changes in turn through all hosts, past two
-	// compactions. Each is accepted from the revision before it, every host
-	// ends with all of them, and the trail names each.
+	// 150 changes are made in turn through all hosts, spanning two compactions. Each is accepted
+	// from the previous revision, every host ends with all of them, and the audit trail lists
+	// each.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
 		hosts := []string{"e1", "e2", "e3"}
 		for i := range 150 {
@@ -204,9 +201,9 @@
 }
 
 func TestFreshHostIsNotReadyBehindItsPeers(t *testing.T) {
-	// The object API is down and one of two hosts is a revision behind. A fresh
-	// host hears the one behind first. It does not say that it is ready before
-	// it has heard the other, so no caller sees the accepted change revert.
+	// The object API is down and one of two hosts is a revision behind. A new host hears that
+	// host first. It does not report ready before it has heard the other one, or callers would
+	// see the accepted change revert.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		c.net.Cut("e2", "e1")
 		c.net.Cut("e2", "platform")
--- a/internal/node/experiment_test.go
+++ b/internal/node/experiment_test.go
@@ -22,16 +22,15 @@
 	"github.com/shoenig/test/must"
 )
 
-// The experiment runs the daemon's own code in virtual time before stand-in
-// engines, on a trace whose popularity is skewed, shifts without warning, and
-// has a quiet stretch and a burst on adapters that were cold. The same trace
-// goes through the baseline (each host for itself: the least loaded runner that
-// has the adapter by its own knowledge, else a load on the least loaded one,
-// evicting what it used longest ago) and through a reference that knows the
-// whole trace. The full runs are asked for by the environment variable
-// CHERRYSTAGE_EXPERIMENT=full; otherwise one short run checks the promises.
+// The experiment runs the daemon's code in virtual time with stand-in engines. Its trace has a
+// skewed popularity that shifts without warning, a quiet period, and a burst on adapters that
+// were cold. The same trace is replayed on the baseline (hosts that do not cooperate: each uses
+// the least loaded runner that has the adapter as far as it knows, or else loads it on the least
+// loaded runner and evicts what it used least recently) and on a reference that knows the whole
+// trace. CHERRYSTAGE_EXPERIMENT=full requests the full runs; otherwise one short run checks the
+// guarantees.
 
-// deployment is one of the users' deployments at its size of today.
+// deployment is one of the users' deployments at its present size.
 type deployment struct {
 	name      string
 	runners   int
@@ -52,28 +51,28 @@
 )
 
 const (
-	adapters   = 3000
-	pieceTime  = 220 * time.Millisecond // four tokens of 55 ms
-	entryHosts = 8
-	burstSize  = 30
+	adapterCount = 3000
+	pieceTime    = 220 * time.Millisecond // four tokens of 55 ms
+	entryHosts   = 8
+	burstSize    = 30
 )
 
-// arrival is one request of a trace.
-type arrival struct {
+// traceRequest is one request of a trace.
+type traceRequest struct {
 	at      time.Duration
 	adapter int
 	pieces  int
 	host    int
 }
 
-// makeTrace draws a trace: a third of it quiet at the start, a shift of
-// popularity at half, and a burst in the last third.
-func makeTrace(d deployment, seed uint64, length time.Duration) []arrival {
+// makeTrace generates a trace with a quiet first quarter, a shift of popularity in the middle,
+// and a burst in the eighth tenth.
+func makeTrace(d deployment, seed uint64, length time.Duration) []traceRequest {
 	random := rand.New(rand.NewPCG(seed, 1))
-	zipf := rand.NewZipf(random, 1.1, 1, adapters-1)
-	order := random.Perm(adapters)
+	zipf := rand.NewZipf(random, 1.1, 1, adapterCount-1)
+	order := random.Perm(adapterCount)
 	shifted := false
-	var trace []arrival
+	var trace []traceRequest
 	for at := time.Duration(0); at < length; {
 		burst := at > length*7/10 && at < length*8/10
 		perSecond := d.perSecond
@@ -86,31 +85,30 @@
 		at += time.Duration(random.ExpFloat64() / perSecond * float64(time.Second))
 		if !shifted && at > length/2 {
 			shifted = true
-			random.Shuffle(adapters, func(i, j int) { order[i], order[j] = order[j], order[i] })
+			random.Shuffle(adapterCount, func(i, j int) { order[i], order[j] = order[j], order[i] })
 		}
 		rank := int(zipf.Uint64())
 		if burst && random.Float64() < 0.6 {
-			rank = adapters/2 + random.IntN(burstSize)
+			rank = adapterCount/2 + random.IntN(burstSize)
 		}
 		pieces := 1 + int(random.ExpFloat64()*float64(d.pieces))
-		trace = append(trace, arrival{at: at, adapter: order[rank], pieces: min(pieces, 8*d.pieces), host: random.IntN(entryHosts)})
+		trace = append(trace, traceRequest{at: at, adapter: order[rank], pieces: min(pieces, 8*d.pieces), host: random.IntN(entryHosts)})
 	}
 	return trace
 }
 
-// outcome is what one run measured.
+// outcome is the result of one run.
 type outcome struct {
-	stalls  []time.Duration
-	refused int
-	broken  int
-	loads   int
-	fill    float64
-	peak    float64
+	stalls       []time.Duration
+	refused      int
+	violations   int
+	loads        int
+	fill         float64
+	peakLoadRate float64
 }
 
-// stallLeast is the wait before the first piece from which a request counts as
-// stalled.
-const stallLeast = 10 * time.Millisecond
+// minStall is the wait for the first piece at which a request counts as stalled.
+const minStall = 10 * time.Millisecond
 
 func (o outcome) String() string {
 	slices.Sort(o.stalls)
@@ -124,18 +122,18 @@
 	stalled := 0
 	for _, stall := range o.stalls {
 		sum += stall
-		if stall >= stallLeast {
+		if stall >= minStall {
 			stalled++
 		}
 	}
 	mean := sum / time.Duration(max(1, len(o.stalls)))
 	return fmt.Sprintf("stall mean %s p95 %s p99 %s, stalled %.1f%%, loads %d (peak %.2f/s), fill %.3f, refused %d, broken %d",
-		mean.Round(time.Millisecond), at(0.95), at(0.99), 100*float64(stalled)/float64(max(1, len(o.stalls))), o.loads, o.peak, o.fill, o.refused, o.broken)
+		mean.Round(time.Millisecond), at(0.95), at(0.99), 100*float64(stalled)/float64(max(1, len(o.stalls))), o.loads, o.peakLoadRate, o.fill, o.refused, o.violations)
 }
 
 func experimentDocument() inventory.Document {
 	document := inventory.Document{Callers: []inventory.Caller{{Name: "pilot", KeyDigest: standalone.Digest(callerKey)}}}
-	for i := range adapters {
+	for i := range adapterCount {
 		document.Adapters = append(document.Adapters, inventory.Adapter{
 			Name: fmt.Sprintf("a%04d", i), Base: "base", Versions: []string{"1"}, Current: "1", Callers: []string{"*"},
 		})
@@ -150,11 +148,11 @@
 	}
 }
 
-// runDaemon plays a trace through the daemon's code.
-func runDaemon(t *testing.T, d deployment, trace []arrival, faults func(c *cluster)) (result outcome) {
+// runDaemon replays a trace on the daemon's code.
+func runDaemon(t *testing.T, d deployment, trace []traceRequest, faults func(c *cluster)) (result outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, d.world())
-		c.tune = func(cfg *settings.Settings) {
+		c.configure = func(cfg *settings.Settings) {
 			cfg.Loads.Rate, cfg.Loads.Parallel, cfg.Loads.Time, cfg.Loads.Preset = d.rate, d.parallel, d.load, d.preset
 			cfg.Loads.Shares = entryHosts
 		}
@@ -170,21 +168,21 @@
 	return result
 }
 
-// measure reads what the engines and the weight store saw.
+// measure adds what the engines and the weight store recorded.
 func (o *outcome) measure(world *standin.World) {
 	var busy, filled float64
 	for _, e := range world.Engines {
-		o.broken += e.Counts().EvictedInUse
+		o.violations += e.Counts().EvictedInUse
 		o.loads += e.Counts().Loads
 		time, fill := e.Fill()
 		busy += time.Seconds()
 		filled += time.Seconds() * fill
 	}
 	o.fill = filled / max(busy, 1)
-	o.peak = peakRate(world.Weights.Starts())
+	o.peakLoadRate = peakRate(world.Weights.Starts())
 }
 
-// peakRate gives the most loads a second that were begun in any half minute.
+// peakRate returns the maximum rate of load starts per second in any half minute.
 func peakRate(starts []time.Time) float64 {
 	const window = 30 * time.Second
 	most, first := 0, 0
@@ -197,9 +195,9 @@
 	return float64(most) / window.Seconds()
 }
 
-// play sends the trace's requests at their times, each once, through the host
-// it names or, while that is away, the next.
-func (c *cluster) play(trace []arrival, faults func(c *cluster)) outcome {
+// play sends each request of the trace once at its time, through the host that it names or, if
+// that is down, the next one.
+func (c *cluster) play(trace []traceRequest, faults func(c *cluster)) outcome {
 	var mu sync.Mutex
 	var result outcome
 	var wg sync.WaitGroup
@@ -228,7 +226,7 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if wrong {
-				result.broken++
+				result.violations++
 			}
 			if !ok {
 				result.refused++
@@ -241,9 +239,9 @@
 	return result
 }
 
-// streamOnce sends one request and gives the wait before its first piece,
-// whether a whole answer came, and whether a wrong one did.
-func streamOnce(client *http.Client, id string, request arrival, index int) (stall time.Duration, ok, wrong bool) {
+// streamOnce sends one request. It returns the wait before the first piece, whether the response
+// was complete, and whether it was wrong.
+func streamOnce(client *http.Client, id string, request traceRequest, index int) (stall time.Duration, ok, wrong bool) {
 	model := fmt.Sprintf("a%04d", request.adapter)
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d}`, model, request.pieces)
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, "http://"+id+":80/v1/completions", bodyOf(body))
@@ -267,9 +265,9 @@
 	return stall, whole, !whole
 }
 
-// someFaults kills and replaces a host, restarts an engine, takes the object
-// API away for a while and cuts a host off.
-func someFaults(length time.Duration) func(c *cluster) {
+// injectFaults kills and replaces a host, restarts engines, takes the object API down for a
+// while and cuts a host off.
+func injectFaults(length time.Duration) func(c *cluster) {
 	return func(c *cluster) {
 		part := length / 12
 		time.Sleep(2 * part)
@@ -294,8 +292,8 @@
 	}
 }
 
-// experimentLength and experimentSeeds read how long and how often, by default
-// ten minutes of trace and three seeds.
+// experimentLength and experimentSeeds return the length of the traces and the number of seeds,
+// by default ten minutes and three.
 func experimentLength(t *testing.T) time.Duration {
 	text := os.Getenv("CHERRYSTAGE_EXPERIMENT_LENGTH")
 	if text == "" {
@@ -317,11 +315,12 @@
 }
 
 func TestExperiment(t *testing.T) {
-	// Promises hold over a whole trace with faults; the figures are printed.
+	// The guarantees hold over a whole trace with faults. The full runs also print the
+	// measurements.
 	if os.Getenv("CHERRYSTAGE_EXPERIMENT") != "full" {
 		trace := makeTrace(kushiro, 1, 40*time.Second)
-		result := runDaemon(t, kushiro, trace, someFaults(40*time.Second))
-		must.Eq(t, 0, result.broken, must.Sprint(result))
+		result := runDaemon(t, kushiro, trace, injectFaults(40*time.Second))
+		must.Eq(t, 0, result.violations, must.Sprint(result))
 		return
 	}
 	length := experimentLength(t)
@@ -331,11 +330,11 @@
 			t.Logf("%s seed %d, %d requests", d.name, seed+1, len(trace))
 			daemon := runDaemon(t, d, trace, nil)
 			t.Logf("  daemon          %s", daemon)
-			faulty := runDaemon(t, d, trace, someFaults(length))
+			faulty := runDaemon(t, d, trace, injectFaults(length))
 			t.Logf("  daemon, faults  %s", faulty)
 			t.Logf("  baseline        %s", runBaseline(t, d, trace))
 			t.Logf("  reference       %s", runReference(d, trace))
-			must.Eq(t, 0, daemon.broken+faulty.broken)
+			must.Eq(t, 0, daemon.violations+faulty.violations)
 		}
 	}
 }
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -9,37 +9,36 @@
 )
 
 func TestNewVersionIsLoadedBeforeItIsCurrent(t *testing.T) {
-	// An adapter in steady use gets a new version in the inventory, which is
-	// made current a minute later. The first caller of the new version waits
-	// for no load.
+	// An adapter in steady use gets a new version, which is made current a minute later. The
+	// first request for the new version does not wait for a load.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		c.useFor(time.Minute, "a0")
+		c.requestFor(time.Minute, "a0")
 		document := sampleDocument()
 		document.Adapters[0].Versions = []string{"1", "2", "3"}
 		c.apply(document)
-		c.useFor(time.Minute, "a0")
-		must.NotEq(t, "", c.runnerWith("a0@3"))
+		c.requestFor(time.Minute, "a0")
+		must.NotEq(t, "", c.runnerWithModel("a0@3"))
 		document.Adapters[0].Current = "3"
 		c.apply(document)
 		time.Sleep(2 * time.Second)
-		before := c.stalls()
-		requireWhole(t, c.ask("e2", "a0", "new-version", 5), "a0@3", 5)
-		must.Eq(t, before, c.stalls())
+		before := c.countStalls()
+		requireComplete(t, c.complete("e2", "a0", "new-version", 5), "a0@3", 5)
+		must.Eq(t, before, c.countStalls())
 	})
 }
 
-// useFor asks for models through all hosts in turn, twice a second.
-func (c *cluster) useFor(duration time.Duration, models ...string) {
+// requestFor sends requests for the models through all hosts in turn, two per second.
+func (c *cluster) requestFor(duration time.Duration, models ...string) {
 	hosts := []string{"e1", "e2", "e3"}
 	until := time.Now().Add(duration)
 	for i := 0; time.Now().Before(until); i++ {
-		go c.ask(hosts[i%3], models[i%len(models)], fmt.Sprint("use-", i), 3)
+		go c.complete(hosts[i%3], models[i%len(models)], fmt.Sprint("use-", i), 3)
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-// stalls counts the requests of all hosts that waited for a load.
-func (c *cluster) stalls() int64 {
+// countStalls returns the number of requests that waited for a load, over all hosts.
+func (c *cluster) countStalls() int64 {
 	var stalls int64
 	for _, node := range c.nodes {
 		stalls += node.metrics.Figures().Stalls
@@ -48,25 +47,25 @@
 }
 
 func TestRestartedEngineIsRefilledHottestFirst(t *testing.T) {
-	// Both engines restart cold. Nobody asks for half a minute; then the two
-	// adapters that were in use are resident again, and callers wait for no load.
+	// Both engines restart empty. After 15 s without requests, the two adapters
+	// that were in use are resident again and requests do not wait for loads.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		c.useFor(2*time.Minute, "a0", "a1")
+		c.requestFor(2*time.Minute, "a0", "a1")
 		c.world.Engine("runner-1").Restart()
 		c.world.Engine("runner-2").Restart()
 		time.Sleep(15 * time.Second)
-		before := c.stalls()
-		requireWhole(t, c.ask("e1", "a0", "refilled-0", 5), "a0@1", 5)
-		requireWhole(t, c.ask("e2", "a1", "refilled-1", 5), "a1@1", 5)
-		must.Eq(t, before, c.stalls())
+		before := c.countStalls()
+		requireComplete(t, c.complete("e1", "a0", "refilled-0", 5), "a0@1", 5)
+		requireComplete(t, c.complete("e2", "a1", "refilled-1", 5), "a1@1", 5)
+		must.Eq(t, before, c.countStalls())
 	})
 }
 
 func TestDemandOutlivesItsHost(t *testing.T) {
-	// All entry hosts are replaced at once by ones of the same names. What was
-	// asked for before is known to the new ones within a minute.
+	// All entry hosts are replaced at once by hosts of the same names. Within a minute, the new
+	// ones have restored the demand estimates.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		c.useFor(2*time.Minute, "a0", "a1")
+		c.requestFor(2*time.Minute, "a0", "a1")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			c.kill(id)
 		}
@@ -82,9 +81,9 @@
 	})
 }
 
-func TestLoadedAheadAtTheHabitualHour(t *testing.T) {
-	// An adapter is used at the same hour on three days. On the fourth it is
-	// loaded shortly before that hour.
+func TestPrefetchBeforeUsualHour(t *testing.T) {
+	// An adapter is used at the same hour on three days. On the fourth day it is loaded shortly
+	// before that hour.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		now := time.Now().Truncate(time.Hour).Add(2 * time.Hour)
 		for day := range 3 {
@@ -94,7 +93,7 @@
 			}
 		}
 		time.Sleep(time.Until(now.Add(-time.Minute)))
-		must.NotEq(t, "", c.runnerWith("a7@1"))
-		requireWhole(t, c.ask("e1", "a7", "habit", 5), "a7@1", 5)
+		must.NotEq(t, "", c.runnerWithModel("a7@1"))
+		requireComplete(t, c.complete("e1", "a7", "habit", 5), "a7@1", 5)
 	})
 }
--- a/internal/node/history_test.go
+++ b/internal/node/history_test.go
@@ -14,32 +14,32 @@
 	"github.com/shoenig/test/must"
 )
 
-// proposed is a change that an operator sent, made from a revision.
-type proposed struct{ from inventory.Revision }
+// changeInput is a submitted change, based on a revision.
+type changeInput struct{ from inventory.Revision }
 
-// decided is what the operator was told.
-type decided struct {
+// changeOutput is the result that the operator received.
+type changeOutput struct {
 	accepted inventory.Revision
 	refused  inventory.Revision // the revision that was in force
 	verdict  verdict.Verdict
 }
 
-// headModel is the inventory's head as a register: a change is accepted exactly
-// if it was made from the revision in force, and then moves it on by one. A
-// change of unknown outcome may or may not have been accepted.
+// headModel models the head of the inventory as a register. A change is accepted if and only if
+// it is based on the current revision, which it increments. A change whose outcome is unknown
+// may or may not have been accepted.
 var headModel = porcupine.NondeterministicModel{
 	Init: func() []any { return []any{inventory.Revision(1)} },
 	Step: func(state, input, output any) []any {
-		current, in, out := state.(inventory.Revision), input.(proposed), output.(decided)
-		fits := in.from == current
+		current, in, out := state.(inventory.Revision), input.(changeInput), output.(changeOutput)
+		upToDate := in.from == current
 		switch {
-		case out.accepted > 0 && fits && out.accepted == current+1:
+		case out.accepted > 0 && upToDate && out.accepted == current+1:
 			return []any{out.accepted}
 		case out.accepted > 0:
 			return nil
-		case out.refused > 0 && (fits || out.refused != current):
+		case out.refused > 0 && (upToDate || out.refused != current):
 			return nil
-		case out.verdict == verdict.MayHaveRun && fits:
+		case out.verdict == verdict.MayHaveRun && upToDate:
 			return []any{current, current + 1}
 		default:
 			return []any{current}
@@ -48,9 +48,9 @@
 }
 
 func TestHistoryOfChangesIsLinearizable(t *testing.T) {
-	// Six operators race changes through three hosts, with answers of the
-	// object API lost now and then and an outage. What each was told fits one
-	// order of all changes, in which none is lost and none accepted twice.
+	// Six operators race changes through three hosts while the object API loses responses and
+	// has an outage. The results are consistent with one order of all changes, in which none is
+	// lost or accepted twice.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
 		var mu sync.Mutex
 		var history []porcupine.Operation
@@ -62,10 +62,10 @@
 				for i := range 25 {
 					from := c.nodes[host].Snapshot().Revision()
 					called := time.Since(began)
-					out := c.propose(host, fmt.Sprintf("h-%d-%d", client, i), from)
+					out := c.raceChange(host, fmt.Sprintf("h-%d-%d", client, i), from)
 					mu.Lock()
 					history = append(history, porcupine.Operation{
-						ClientId: client, Input: proposed{from}, Call: int64(called), Output: out, Return: int64(time.Since(began)),
+						ClientId: client, Input: changeInput{from}, Call: int64(called), Output: out, Return: int64(time.Since(began)),
 					})
 					mu.Unlock()
 					time.Sleep(time.Duration(50+37*client) * time.Millisecond)
@@ -82,7 +82,7 @@
 		wg.Wait()
 		accepted := 0
 		for _, operation := range history {
-			if operation.Output.(decided).accepted > 0 {
+			if operation.Output.(changeOutput).accepted > 0 {
 				accepted++
 			}
 		}
@@ -92,14 +92,14 @@
 	})
 }
 
-func (c *cluster) propose(host, id string, from inventory.Revision) decided {
+func (c *cluster) raceChange(host, id string, from inventory.Revision) changeOutput {
 	result, err := c.change(host, id, from, putRule("raced", id))
 	if err == nil {
-		return decided{accepted: result.Revision}
+		return changeOutput{accepted: result.Revision}
 	}
 	var failed *adminclient.APIError
 	if errors.As(err, &failed) {
-		return decided{refused: failed.Current, verdict: failed.Verdict()}
+		return changeOutput{refused: failed.Current, verdict: failed.Verdict()}
 	}
-	return decided{verdict: verdict.MayHaveRun}
+	return changeOutput{verdict: verdict.MayHaveRun}
 }
--- a/internal/node/once_test.go
+++ b/internal/node/once_test.go
@@ -14,17 +14,17 @@
 
 func bodyOf(text string) io.Reader { return bytes.NewReader([]byte(text)) }
 
-// tug sends a request that may run only once, under an idempotency key.
-func (c *cluster) tug(host, key, id string) answer {
+// tug sends a request that may run only once, with an idempotency key.
+func (c *cluster) tug(host, key, id string) response {
 	return c.send(host, "/services/dispatch/tugs", `{"tug":7}`, callerapi.HeaderIdempotencyKey, key, callerapi.HeaderRequestID, id)
 }
 
 func TestRace12SameRequestThroughTwoHostsAtOnce(t *testing.T) {
-	// A caller sends one tug call through two hosts at once under one key. It
-	// runs once; the other try is told that it may have run or has run.
+	// The same request is sent through two hosts at once with one idempotency key. It runs once,
+	// and the other attempt is told that it ran or may have run.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		var wg sync.WaitGroup
-		got := make([]answer, 2)
+		got := make([]response, 2)
 		for i, host := range []string{"e1", "e2"} {
 			wg.Go(func() { got[i] = c.tug(host, "key-1", "tug") })
 		}
@@ -43,18 +43,18 @@
 }
 
 func TestRepeatAfterFirstHostDied(t *testing.T) {
-	// The host that sent a once-only completion dies before it can note how it
-	// ended. The caller repeats it through another host under its key, and is
-	// told that it may have run; it does not run again.
+	// The host that sent a once-only completion dies before it can record the outcome. The
+	// caller repeats it through another host with the same key. It is told that the request may
+	// have run, and the request does not run again.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		c.fill("e1", "a0")
+		c.loadModels("e1", "a0")
 		header := []string{callerapi.HeaderIdempotent, "false", callerapi.HeaderIdempotencyKey, "key-2"}
-		go c.ask("e2", "a0", "once", 500, header...)
+		go c.complete("e2", "a0", "once", 500, header...)
 		time.Sleep(2 * time.Second)
 		must.Eq(t, 1, c.runs("once"))
 		c.kill("e2")
 		time.Sleep(20 * time.Second)
-		got := c.ask("e3", "a0", "once", 500, header...)
+		got := c.complete("e3", "a0", "once", 500, header...)
 		must.Eq(t, 409, got.status)
 		must.Eq(t, "may-have-run", got.verdict)
 		must.Eq(t, 1, c.runs("once"))
@@ -62,8 +62,8 @@
 }
 
 func TestClaimWithLostAnswer(t *testing.T) {
-	// The object API takes the claim and loses its answer. The host finds its
-	// own claim and runs the request, once.
+	// The object API stores the claim but loses the response. The host recognises its own claim
+	// and runs the request once.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		c.world.Platform.LoseAnswers(1)
 		must.Eq(t, 200, c.tug("e1", "key-3", "tug").status)
@@ -72,15 +72,14 @@
 }
 
 func TestOnceOnlyRequestsWhileStoreIsDown(t *testing.T) {
-	// The object API is down. A once-only request with a key cannot be claimed
-	// and is refused as not run, at once; one without a key, which its caller
-	// will not repeat, runs.
+	// The object API is down. A once-only request with a key cannot be claimed and is rejected
+	// at once as not run. One without a key, which the caller will not repeat, runs.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		c.world.Platform.SetDown(true)
 		got := c.tug("e1", "key-4", "tug")
 		must.Eq(t, 503, got.status)
 		must.Eq(t, "not-run", got.verdict)
-		must.NotEq(t, "", got.retry)
+		must.NotEq(t, "", got.retryAfter)
 		must.Eq(t, 200, c.send("e1", "/services/dispatch/tugs", `{}`, callerapi.HeaderRequestID, "keyless").status)
 		must.Eq(t, 1, c.world.Service.Runs("keyless"))
 		must.Eq(t, 0, c.world.Service.Runs("tug"))
@@ -88,29 +87,29 @@
 }
 
 func TestNotRunRefusalsAreTriedAgain(t *testing.T) {
-	// Engines refuse twice before they begin and say so. A once-only request
-	// is tried again and runs once; after a plain failure it is not.
+	// Engines that reject a once-only request before they start it cause a retry, and the
+	// request runs once. After any other failure it is not retried.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.fill("e1", "a0")
+		c.loadModels("e1", "a0")
 		c.setFaults(standin.Faults{RefuseNotRun: 1})
 		once := []string{callerapi.HeaderIdempotent, "false"}
-		requireWhole(t, c.ask("e1", "a0", "refused", 5, once...), "a0@1", 5)
+		requireComplete(t, c.complete("e1", "a0", "refused", 5, once...), "a0@1", 5)
 		must.Eq(t, 1, c.runs("refused"))
 		c.setFaults(standin.Faults{Fail500: 1})
-		got := c.ask("e1", "a0", "failed", 5, once...)
+		got := c.complete("e1", "a0", "failed", 5, once...)
 		must.Eq(t, 502, got.status)
 		must.Eq(t, "may-have-run", got.verdict)
 	})
 }
 
 func TestNotRunIsNotSaidAfterATryThatMayHaveRun(t *testing.T) {
-	// The first try of an idempotent request fails in mid-work, and may have
-	// run. Every later try is refused before it begins. The caller is told
-	// may-have-run: the last refusal says nothing of the first try.
+	// The first attempt of an idempotent request fails while it runs, so it may have run. All
+	// later attempts are rejected before they start. The verdict is may-have-run, because a
+	// rejection says nothing about the first attempt.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.fill("e1", "a0")
+		c.loadModels("e1", "a0")
 		c.setFaults(standin.Faults{Fail500: 1, RefuseNotRun: 100})
-		got := c.ask("e1", "a0", "mixed", 5)
+		got := c.complete("e1", "a0", "mixed", 5)
 		must.NotEq(t, 200, got.status)
 		must.Eq(t, "may-have-run", got.verdict)
 	})
--- a/internal/node/path_test.go
+++ b/internal/node/path_test.go
@@ -6,13 +6,13 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestRequestPastALoad(t *testing.T) {
-	// A caller asks through one host for an adapter that no runner has. The
-	// host's peer owns the runner and loads it; the caller gets the whole
-	// answer under the version that was current.
+func TestRequestWaitsForLoad(t *testing.T) {
+	// A request arrives for an adapter that no runner has. A peer of the host owns the runner
+	// and loads the adapter, and the caller receives the complete response of the current
+	// version.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		got := c.ask("e1", "a0", "r1", 5)
-		requireWhole(t, got, "a0@1", 5)
+		got := c.complete("e1", "a0", "r1", 5)
+		requireComplete(t, got, "a0@1", 5)
 		must.Eq(t, 1, c.runs("r1"))
 		story, ok := c.nodes["e1"].traces.Find("r1")
 		must.True(t, ok)
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -11,23 +11,22 @@
 )
 
 func TestOnlyHostStopsWhileRequestsWait(t *testing.T) {
-	// Callers wait for loads when their host, the only one, is told to stop. It
-	// gives its runners away and nobody takes them, so the loads never come.
-	// Each caller is served or told at once that its request has not run; left
-	// alone, they had no byte within their whole limit.
+	// Requests wait for loads when the only host is told to stop. It gives up its runners and no
+	// host takes them, so the loads never happen. Each request must be served or rejected at
+	// once as not run. Without that, callers received nothing until their deadline.
 	world := smallWorld()
 	world.LoadTime = 3 * time.Second
 	inCluster(t, 1, world, func(c *cluster) {
-		answers := make(chan answer, 5)
+		answers := make(chan response, 5)
 		for i := range cap(answers) {
-			go func() { answers <- c.ask("e1", fmt.Sprintf("a%d", i), fmt.Sprint("waits", i), 5) }()
+			go func() { answers <- c.complete("e1", fmt.Sprintf("a%d", i), fmt.Sprint("waits", i), 5) }()
 		}
 		time.Sleep(500 * time.Millisecond)
 		begin := time.Now()
 		node := c.nodes["e1"]
 		go func() { _, _ = node.Shutdown(context.Background(), node.callers) }()
 		for range cap(answers) {
-			got := await(t, answers)
+			got := receive(t, answers)
 			if got.status != http.StatusOK {
 				must.Eq(t, http.StatusServiceUnavailable, got.status)
 				must.Eq(t, "not-run", got.verdict)
--- a/internal/node/streams_test.go
+++ b/internal/node/streams_test.go
@@ -14,7 +14,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// setFaults gives every engine the same faults.
+// setFaults sets the faults of all engines.
 func (c *cluster) setFaults(faults standin.Faults) {
 	for _, e := range c.world.Engines {
 		e.SetFaults(faults)
@@ -22,21 +22,21 @@
 }
 
 func TestPiecesOutOfOrderAndTwice(t *testing.T) {
-	// The engine sends pieces out of order and some twice. The caller reads
-	// each once, in order.
+	// The engine sends pieces out of order and some of them twice. The caller receives each once
+	// and in order.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		c.setFaults(standin.Faults{Shuffle: true})
-		requireWhole(t, c.ask("e1", "a0", "shuffled", 21), "a0@1", 21)
+		requireComplete(t, c.complete("e1", "a0", "shuffled", 21), "a0@1", 21)
 	})
 }
 
 func TestAnswerUnderAnotherNameIsNotPassedOn(t *testing.T) {
-	// Every engine answers under another adapter's name. No piece reaches the
-	// caller; it is told that the request may have run.
+	// All engines respond under the name of another adapter. The caller receives no piece and is
+	// told that the request may have run.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.fill("e1", "a0")
+		c.loadModels("e1", "a0")
 		c.setFaults(standin.Faults{WrongName: true})
-		got := c.ask("e1", "a0", "wrong", 5)
+		got := c.complete("e1", "a0", "wrong", 5)
 		must.Eq(t, http.StatusBadGateway, got.status)
 		must.Eq(t, "wrong_model", got.code)
 		must.Eq(t, "may-have-run", got.verdict)
@@ -45,81 +45,81 @@
 }
 
 func TestVersionIsFixedAtAdmission(t *testing.T) {
-	// While a request waits for a load of version 1, operators make version 2
-	// the current one. The request still runs on version 1, the next on 2.
+	// While a request waits for a load of version 1, operators make version 2 current. The
+	// request still runs on version 1, the next one on version 2.
 	world := smallWorld()
 	world.LoadTime = 3 * time.Second
 	inCluster(t, 2, world, func(c *cluster) {
-		waiting := make(chan answer, 1)
-		go func() { waiting <- c.ask("e1", "a0", "old", 5) }()
+		waiting := make(chan response, 1)
+		go func() { waiting <- c.complete("e1", "a0", "old", 5) }()
 		time.Sleep(time.Second)
 		document := sampleDocument()
 		document.Adapters[0].Current = "2"
 		c.apply(document)
-		requireWhole(t, await(t, waiting), "a0@1", 5)
-		requireWhole(t, c.ask("e1", "a0", "new", 5), "a0@2", 5)
+		requireComplete(t, receive(t, waiting), "a0@1", 5)
+		requireComplete(t, c.complete("e1", "a0", "new", 5), "a0@2", 5)
 	})
 }
 
 func TestRace09SilenceInMidAnswer(t *testing.T) {
-	// Two callers stream through one host when its connections to the runner go
-	// silent; new connections work. Each stream is taken up again from its
-	// first missing piece, and each caller gets its own answer, whole.
+	// The connections of a host to the runners go silent in the middle of streams, while new
+	// connections work. Each stream is resumed at its first missing piece, and each response is
+	// complete.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.fill("e1", "a0", "a1")
+		c.loadModels("e1", "a0", "a1")
 		var wg sync.WaitGroup
-		got := make([]answer, 4)
+		got := make([]response, 4)
 		for i := range got {
 			model := fmt.Sprintf("a%d", i%2)
-			wg.Go(func() { got[i] = c.ask("e1", model, fmt.Sprint("s", i), 100+i) })
+			wg.Go(func() { got[i] = c.complete("e1", model, fmt.Sprint("s", i), 100+i) })
 		}
 		time.Sleep(time.Second)
 		c.net.Silence("e1", "runner-1")
 		c.net.Silence("e1", "runner-2")
 		wg.Wait()
 		for i := range got {
-			requireWhole(t, got[i], fmt.Sprintf("a%d@1", i%2), 100+i)
+			requireComplete(t, got[i], fmt.Sprintf("a%d@1", i%2), 100+i)
 			must.Eq(t, 1, c.runs(fmt.Sprint("s", i)))
 		}
 	})
 }
 
 func TestSilentIdleConnections(t *testing.T) {
-	// The host's idle connections to the runners have gone silent. A request
-	// that goes out on one is asked for again on a new one after the silence
-	// timeout, not after the much longer wait for a first piece.
+	// Idle connections of the host to the runners have gone silent. A request sent on one of
+	// them is resumed on a new connection after the silence timeout rather than the much longer
+	// timeout for a first piece.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.fill("e1", "a0")
-		requireWhole(t, c.ask("e1", "a0", "leaves-a-connection", 1), "a0@1", 1)
+		c.loadModels("e1", "a0")
+		requireComplete(t, c.complete("e1", "a0", "leaves-a-connection", 1), "a0@1", 1)
 		c.net.Silence("e1", "runner-1")
 		c.net.Silence("e1", "runner-2")
 		began := time.Now()
-		requireWhole(t, c.ask("e1", "a0", "on-a-silent-one", 5), "a0@1", 5)
+		requireComplete(t, c.complete("e1", "a0", "on-a-silent-one", 5), "a0@1", 5)
 		must.Less(t, 15*time.Second, time.Since(began))
 	})
 }
 
 func TestResetInMidAnswer(t *testing.T) {
-	// The engine's connection breaks after some pieces. The rest is asked for
-	// on a new connection; the request runs once.
+	// The connection to the engine is reset after some pieces. The rest is requested on a new
+	// connection, and the request runs once.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		c.setFaults(standin.Faults{ResetAt: 7})
-		requireWhole(t, c.ask("e1", "a0", "reset", 20, callerapi.HeaderIdempotent, "false"), "a0@1", 20)
+		requireComplete(t, c.complete("e1", "a0", "reset", 20, callerapi.HeaderIdempotent, "false"), "a0@1", 20)
 		must.Eq(t, 1, c.runs("reset"))
 	})
 }
 
 func TestRace10GivenUpRequestIsNotRepeated(t *testing.T) {
-	// An engine says nothing for longer than the host waits. The caller of a
-	// request that may run once is told at once that it may have run; what the
-	// engine says later changes nothing, and it is not sent anywhere again.
-	tune := func(cfg *settings.Settings) { cfg.Timing.FirstPieceTimeout = 3 * time.Second }
+	// An engine is silent for longer than the host waits. The caller of a once-only request is
+	// told at once that it may have run. A later response of the engine changes nothing, and the
+	// request is not sent again.
+	configure := func(cfg *settings.Settings) { cfg.Timing.FirstPieceTimeout = 3 * time.Second }
 	world := smallWorld()
 	world.TokenTime = 10 * time.Second
-	synctestCluster(t, 2, world, tune, func(c *cluster) {
-		c.ask("e1", "a0", "loads-it", 1)
+	inConfiguredCluster(t, 2, world, configure, func(c *cluster) {
+		c.complete("e1", "a0", "loads-it", 1)
 		began := time.Now()
-		got := c.ask("e1", "a0", "once", 1, callerapi.HeaderIdempotent, "false")
+		got := c.complete("e1", "a0", "once", 1, callerapi.HeaderIdempotent, "false")
 		must.Eq(t, http.StatusGatewayTimeout, got.status)
 		must.Eq(t, "may-have-run", got.verdict)
 		must.Less(t, 4*time.Second, time.Since(began))
@@ -129,8 +129,8 @@
 }
 
 func TestCallerGoesAway(t *testing.T) {
-	// A caller goes away in mid-answer. The engine is told to cancel, and the
-	// adapter can be evicted once the engine shows it idle.
+	// A caller disconnects during a response. The host cancels the request at the engine and no
+	// longer counts it as open.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		ctx, leave := context.WithTimeout(context.Background(), 2*time.Second)
 		defer leave()
@@ -145,24 +145,24 @@
 		<-ctx.Done()
 		_ = resp.Body.Close()
 		time.Sleep(time.Second)
-		must.Eq(t, 1, c.world.Engine(c.runnerWith("a0@1")).Counts().Cancels)
+		must.Eq(t, 1, c.world.Engine(c.runnerWithModel("a0@1")).Counts().Cancels)
 		must.Eq(t, 0, c.nodes["e1"].openRequests.Open())
 	})
 }
 
 func TestRace11GracefulStopCutsOffNothing(t *testing.T) {
-	// A host is told to stop with 600 streams open, and the balancer still
-	// sends to it for some seconds. It says at once that it is not ready, takes
-	// what comes, and ends when the last stream has; none is cut off.
+	// A host is told to stop with 600 open streams, while the load balancer sends requests to it
+	// for some more seconds. It is not ready at once, accepts these requests, and stops after
+	// the last stream. None is cut off.
 	world := smallWorld()
 	world.MaxBatch = 400
-	tune := func(cfg *settings.Settings) { cfg.Timing.DrainLimit = 5 * time.Minute }
-	synctestCluster(t, 2, world, tune, func(c *cluster) {
-		c.fill("e1", "a0")
-		got := make([]answer, 620)
+	configure := func(cfg *settings.Settings) { cfg.Timing.DrainLimit = 5 * time.Minute }
+	inConfiguredCluster(t, 2, world, configure, func(c *cluster) {
+		c.loadModels("e1", "a0")
+		got := make([]response, 620)
 		var wg sync.WaitGroup
 		for i := range 600 {
-			wg.Go(func() { got[i] = c.ask("e1", "a0", fmt.Sprint("open", i), 1000) })
+			wg.Go(func() { got[i] = c.complete("e1", "a0", fmt.Sprint("open", i), 1000) })
 		}
 		time.Sleep(5 * time.Second)
 		must.Eq(t, 600, c.nodes["e1"].openRequests.Open())
@@ -174,24 +174,24 @@
 		time.Sleep(100 * time.Millisecond)
 		must.False(t, c.nodes["e1"].Ready())
 		for i := range 20 {
-			wg.Go(func() { got[600+i] = c.ask("e1", "a0", fmt.Sprint("late", i), 1000) })
+			wg.Go(func() { got[600+i] = c.complete("e1", "a0", fmt.Sprint("late", i), 1000) })
 			time.Sleep(200 * time.Millisecond)
 		}
 		wg.Wait()
-		must.Eq(t, 0, await(t, stopped))
+		must.Eq(t, 0, receive(t, stopped))
 		for i := range got {
-			requireWhole(t, got[i], "a0@1", 1000)
+			requireComplete(t, got[i], "a0@1", 1000)
 		}
 	})
 }
 
 func TestDrainLimitTellsWhatItCut(t *testing.T) {
-	// A stream outlasts the limit of a graceful stop. The stop ends at the
-	// limit and tells how many it cut off.
-	tune := func(cfg *settings.Settings) { cfg.Timing.DrainLimit = 20 * time.Second }
-	synctestCluster(t, 2, smallWorld(), tune, func(c *cluster) {
-		c.fill("e1", "a0")
-		go c.ask("e1", "a0", "long", 5000)
+	// A stream takes longer than the drain limit. The shutdown ends at the limit and returns the
+	// number of requests cut off.
+	configure := func(cfg *settings.Settings) { cfg.Timing.DrainLimit = 20 * time.Second }
+	inConfiguredCluster(t, 2, smallWorld(), configure, func(c *cluster) {
+		c.loadModels("e1", "a0")
+		go c.complete("e1", "a0", "long", 5000)
 		time.Sleep(time.Second)
 		cut, err := c.nodes["e1"].Shutdown(context.Background(), c.nodes["e1"].callers)
 		must.Eq(t, 1, cut)
@@ -200,19 +200,19 @@
 }
 
 func TestStoppedHostLeavesNoPins(t *testing.T) {
-	// A host stops gracefully and stays on the host list. The adapters that its
-	// callers used last can make room for others at once.
-	tune := func(cfg *settings.Settings) { cfg.Timing.DrainNotice = time.Second }
-	synctestCluster(t, 2, smallWorld(), tune, func(c *cluster) {
+	// A host stops gracefully and remains on the host list. The adapters that it used last can
+	// be evicted at once.
+	configure := func(cfg *settings.Settings) { cfg.Timing.DrainNotice = time.Second }
+	inConfiguredCluster(t, 2, smallWorld(), configure, func(c *cluster) {
 		for _, model := range []string{"a0", "a1", "a2", "a3"} {
-			requireWhole(t, c.ask("e1", model, "last-"+model, 1), model+"@1", 1)
+			requireComplete(t, c.complete("e1", model, "last-"+model, 1), model+"@1", 1)
 		}
 		cut, err := c.nodes["e1"].Shutdown(context.Background(), c.nodes["e1"].callers)
 		must.NoError(t, err)
 		must.Eq(t, 0, cut)
 		c.kill("e1")
 		for _, model := range []string{"a4", "a5", "a6", "a7"} {
-			requireWhole(t, c.ask("e2", model, "new-"+model, 1), model+"@1", 1)
+			requireComplete(t, c.complete("e2", model, "new-"+model, 1), model+"@1", 1)
 		}
 	})
 }
