--- a/internal/adapters/controller.go
+++ b/internal/adapters/controller.go
@@ -209,7 +209,7 @@
 		c.refuseAll(ErrUnresponsive)
 		return syncRetryInterval
 	}
-	if report.Born != 0 && report.Born != c.runner.Born {
+	if report.Born != 0 && report.Born != c.runner.StartedMS {
 		return c.handleOtherLifetime(report.Born)
 	}
 	c.mu.Lock()
@@ -246,9 +246,9 @@
 // lifetime means that the runner has restarted; an earlier one means that the report
 // was overtaken.
 func (c *Controller) handleOtherLifetime(born int64) time.Duration {
-	c.log.Info("report of another lifetime of the runner ignored", "born", born, "keeper_born", c.runner.Born)
+	c.log.Info("report of another lifetime of the runner ignored", "born", born, "keeper_born", c.runner.StartedMS)
 	c.refuseAll(ErrUnresponsive)
-	if born > c.runner.Born {
+	if born > c.runner.StartedMS {
 		c.OnRestart(c.runner.Instance, born)
 	}
 	return syncRetryInterval
--- a/internal/adapters/late_test.go
+++ b/internal/adapters/late_test.go
@@ -81,7 +81,7 @@
 		engine.restart()
 
 		after := newTestController(&now, 3, engine)
-		after.runner = after.runner.Aged(engine.born)
+		after.runner = after.runner.WithStart(engine.born)
 		after.slots.Inherited = before.unansweredOrders(now)
 		for i := range 8 {
 			_, _ = after.Admit(testRequest(10+i, time.Second))
@@ -131,7 +131,7 @@
 			now := epoch
 			engine := &lossyEngine{born: test.born, held: map[Key]bool{testKey(1): true}}
 			c := newTestController(&now, 3, engine)
-			c.runner = &site.Runner{ID: "r~200", Instance: "r", Born: 200, Slots: 64}
+			c.runner = &site.Runner{ID: "r~200", Instance: "r", StartedMS: 200, Slots: 64}
 			var told []int64
 			c.OnRestart = func(instance string, born int64) {
 				must.Eq(t, "r", instance)
