--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -163,7 +163,7 @@
 }
 
 // newRequest fills in what every request has.
-func newRequest(c echo.Context, caller inventory.Caller, treatment inventory.Treatment) (dispatch.Request, error) {
+func newRequest(c echo.Context, caller inventory.Caller, treatment inventory.Policy) (dispatch.Request, error) {
 	header := c.Request().Header
 	id := header.Get(HeaderRequestID)
 	if id == "" {
@@ -234,7 +234,7 @@
 	if err != nil {
 		return err
 	}
-	req, err := newRequest(c, caller, snapshot.Treat(caller, "", name, path))
+	req, err := newRequest(c, caller, snapshot.PolicyFor(caller, "", name, path))
 	if err != nil {
 		return err
 	}
@@ -326,7 +326,7 @@
 	if !inventory.Allows(adapter.Callers, caller.Name) {
 		return dispatch.Request{}, refuse(http.StatusForbidden, codeForbidden, "caller "+caller.Name+" may not use adapter "+adapter.Name)
 	}
-	req, err := newRequest(c, caller, snapshot.Treat(caller, adapter.Name, "", c.Request().URL.Path))
+	req, err := newRequest(c, caller, snapshot.PolicyFor(caller, adapter.Name, "", c.Request().URL.Path))
 	if err != nil {
 		return dispatch.Request{}, err
 	}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -220,10 +220,10 @@
 	}
 }
 
-// Restarted notes that a runner has started again under its instance, by its own
+// MarkRestarted notes that a runner has started again under its instance, by its own
 // word and before its entry says so. Behind a cut from the store its entry stays as
 // it was, and this host would wait for adapters of the lifetime before.
-func (d *Directory) Restarted(instance string, born int64) {
+func (d *Directory) MarkRestarted(instance string, born int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known, ok := d.runners[instance]
@@ -237,13 +237,13 @@
 // leavingLife is how long a runner's word that it leaves is kept. Its process ends long before.
 const leavingLife = 10 * time.Minute
 
-// Leaves notes that a runner's lifetime leaves by its own word, and says whether that is
+// MarkLeaving notes that a runner's lifetime leaves by its own word, and says whether that is
 // news. It holds for the lifetime, whatever its entry says.
 //
 // While the store takes no writes the entry of a runner that leaves says that it is ready,
 // and a write that is carried out late says so again. Believed over the runner's word, it
 // would get requests that it cannot end.
-func (d *Directory) Leaves(id string) bool {
+func (d *Directory) MarkLeaving(id string) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.now()
@@ -266,9 +266,9 @@
 // mostLeaving bounds how many runners that leave a host tells another of at a time.
 const mostLeaving = 32
 
-// Leaving gives the listed runners that leave by their own word while their entries do not
+// UnlistedLeaving gives the listed runners that leave by their own word while their entries do not
 // say so.
-func (d *Directory) Leaving() []string {
+func (d *Directory) UnlistedLeaving() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var ids []string
--- a/internal/entry/backpressure.go
+++ b/internal/entry/backpressure.go
@@ -112,7 +112,7 @@
 	if change.BackoffStarted {
 		p.log.Info("runner requested a pause", "runner", runner, "from", from, "rest_ms", signal.Backoff.Milliseconds())
 	}
-	if signal.Leaving && p.directory.Leaves(runner) {
+	if signal.Leaving && p.directory.MarkLeaving(runner) {
 		p.log.Info("runner announced that it is leaving", "runner", runner, "from", from)
 	}
 	if change.MalformedStarted {
@@ -132,7 +132,7 @@
 
 // applyPeerLeaving applies a peer's report that a runner is leaving.
 func (p *backpressure) applyPeerLeaving(runner, host string) {
-	if _, known := p.directory.Snapshot().Runners[runner]; known && p.directory.Leaves(runner) {
+	if _, known := p.directory.Snapshot().Runners[runner]; known && p.directory.MarkLeaving(runner) {
 		p.log.Info("runner announced that it is leaving", "runner", runner, "from", "host "+host)
 	}
 }
--- a/internal/entry/status.go
+++ b/internal/entry/status.go
@@ -83,7 +83,7 @@
 	}
 	current.Quarantine = s.localDigest()
 	current.Limits = s.board.LimitReports(s.now())
-	current.Leaving = s.directory.Leaving()
+	current.Leaving = s.directory.UnlistedLeaving()
 	return current
 }
 
--- a/internal/inventory/snapshot.go
+++ b/internal/inventory/snapshot.go
@@ -305,16 +305,16 @@
 	return Adapter{}, "", errors.Errorf("adapter %q has no version %q", name, version)
 }
 
-// Treatment is what the rules say of a request.
-type Treatment struct {
+// Policy is what the rules say of a request.
+type Policy struct {
 	NonIdempotent bool
 	Priority      int
 }
 
-// Treat applies the rules to a request of a caller; adapter or service is
+// PolicyFor applies the rules to a request of a caller; adapter or service is
 // empty where it does not apply.
-func (s *Snapshot) Treat(caller Caller, adapter, service, path string) Treatment {
-	treatment := Treatment{Priority: caller.Priority}
+func (s *Snapshot) PolicyFor(caller Caller, adapter, service, path string) Policy {
+	treatment := Policy{Priority: caller.Priority}
 	for _, rule := range s.rules {
 		if !rule.matches(caller.Name, adapter, service, path) {
 			continue
