--- a/cmd/cherryctl/audit.go
+++ b/cmd/cherryctl/audit.go
@@ -21,7 +21,7 @@
 		row(w, "REVISION", "AT", "OPERATOR", "FROM", "CHANGE", "ITEMS", "NOTE")
 		for _, change := range trail {
 			row(w, change.Revision, change.At.Format(time.RFC3339), change.Operator, change.From, change.ID,
-				strings.Join(change.Touched(), " "), orDash(change.Note))
+				strings.Join(change.ItemNames(), " "), orDash(change.Note))
 		}
 	})
 }
--- a/cmd/cherryctl/status.go
+++ b/cmd/cherryctl/status.go
@@ -25,7 +25,7 @@
 	row(w)
 	row(w, "HOST", "DATA CENTRE", "STATE", "HEARD", "REVISION", "LEAVING")
 	for _, h := range s.Hosts {
-		row(w, h.Host, h.DataCentre, orDash(string(h.State)), h.Speaking, h.Revision, h.Leaving)
+		row(w, h.Host, h.DataCentre, orDash(string(h.State)), h.Alive, h.Revision, h.Leaving)
 	}
 	row(w)
 	row(w, "RUNNER", "STATE", "OWNER", "FENCE", "RUNNING", "BATCH", "FILL", "SLOTS", "BLOCKED BY", "MODELS")
--- a/cmd/cherryctl/wait.go
+++ b/cmd/cherryctl/wait.go
@@ -48,10 +48,10 @@
 func behindOf(status adminapi.Status, revision uint64) []string {
 	var behind []string
 	for _, host := range status.Hosts {
-		if host.State == fleet.StateLeaving && !host.Speaking {
+		if host.State == fleet.StateLeaving && !host.Alive {
 			continue
 		}
-		if host.Revision < revision || !host.Speaking {
+		if host.Revision < revision || !host.Alive {
 			behind = append(behind, host.Host)
 		}
 	}
--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -224,7 +224,7 @@
 	body := ErrorResult{Message: err.Error(), Verdict: verdict.Of(err)}
 	var stale *configlog.StaleError
 	var rejected *configlog.RejectedError
-	var unknown *configlog.UnknownError
+	var unknown *configlog.OutcomeUnknownError
 	switch {
 	case errors.As(err, &stale):
 		body.Code, body.Current, body.Since = CodeStale, stale.Current, stale.Since
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -74,7 +74,7 @@
 		{name: "ops and document", method: "POST", path: "/v1/changes", body: `{"change_id":"c","ops":[{}],"document":{}}`, status: 400, code: CodeBadRequest, verdict: verdict.NotRun},
 		{name: "old revision", method: "POST", path: "/v1/changes", body: deletion, err: &configlog.StaleError{From: 4, Current: 5}, status: 409, code: CodeStale, verdict: verdict.NotRun},
 		{name: "wrong change", method: "POST", path: "/v1/changes", body: deletion, err: &configlog.RejectedError{Cause: errors.New("x")}, status: 422, code: CodeRejected, verdict: verdict.NotRun},
-		{name: "outcome unknown", method: "POST", path: "/v1/changes", body: deletion, err: &configlog.UnknownError{ChangeID: "c1", Cause: errors.New("x")}, status: 504, code: CodeUnknown, verdict: verdict.MayHaveRun},
+		{name: "outcome unknown", method: "POST", path: "/v1/changes", body: deletion, err: &configlog.OutcomeUnknownError{ChangeID: "c1", Cause: errors.New("x")}, status: 504, code: CodeUnknown, verdict: verdict.MayHaveRun},
 		{name: "platform away", method: "POST", path: "/v1/changes", body: deletion, err: unavailable, status: 503, code: CodeUnavailable, verdict: verdict.NotRun},
 		{name: "audit while the platform is away", method: "GET", path: "/v1/changes", err: unavailable, status: 503, code: CodeUnavailable, verdict: verdict.NotRun},
 		{name: "audit with a wrong limit", method: "GET", path: "/v1/changes?limit=0", status: 400, code: CodeBadRequest, verdict: verdict.NotRun},
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -30,8 +30,8 @@
 // HostStatus is one entry host.
 type HostStatus struct {
 	fleet.Member
-	State    fleet.State `json:"state"`
-	Speaking bool        `json:"speaking"`
+	State fleet.State `json:"state"`
+	Alive bool        `json:"speaking"`
 }
 
 // RunnerStatus is one runner.
--- a/internal/configlog/chunks.go
+++ b/internal/configlog/chunks.go
@@ -11,8 +11,8 @@
 	"github.com/pkg/errors"
 )
 
-// Split cuts a snapshot into documents of bounded size.
-func Split(snapshot *inventory.Snapshot) ([][]byte, error) {
+// EncodeChunks cuts a snapshot into documents of bounded size.
+func EncodeChunks(snapshot *inventory.Snapshot) ([][]byte, error) {
 	rest := snapshot.Document()
 	adapters := rest.Adapters
 	rest.Adapters = nil
@@ -52,8 +52,8 @@
 	return len(adapters), nil
 }
 
-// Join makes a snapshot from chunks.
-func Join(revision inventory.Revision, chunks [][]byte) (*inventory.Snapshot, error) {
+// DecodeChunks makes a snapshot from chunks.
+func DecodeChunks(revision inventory.Revision, chunks [][]byte) (*inventory.Snapshot, error) {
 	var ops []inventory.Op
 	for _, chunk := range chunks {
 		var part inventory.Document
@@ -71,7 +71,7 @@
 // writeChunks stores a snapshot. A chunk is named for its content, so writing
 // it twice, or after a lost answer, is harmless.
 func (p *Publisher) writeChunks(ctx context.Context, snapshot *inventory.Snapshot) ([]string, error) {
-	chunks, err := Split(snapshot)
+	chunks, err := EncodeChunks(snapshot)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/configlog/configlog.go
+++ b/internal/configlog/configlog.go
@@ -42,8 +42,8 @@
 type Ref struct {
 	Revision inventory.Revision `json:"revision"`
 	ChangeID string             `json:"change_id"`
-	// Rebased says that the change's steps stand in the chunks only.
-	Rebased bool `json:"rebased,omitempty"`
+	// OpsInChunks says that the change's steps stand in the chunks only.
+	OpsInChunks bool `json:"rebased,omitempty"`
 }
 
 // Key gives the object that holds the change.
@@ -54,9 +54,9 @@
 // Head is the one object that is ever changed.
 type Head struct {
 	Revision inventory.Revision `json:"revision"`
-	// Base is the revision that the chunks hold.
-	Base   inventory.Revision `json:"base"`
-	Chunks []string           `json:"chunks,omitempty"`
+	// ChunksRevision is the revision that the chunks hold.
+	ChunksRevision inventory.Revision `json:"base"`
+	Chunks         []string           `json:"chunks,omitempty"`
 	// Changes are the last accepted changes, oldest first; those after Base
 	// are to be applied to the chunks.
 	Changes []Ref `json:"changes"`
@@ -98,20 +98,20 @@
 	// be followed beyond what the head names.
 	Previous *Ref           `json:"previous,omitempty"`
 	Ops      []inventory.Op `json:"ops,omitempty"`
-	// Rebased says that the steps were too large and stand in the head's chunks.
-	Rebased bool `json:"rebased,omitempty"`
+	// OpsInChunks says that the steps were too large and stand in the head's chunks.
+	OpsInChunks bool `json:"rebased,omitempty"`
 	// Items is the number of steps.
 	Items int `json:"items"`
 }
 
 // Ref gives the change's name.
 func (c Change) Ref() Ref {
-	return Ref{Revision: c.Revision, ChangeID: c.ID, Rebased: c.Rebased}
+	return Ref{Revision: c.Revision, ChangeID: c.ID, OpsInChunks: c.OpsInChunks}
 }
 
 // Apply makes the next snapshot from a change.
 func (c Change) Apply(snapshot *inventory.Snapshot) (*inventory.Snapshot, error) {
-	if c.Rebased {
+	if c.OpsInChunks {
 		return nil, errors.Errorf("change %s stands in chunks", c.ID)
 	}
 	if c.Revision != snapshot.Revision()+1 {
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -61,8 +61,8 @@
 	return joined
 }
 
-// Moved gives a channel that is closed at the next change.
-func (f *Follower) Moved() <-chan struct{} {
+// Changed gives a channel that is closed at the next change.
+func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.moved
@@ -79,15 +79,15 @@
 	}
 	var changes []Change
 	for _, change := range f.recent {
-		if change.Revision > revision && !change.Rebased {
+		if change.Revision > revision && !change.OpsInChunks {
 			changes = append(changes, change)
 		}
 	}
 	return changes, inventory.Revision(len(changes)) == current-revision
 }
 
-// Follow applies a peer's changes.
-func (f *Follower) Follow(changes []Change) error {
+// ApplyPeerChanges applies a peer's changes.
+func (f *Follower) ApplyPeerChanges(changes []Change) error {
 	snapshot := f.Snapshot()
 	var applied []Change
 	for _, change := range changes {
--- a/internal/configlog/publish.go
+++ b/internal/configlog/publish.go
@@ -43,7 +43,7 @@
 func (e *StaleError) Error() string {
 	var since []string
 	for _, change := range e.Since {
-		since = append(since, fmt.Sprintf("%d by %s: %s", change.Revision, change.Operator, strings.Join(change.Touched(), ", ")))
+		since = append(since, fmt.Sprintf("%d by %s: %s", change.Revision, change.Operator, strings.Join(change.ItemNames(), ", ")))
 	}
 	return fmt.Sprintf("made from revision %d, but revision %d is in force; since then: %s", e.From, e.Current, strings.Join(since, "; "))
 }
@@ -63,28 +63,28 @@
 // Verdict says that a rejected change has no effect.
 func (e *RejectedError) Verdict() verdict.Verdict { return verdict.NotRun }
 
-// UnknownError says that a change may or may not have been accepted.
-type UnknownError struct {
+// OutcomeUnknownError says that a change may or may not have been accepted.
+type OutcomeUnknownError struct {
 	ChangeID string
 	Cause    error
 }
 
 // Error implements error.
-func (e *UnknownError) Error() string {
+func (e *OutcomeUnknownError) Error() string {
 	return fmt.Sprintf("change %s may or may not have been accepted: send it again under the same identifier, or look for it in the audit trail: %s", e.ChangeID, e.Cause)
 }
 
 // Unwrap gives the cause.
-func (e *UnknownError) Unwrap() error { return e.Cause }
+func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
 // Verdict says that the change may be in force.
-func (e *UnknownError) Verdict() verdict.Verdict { return verdict.MayHaveRun }
+func (e *OutcomeUnknownError) Verdict() verdict.Verdict { return verdict.MayHaveRun }
 
 // touchedLimit bounds the items that a message lists of one change.
 const touchedLimit = 5
 
-// Touched lists the items that a change touches, the first few of many.
-func (c Change) Touched() []string {
+// ItemNames lists the items that a change touches, the first few of many.
+func (c Change) ItemNames() []string {
 	var items []string
 	for _, op := range c.Ops {
 		if len(items) == touchedLimit {
@@ -92,7 +92,7 @@
 		}
 		items = append(items, op.Item())
 	}
-	if c.Rebased {
+	if c.OpsInChunks {
 		items = append(items, fmt.Sprintf("%d items", c.Items))
 	}
 	return items
@@ -139,7 +139,7 @@
 	if lost == nil || errors.As(err, &stale) {
 		return err
 	}
-	return &UnknownError{ChangeID: proposal.ChangeID, Cause: lost}
+	return &OutcomeUnknownError{ChangeID: proposal.ChangeID, Cause: lost}
 }
 
 func (p *Publisher) try(ctx context.Context, known *inventory.Snapshot, proposal Proposal, now time.Time) (Change, error) {
@@ -175,16 +175,16 @@
 		return Change{}, &RejectedError{Cause: err}
 	}
 	if len(text) > inlineOpsBytes {
-		change.Rebased = true
+		change.OpsInChunks = true
 		change.Ops = nil
 		text, _ = json.Marshal(change)
 	}
 	nextHead := head.extend(change)
-	if change.Rebased || change.Revision-head.Base >= compactAfter {
+	if change.OpsInChunks || change.Revision-head.ChunksRevision >= compactAfter {
 		if nextHead.Chunks, err = p.writeChunks(ctx, next); err != nil {
 			return Change{}, err
 		}
-		nextHead.Base = change.Revision
+		nextHead.ChunksRevision = change.Revision
 	}
 	if err := p.createOnce(ctx, change.Ref().Key(), text); err != nil {
 		return Change{}, err
--- a/internal/configlog/read.go
+++ b/internal/configlog/read.go
@@ -46,7 +46,7 @@
 		return snapshot, nil, nil
 	}
 	refs, complete := head.After(snapshot.Revision())
-	if !complete || anyRebased(refs) {
+	if !complete || anyInChunks(refs) {
 		based, err := r.chunks(ctx, head)
 		if err != nil {
 			return nil, nil, err
@@ -68,10 +68,10 @@
 	return snapshot, changes, nil
 }
 
-// anyRebased says whether one of the changes stands in chunks only.
-func anyRebased(refs []Ref) bool {
+// anyInChunks says whether one of the changes stands in chunks only.
+func anyInChunks(refs []Ref) bool {
 	for _, ref := range refs {
-		if ref.Rebased {
+		if ref.OpsInChunks {
 			return true
 		}
 	}
@@ -87,7 +87,7 @@
 		}
 		chunks = append(chunks, object.Value)
 	}
-	return Join(head.Base, chunks)
+	return DecodeChunks(head.ChunksRevision, chunks)
 }
 
 // Audit reads the trail backwards from the head, newest first.
--- a/internal/configsync/configsync.go
+++ b/internal/configsync/configsync.go
@@ -177,7 +177,7 @@
 
 // ApplyAccepted applies a change that this host has just had accepted.
 func (s *Service) ApplyAccepted(change configlog.Change) {
-	if err := s.follower.Follow([]configlog.Change{change}); err != nil {
+	if err := s.follower.ApplyPeerChanges([]configlog.Change{change}); err != nil {
 		// The change is stored in chunks or does not follow the current revision; the next
 		// read of the head brings it.
 		s.log.Debug("accepted change not applied directly", "error", err)
@@ -262,7 +262,7 @@
 		return s.pullAllParts(ctx, member)
 	}
 	before := s.follower.Snapshot().Revision()
-	if err := s.follower.Follow(since.Changes); err != nil {
+	if err := s.follower.ApplyPeerChanges(since.Changes); err != nil {
 		return err
 	}
 	if now := s.follower.Snapshot().Revision(); now > before {
--- a/internal/configsync/parts.go
+++ b/internal/configsync/parts.go
@@ -36,7 +36,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p.Index == 0 && c.revision != snapshot.Revision() {
-		parts, err := configlog.Split(snapshot)
+		parts, err := configlog.EncodeChunks(snapshot)
 		if err != nil {
 			return partResult{}, err
 		}
@@ -65,7 +65,7 @@
 		}
 		params = partParams{Revision: part.Revision, Index: len(parts)}
 	}
-	snapshot, err := configlog.Join(revision, parts)
+	snapshot, err := configlog.DecodeChunks(revision, parts)
 	if err != nil {
 		return err
 	}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -42,7 +42,7 @@
 		Open: n.streams.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.budget.Denied(),
 		PinsHeld: n.holder.Count(), RunnersOwned: len(n.controller.Owned()),
 		LeaseSeconds: max(0, n.controller.Lease().Sub(now).Seconds()), LoadsWanted: n.controller.Wanted(),
-		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.Calls(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
+		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.CallCount(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
 		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
 		UptimeSeconds: now.Sub(n.started).Seconds(),
 	}
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -118,7 +118,7 @@
 	}
 	for _, member := range n.members.All() {
 		host, _ := n.hosts.Host(member.Host)
-		status.Hosts = append(status.Hosts, adminapi.HostStatus{Member: member, State: host.State, Speaking: n.members.Alive(member.Host, now)})
+		status.Hosts = append(status.Hosts, adminapi.HostStatus{Member: member, State: host.State, Alive: n.members.Alive(member.Host, now)})
 	}
 	for _, view := range n.table.Views() {
 		host, _ := n.hosts.Host(view.Runner)
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Calls gives the number of calls made so far.
-func (c *Client) Calls() int64 { return c.calls.Load() }
+// CallCount gives the number of calls made so far.
+func (c *Client) CallCount() int64 { return c.calls.Load() }
 
 // Get reads one object.
 func (c *Client) Get(ctx context.Context, key string) (Object, error) {
@@ -66,11 +66,11 @@
 	defer func() { _ = resp.Body.Close() }()
 	value, err := io.ReadAll(io.LimitReader(resp.Body, MaxValueBytes+1))
 	if err != nil {
-		return Object{}, &Error{Op: "get", Key: key, Cause: ErrUnavailable, Info: err.Error()}
+		return Object{}, &Error{Op: "get", Key: key, Cause: ErrUnavailable, Detail: err.Error()}
 	}
 	version, err := parseETag(resp.Header.Get("ETag"))
 	if err != nil {
-		return Object{}, &Error{Op: "get", Key: key, Cause: ErrUnavailable, Info: err.Error()}
+		return Object{}, &Error{Op: "get", Key: key, Cause: ErrUnavailable, Detail: err.Error()}
 	}
 	return Object{Key: key, Version: version, Value: value}, nil
 }
@@ -79,7 +79,7 @@
 // means that it must not exist yet. It returns the new version.
 func (c *Client) Put(ctx context.Context, key string, value []byte, ifVersion Version) (Version, error) {
 	if len(value) > MaxValueBytes {
-		return 0, &Error{Op: "put", Key: key, Cause: ErrUnavailable, Info: "value over a megabyte"}
+		return 0, &Error{Op: "put", Key: key, Cause: ErrUnavailable, Detail: "value over a megabyte"}
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -90,7 +90,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	version, err := parseETag(resp.Header.Get("ETag"))
 	if err != nil {
-		return 0, &Error{Op: "put", Key: key, Cause: ErrAnswerLost, Info: err.Error()}
+		return 0, &Error{Op: "put", Key: key, Cause: ErrAnswerLost, Detail: err.Error()}
 	}
 	return version, nil
 }
@@ -138,7 +138,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListingBytes)).Decode(into); err != nil {
-		return &Error{Op: op, Key: key, Cause: ErrUnavailable, Info: err.Error()}
+		return &Error{Op: op, Key: key, Cause: ErrUnavailable, Detail: err.Error()}
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 	c.calls.Add(1)
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return nil, &Error{Op: op, Key: key, Cause: ErrUnavailable, Info: err.Error()}
+		return nil, &Error{Op: op, Key: key, Cause: ErrUnavailable, Detail: err.Error()}
 	}
 	for name, values := range header {
 		req.Header[name] = values
@@ -156,14 +156,14 @@
 	if err != nil {
 		// Whatever was wrong with this connection may be wrong with its like.
 		c.http.CloseIdleConnections()
-		return nil, &Error{Op: op, Key: key, Cause: transportCause(method), Info: err.Error()}
+		return nil, &Error{Op: op, Key: key, Cause: transportCause(method), Detail: err.Error()}
 	}
 	if resp.StatusCode < http.StatusMultipleChoices {
 		return resp, nil
 	}
 	defer func() { _ = resp.Body.Close() }()
 	info, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodySize))
-	return nil, &Error{Op: op, Key: key, Cause: statusCause(method, resp.StatusCode), Info: strings.TrimSpace(string(info))}
+	return nil, &Error{Op: op, Key: key, Cause: statusCause(method, resp.StatusCode), Detail: strings.TrimSpace(string(info))}
 }
 
 // transportCause treats every broken write as one that may have taken effect:
--- a/internal/objectapi/objectapi.go
+++ b/internal/objectapi/objectapi.go
@@ -59,17 +59,17 @@
 
 // Error is a failed call, with the verdict on its effect.
 type Error struct {
-	Op    string // get, put, delete, list or watch
-	Key   string
-	Cause error // one of the causes above
-	Info  string
+	Op     string // get, put, delete, list or watch
+	Key    string
+	Cause  error // one of the causes above
+	Detail string
 }
 
 // Error implements error.
 func (e *Error) Error() string {
 	text := "object API: " + e.Op + " " + e.Key + ": " + e.Cause.Error()
-	if e.Info != "" {
-		text += ": " + e.Info
+	if e.Detail != "" {
+		text += ": " + e.Detail
 	}
 	return text
 }
