--- a/internal/inventory/document.go
+++ b/internal/inventory/document.go
@@ -1,8 +1,7 @@
-// Package inventory is the aggregate of what operators keep: adapters and
-// their versions, callers, plain services and rules, under one revision.
+// Package inventory models what operators configure: adapters and their
+// versions, callers, plain services and rules, under one revision.
 //
-// Its rules: a change is taken whole or not at all, a revision only grows,
-// and a snapshot never changes once it is made.
+// Changes are atomic, revisions only grow, and snapshots are immutable.
 package inventory
 
 import (
@@ -19,7 +18,7 @@
 	MinVersions   = 1
 	MaxVersions   = 64
 	MaxPriority   = 9
-	// AnyCaller in a list of callers lets every known caller in.
+	// AnyCaller in a list of callers allows every known caller.
 	AnyCaller = "*"
 )
 
@@ -28,44 +27,45 @@
 	Name     string   `json:"name"`
 	Base     string   `json:"base"`
 	Versions []string `json:"versions"`
-	// Current is served to callers that name no version.
+	// Current is the version served to callers that name none.
 	Current string `json:"current"`
-	// Callers may use the adapter; AnyCaller stands for all.
+	// Callers lists who may use the adapter; AnyCaller allows all.
 	Callers []string `json:"callers"`
 }
 
-// Caller is one that may send requests.
+// Caller is a client that may send requests.
 type Caller struct {
 	Name string `json:"name"`
 	// KeyDigest is the SHA-256 digest of the caller's bearer key in hexadecimal.
 	KeyDigest string `json:"key_digest"`
-	// Priority from 0 to 9; a larger one goes first.
+	// Priority is from 0 to 9; requests with a higher one go first.
 	Priority int `json:"priority"`
-	// Weight is the caller's share where callers of one priority compete; 0 counts as 1.
+	// Weight is the caller's relative share among callers of the same priority; 0 counts
+	// as 1.
 	Weight int `json:"weight,omitempty"`
 }
 
-// Service is a plain service that requests are routed to as well.
+// Service is a plain HTTP service that requests are routed to.
 type Service struct {
 	Name    string   `json:"name"`
 	Callers []string `json:"callers"`
 }
 
-// Rule changes how requests are treated. A request matches when every field
-// given matches; the field left empty matches all.
+// Rule overrides how matching requests are handled. A request matches if every
+// non-empty field matches.
 type Rule struct {
 	Name       string `json:"name"`
 	Caller     string `json:"caller,omitempty"`
 	Adapter    string `json:"adapter,omitempty"`
 	Service    string `json:"service,omitempty"`
 	PathPrefix string `json:"path_prefix,omitempty"`
-	// NonIdempotent marks matching requests as never to be repeated.
+	// NonIdempotent marks matching requests as unsafe to retry.
 	NonIdempotent bool `json:"non_idempotent,omitempty"`
-	// Priority, where given, replaces the caller's.
+	// Priority replaces the caller's priority unless it is nil.
 	Priority *int `json:"priority,omitempty"`
 }
 
-// Document is a whole inventory as operators write it.
+// Document is a complete inventory as operators write it.
 type Document struct {
 	Adapters []Adapter `json:"adapters"`
 	Callers  []Caller  `json:"callers"`
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Check says what is wrong with an adapter.
+// Check returns an error if the adapter is invalid.
 func (a Adapter) Check() error {
 	if err := checkName("adapter", a.Name); err != nil {
 		return err
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// Check says what is wrong with a caller.
+// Check returns an error if the caller is invalid.
 func (c Caller) Check() error {
 	if err := checkName("caller", c.Name); err != nil {
 		return err
@@ -134,7 +134,7 @@
 	return nil
 }
 
-// digest gives the digest of the caller's key; Check has seen that there is one.
+// digest returns the digest of the caller's key. Check has made sure that it is valid.
 func (c Caller) digest() credential.Digest {
 	digest, err := credential.Parse(c.KeyDigest)
 	if err != nil {
@@ -143,10 +143,10 @@
 	return digest
 }
 
-// Check says what is wrong with a service.
+// Check returns an error if the service is invalid.
 func (s Service) Check() error { return checkName("service", s.Name) }
 
-// Check says what is wrong with a rule.
+// Check returns an error if the rule is invalid.
 func (r Rule) Check() error {
 	if err := checkName("rule", r.Name); err != nil {
 		return err
--- a/internal/inventory/intern.go
+++ b/internal/inventory/intern.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// profile is what adapters have in common.
+// profile holds the fields of an adapter that many adapters share.
 type profile struct {
 	base     string
 	current  string
@@ -14,28 +14,28 @@
 	callers  []string
 }
 
-// interner keeps one copy of each profile. Successive snapshots share one, and
-// a dry run may use it while a change is applied, hence the lock. It keeps
-// profiles that no adapter has any more until the process ends, at most one
-// for each change.
+// interner keeps one copy of each profile. Successive snapshots share it, and
+// a dry run may use it while a change is applied, hence the lock. Profiles that
+// no adapter uses any more are kept until the process ends, at most one per
+// operation that puts an adapter.
 type interner struct {
-	mu   sync.Mutex
-	kept map[string]*profile
+	mu       sync.Mutex
+	profiles map[string]*profile
 }
 
-func (n *interner) intern(a Adapter) *profile {
+func (in *interner) intern(a Adapter) *profile {
 	key := strings.Join([]string{a.Base, a.Current, strings.Join(a.Versions, ","), strings.Join(a.Callers, ",")}, "/")
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if kept, ok := n.kept[key]; ok {
-		return kept
+	in.mu.Lock()
+	defer in.mu.Unlock()
+	if known, ok := in.profiles[key]; ok {
+		return known
 	}
-	kept := &profile{
+	added := &profile{
 		base:     strings.Clone(a.Base),
 		current:  strings.Clone(a.Current),
 		versions: slices.Clone(a.Versions),
 		callers:  slices.Clone(a.Callers),
 	}
-	n.kept[key] = kept
-	return kept
+	in.profiles[key] = added
+	return added
 }
--- a/internal/inventory/inventory_test.go
+++ b/internal/inventory/inventory_test.go
@@ -12,7 +12,7 @@
 	return Adapter{Name: fmt.Sprintf("adapter-%06d", i), Base: "base", Versions: []string{"1", "2"}, Current: "1", Callers: []string{"*"}}
 }
 
-func withAdapters(count int) *Snapshot {
+func snapshotOf(count int) *Snapshot {
 	ops := make([]Op, 0, count)
 	for i := range count {
 		a := adapterNamed(i)
@@ -25,8 +25,8 @@
 	return snapshot
 }
 
-func TestChangeIsWholeOrNotAtAll(t *testing.T) {
-	snapshot := withAdapters(10)
+func TestChangeIsAtomic(t *testing.T) {
+	snapshot := snapshotOf(10)
 	good, bad := adapterNamed(11), adapterNamed(12)
 	bad.Current = "9"
 	_, err := snapshot.Apply(2, []Op{{PutAdapter: &good}, {PutAdapter: &bad}})
@@ -38,8 +38,8 @@
 	must.ErrorContains(t, err, "not after revision")
 }
 
-func TestSnapshotsDoNotChange(t *testing.T) {
-	before := withAdapters(100)
+func TestSnapshotsAreImmutable(t *testing.T) {
+	before := snapshotOf(100)
 	changed := adapterNamed(7)
 	changed.Current = "2"
 	after, err := before.Apply(2, []Op{{PutAdapter: &changed}, {DeleteAdapter: "adapter-000008"}})
@@ -54,7 +54,7 @@
 	must.Len(t, 2, Diff(before, after.Document()))
 }
 
-func TestWrongItemsAreNamed(t *testing.T) {
+func TestInvalidOpsAreRejected(t *testing.T) {
 	priority := 12
 	for text, op := range map[string]Op{
 		"adapter name":    {PutAdapter: &Adapter{Name: "A b"}},
@@ -74,11 +74,11 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	snapshot := withAdapters(140_000)
+	snapshot := snapshotOf(140_000)
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	bytes := int64(after.HeapAlloc) - int64(before.HeapAlloc)
-	t.Logf("%d bytes in all, %d an adapter", bytes, bytes/140_000)
+	t.Logf("%d bytes in total, %d per adapter", bytes, bytes/140_000)
 	must.Less(t, 16_000_000, bytes)
 	must.Eq(t, 140_000, snapshot.Len())
 }
@@ -86,7 +86,7 @@
 func BenchmarkResolve(b *testing.B) {
 	for _, count := range []int{3_000, 140_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			snapshot := withAdapters(count)
+			snapshot := snapshotOf(count)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if _, _, err := snapshot.Resolve(fmt.Sprintf("adapter-%06d", i%count)); err != nil {
@@ -100,7 +100,7 @@
 func BenchmarkApplyOne(b *testing.B) {
 	for _, count := range []int{3_000, 140_000} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
-			snapshot := withAdapters(count)
+			snapshot := snapshotOf(count)
 			a := adapterNamed(5)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
--- a/internal/inventory/op.go
+++ b/internal/inventory/op.go
@@ -7,7 +7,7 @@
 	"github.com/pkg/errors"
 )
 
-// Op is one step of a change: it puts or deletes exactly one item.
+// Op is one operation of a change: it puts or deletes exactly one item.
 type Op struct {
 	PutAdapter    *Adapter `json:"put_adapter,omitempty"`
 	DeleteAdapter string   `json:"delete_adapter,omitempty"`
@@ -19,7 +19,7 @@
 	DeleteRule    string   `json:"delete_rule,omitempty"`
 }
 
-// Item names what an op touches, such as "adapter/berth-7".
+// Item returns the name of the item that the op changes, such as "adapter/berth-7".
 func (o Op) Item() string {
 	switch {
 	case o.PutAdapter != nil:
@@ -43,12 +43,12 @@
 	}
 }
 
-// Deletes says whether the op takes its item away.
+// Deletes reports whether the op deletes its item.
 func (o Op) Deletes() bool {
 	return o.DeleteAdapter != "" || o.DeleteCaller != "" || o.DeleteService != "" || o.DeleteRule != ""
 }
 
-// Check says what is wrong with an op by itself.
+// Check returns an error if the op is invalid by itself.
 func (o Op) Check() error {
 	switch {
 	case o.PutAdapter != nil:
@@ -66,8 +66,8 @@
 	}
 }
 
-// Diff gives the steps that turn the snapshot into the document, sorted by
-// item, deletions last.
+// Diff returns the ops that turn the snapshot into the document, by kind of item, and
+// within a kind sorted by item with deletions last.
 func Diff(from *Snapshot, to Document) []Op {
 	var ops []Op
 	ops = append(ops, diffKind(from.Adapters(), to.Adapters, func(a Adapter) string { return a.Name },
@@ -110,7 +110,7 @@
 	return ops
 }
 
-// Conflict gives an item that both changes touch, or "".
+// Conflict returns an item that both changes modify, or "".
 func Conflict(a, b []Op) string {
 	touched := make(map[string]bool, len(a))
 	for _, op := range a {
--- a/internal/inventory/snapshot.go
+++ b/internal/inventory/snapshot.go
@@ -10,22 +10,22 @@
 	"github.com/pkg/errors"
 )
 
-// Revision counts the accepted changes. It only grows.
+// Revision is the number of accepted changes. It only grows.
 type Revision uint64
 
-// shardCount divides the adapters, so that a change copies one shard of about
-// a hundred records at the largest inventory and not the whole table.
+// shardCount is the number of shards of the adapter table. A change copies only
+// the shards it modifies, each about a hundred records at the largest inventory.
 const shardCount = 1024
 
-// record is an adapter as a snapshot keeps it. All but the name is interned,
-// since many adapters have it in common: 140,000 must fit into a few megabytes.
+// record is an adapter as a snapshot stores it. All but the name is interned,
+// since many adapters share it: 140,000 must fit into a few megabytes.
 type record struct {
 	name    string
 	profile *profile
 }
 
-// Snapshot is the inventory at one revision. It never changes, so readers
-// need no lock.
+// Snapshot is the inventory at one revision. It is immutable, so readers need
+// no lock.
 type Snapshot struct {
 	revision Revision
 	shards   [shardCount][]record
@@ -37,24 +37,24 @@
 	profiles *interner
 }
 
-// Empty gives the snapshot of revision zero.
+// Empty returns the snapshot of revision zero.
 func Empty() *Snapshot {
 	return &Snapshot{
 		callers:  map[string]Caller{},
 		byDigest: credential.Holders{},
 		services: map[string]Service{},
-		profiles: &interner{kept: map[string]*profile{}},
+		profiles: &interner{profiles: map[string]*profile{}},
 	}
 }
 
-// Revision gives the snapshot's revision.
+// Revision returns the snapshot's revision.
 func (s *Snapshot) Revision() Revision { return s.revision }
 
-// Len gives the number of adapters.
+// Len returns the number of adapters.
 func (s *Snapshot) Len() int { return s.count }
 
-// Apply makes the next snapshot. It returns an error, and no snapshot, if any
-// step is wrong: a change is taken whole or not at all.
+// Apply returns the snapshot after the ops. If any op is invalid it returns an
+// error, and none of them takes effect.
 func (s *Snapshot) Apply(revision Revision, ops []Op) (*Snapshot, error) {
 	if revision <= s.revision {
 		return nil, errors.Errorf("revision %d is not after revision %d", revision, s.revision)
@@ -65,11 +65,11 @@
 		if err := op.Check(); err != nil {
 			return nil, err
 		}
-		if err := next.step(op, copied); err != nil {
+		if err := next.applyOp(op, copied); err != nil {
 			return nil, err
 		}
 	}
-	return next, next.checkKeys()
+	return next, next.checkUniqueKeys()
 }
 
 func (s *Snapshot) clone(revision Revision) *Snapshot {
@@ -90,21 +90,21 @@
 	return to
 }
 
-func (s *Snapshot) step(op Op, copied map[int]bool) error {
+func (s *Snapshot) applyOp(op Op, copied map[int]bool) error {
 	switch {
 	case op.PutAdapter != nil:
 		s.putAdapter(*op.PutAdapter, copied)
 	case op.DeleteAdapter != "":
 		return s.deleteAdapter(op.DeleteAdapter, copied)
 	case op.PutCaller != nil:
-		s.forgetDigest(op.PutCaller.Name)
+		s.removeDigest(op.PutCaller.Name)
 		s.callers[op.PutCaller.Name] = *op.PutCaller
 		s.byDigest[op.PutCaller.digest()] = op.PutCaller.Name
 	case op.DeleteCaller != "":
 		if _, ok := s.callers[op.DeleteCaller]; !ok {
 			return errors.Errorf("no caller %q", op.DeleteCaller)
 		}
-		s.forgetDigest(op.DeleteCaller)
+		s.removeDigest(op.DeleteCaller)
 		delete(s.callers, op.DeleteCaller)
 	case op.PutService != nil:
 		s.services[op.PutService.Name] = *op.PutService
@@ -121,15 +121,16 @@
 	return nil
 }
 
-func (s *Snapshot) forgetDigest(caller string) {
+func (s *Snapshot) removeDigest(caller string) {
 	old := s.callers[caller].digest()
 	if s.byDigest[old] == caller {
 		delete(s.byDigest, old)
 	}
 }
 
-// checkKeys refuses two callers with one key: a request would count for either.
-func (s *Snapshot) checkKeys() error {
+// checkUniqueKeys returns an error if two callers have the same key, since requests
+// could be attributed to either.
+func (s *Snapshot) checkUniqueKeys() error {
 	if len(s.byDigest) == len(s.callers) {
 		return nil
 	}
@@ -138,13 +139,13 @@
 
 func shardOf(name string) int { return int(xxhash.Sum64String(name) % shardCount) }
 
-// position finds a name in its sorted shard.
-func position(shard []record, name string) (int, bool) {
+// searchShard returns the index of a name in a sorted shard, or where to insert it.
+func searchShard(shard []record, name string) (int, bool) {
 	at := sort.Search(len(shard), func(i int) bool { return shard[i].name >= name })
 	return at, at < len(shard) && shard[at].name == name
 }
 
-func (s *Snapshot) ownShard(index int, copied map[int]bool) []record {
+func (s *Snapshot) copyShardOnce(index int, copied map[int]bool) []record {
 	if !copied[index] {
 		s.shards[index] = append([]record(nil), s.shards[index]...)
 		copied[index] = true
@@ -154,24 +155,24 @@
 
 func (s *Snapshot) putAdapter(a Adapter, copied map[int]bool) {
 	index := shardOf(a.Name)
-	shard := s.ownShard(index, copied)
-	fresh := record{name: strings.Clone(a.Name), profile: s.profiles.intern(a)}
-	at, found := position(shard, a.Name)
+	shard := s.copyShardOnce(index, copied)
+	updated := record{name: strings.Clone(a.Name), profile: s.profiles.intern(a)}
+	at, found := searchShard(shard, a.Name)
 	if found {
-		shard[at] = fresh
+		shard[at] = updated
 		return
 	}
 	shard = append(shard, record{})
 	copy(shard[at+1:], shard[at:])
-	shard[at] = fresh
+	shard[at] = updated
 	s.shards[index] = shard
 	s.count++
 }
 
 func (s *Snapshot) deleteAdapter(name string, copied map[int]bool) error {
 	index := shardOf(name)
-	shard := s.ownShard(index, copied)
-	at, found := position(shard, name)
+	shard := s.copyShardOnce(index, copied)
+	at, found := searchShard(shard, name)
 	if !found {
 		return errors.Errorf("no adapter %q", name)
 	}
@@ -200,10 +201,10 @@
 	return errors.Errorf("no rule %q", name)
 }
 
-// Adapter gives one adapter by name.
+// Adapter returns one adapter by name.
 func (s *Snapshot) Adapter(name string) (Adapter, bool) {
 	shard := s.shards[shardOf(name)]
-	at, found := position(shard, name)
+	at, found := searchShard(shard, name)
 	if !found {
 		return Adapter{}, false
 	}
@@ -215,7 +216,7 @@
 	return Adapter{Name: r.name, Base: p.base, Versions: p.versions, Current: p.current, Callers: p.callers}
 }
 
-// Adapters gives all adapters, sorted by name.
+// Adapters returns all adapters, sorted by name.
 func (s *Snapshot) Adapters() []Adapter {
 	all := make([]Adapter, 0, s.count)
 	for _, shard := range s.shards {
@@ -227,13 +228,13 @@
 	return all
 }
 
-// Callers gives all callers, sorted by name.
+// Callers returns all callers, sorted by name.
 func (s *Snapshot) Callers() []Caller { return sortedValues(s.callers) }
 
-// Services gives all services, sorted by name.
+// Services returns all services, sorted by name.
 func (s *Snapshot) Services() []Service { return sortedValues(s.services) }
 
-// Rules gives all rules in the order in which they were added.
+// Rules returns all rules in the order in which they were added.
 func (s *Snapshot) Rules() []Rule { return append([]Rule(nil), s.rules...) }
 
 func sortedValues[V any](from map[string]V) []V {
@@ -249,24 +250,24 @@
 	return values
 }
 
-// Document gives the whole inventory as operators write it.
+// Document returns the complete inventory as operators write it.
 func (s *Snapshot) Document() Document {
 	return Document{Adapters: s.Adapters(), Callers: s.Callers(), Services: s.Services(), Rules: s.Rules()}
 }
 
-// CallerByKey finds the caller that a bearer key belongs to, by its digest.
+// CallerByKey returns the caller whose bearer key has the given digest.
 func (s *Snapshot) CallerByKey(key credential.Digest) (Caller, bool) {
 	name, ok := s.byDigest.Holder(key)
 	return s.callers[name], ok
 }
 
-// Service gives one service by name.
+// Service returns one service by name.
 func (s *Snapshot) Service(name string) (Service, bool) {
 	service, ok := s.services[name]
 	return service, ok
 }
 
-// Allows says whether a list of callers lets one in.
+// Allows reports whether a list of callers allows the given one.
 func Allows(callers []string, caller string) bool {
 	for _, allowed := range callers {
 		if allowed == AnyCaller || allowed == caller {
@@ -276,18 +277,18 @@
 	return false
 }
 
-// ModelName is the name under which engines know one version of an adapter.
-// It holds the version, so that a change of version can never be served under
-// the old name.
+// ModelName returns the name of an adapter's version in engines. It contains the
+// version, so that a new version can never be served under the name of the old one.
 func ModelName(adapter, version string) string { return adapter + "@" + version }
 
-// SplitModel takes a model name apart; the version is empty where none was given.
+// SplitModel splits a model name into adapter and version; the version is empty if none
+// was given.
 func SplitModel(model string) (adapter, version string) {
 	adapter, version, _ = strings.Cut(model, "@")
 	return adapter, version
 }
 
-// Resolve fixes the version that a request will run on.
+// Resolve returns the adapter and the version that a request for a model runs on.
 func (s *Snapshot) Resolve(model string) (Adapter, string, error) {
 	name, version := SplitModel(model)
 	adapter, ok := s.Adapter(name)
@@ -305,26 +306,26 @@
 	return Adapter{}, "", errors.Errorf("adapter %q has no version %q", name, version)
 }
 
-// Policy is what the rules say of a request.
+// Policy is how a request is handled according to the rules.
 type Policy struct {
 	NonIdempotent bool
 	Priority      int
 }
 
-// PolicyFor applies the rules to a request of a caller; adapter or service is
-// empty where it does not apply.
+// PolicyFor applies the rules to a caller's request; adapter or service is empty where
+// it does not apply. Later rules override the priority of earlier ones.
 func (s *Snapshot) PolicyFor(caller Caller, adapter, service, path string) Policy {
-	treatment := Policy{Priority: caller.Priority}
+	policy := Policy{Priority: caller.Priority}
 	for _, rule := range s.rules {
 		if !rule.matches(caller.Name, adapter, service, path) {
 			continue
 		}
-		treatment.NonIdempotent = treatment.NonIdempotent || rule.NonIdempotent
+		policy.NonIdempotent = policy.NonIdempotent || rule.NonIdempotent
 		if rule.Priority != nil {
-			treatment.Priority = *rule.Priority
+			policy.Priority = *rule.Priority
 		}
 	}
-	return treatment
+	return policy
 }
 
 func (r Rule) matches(caller, adapter, service, path string) bool {
