--- a/internal/configlog/chunks.go
+++ b/internal/configlog/chunks.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// EncodeChunks cuts a snapshot into documents of bounded size.
+// EncodeChunks encodes a snapshot as documents of bounded size.
 func EncodeChunks(snapshot *inventory.Snapshot) ([][]byte, error) {
 	rest := snapshot.Document()
 	adapters := rest.Adapters
@@ -22,7 +22,7 @@
 	}
 	chunks := [][]byte{first}
 	for len(adapters) > 0 {
-		n, err := fitting(adapters)
+		n, err := countFitting(adapters)
 		if err != nil {
 			return nil, err
 		}
@@ -36,8 +36,8 @@
 	return chunks, nil
 }
 
-// fitting gives how many of the adapters fill one chunk, at least one.
-func fitting(adapters []inventory.Adapter) (int, error) {
+// countFitting returns how many of the adapters fit into one chunk, at least one.
+func countFitting(adapters []inventory.Adapter) (int, error) {
 	size := 0
 	for i, adapter := range adapters {
 		text, err := json.Marshal(adapter)
@@ -45,14 +45,14 @@
 			return 0, errors.Wrap(err, "encode adapter")
 		}
 		size += len(text) + 1
-		if size > chunkBytes && i > 0 {
+		if size > maxChunkBytes && i > 0 {
 			return i, nil
 		}
 	}
 	return len(adapters), nil
 }
 
-// DecodeChunks makes a snapshot from chunks.
+// DecodeChunks decodes a snapshot from its chunks.
 func DecodeChunks(revision inventory.Revision, chunks [][]byte) (*inventory.Snapshot, error) {
 	var ops []inventory.Op
 	for _, chunk := range chunks {
@@ -68,8 +68,9 @@
 	return inventory.Empty().Apply(revision, ops)
 }
 
-// writeChunks stores a snapshot. A chunk is named for its content, so writing
-// it twice, or after a lost answer, is harmless.
+// writeChunks stores a snapshot and returns the names of its chunks. A chunk is
+// named by the digest of its content, so writing it twice, or again after a lost
+// response, is harmless.
 func (p *Publisher) writeChunks(ctx context.Context, snapshot *inventory.Snapshot) ([]string, error) {
 	chunks, err := EncodeChunks(snapshot)
 	if err != nil {
@@ -79,7 +80,7 @@
 	for _, chunk := range chunks {
 		digest := sha256.Sum256(chunk)
 		name := hex.EncodeToString(digest[:])
-		if err := p.createOnce(ctx, chunkPrefix+name, chunk); err != nil {
+		if err := p.createImmutable(ctx, chunkPrefix+name, chunk); err != nil {
 			return nil, err
 		}
 		names = append(names, name)
@@ -87,10 +88,10 @@
 	return names, nil
 }
 
-// createOnce writes an object that is either absent or already the same.
-func (p *Publisher) createOnce(ctx context.Context, key string, value []byte) error {
+// createImmutable writes an object that is either absent or already the same.
+func (p *Publisher) createImmutable(ctx context.Context, key string, value []byte) error {
 	var err error
-	for range lostAnswerTries {
+	for range maxPutAttempts {
 		_, err = p.objects.Put(ctx, key, value, 0)
 		if err == nil || errors.Is(err, objectapi.ErrConflict) {
 			return nil
--- a/internal/configlog/configlog.go
+++ b/internal/configlog/configlog.go
@@ -1,10 +1,9 @@
-// Package configlog keeps the inventory in the object API: immutable changes
-// and chunks, and one head that is moved by conditional update.
+// Package configlog stores the inventory in the object API: immutable changes
+// and chunks, and one head that is replaced by conditional update.
 //
 // The head names every change since the last set of chunks. A change is
-// accepted at the moment at which a head that names it is written, and at no
-// other. Followers apply the accepted changes in the order of their revisions
-// and never step back.
+// accepted exactly when a head that names it is written. Followers apply the
+// accepted changes in the order of their revisions and never go back.
 package configlog
 
 import (
@@ -27,42 +26,43 @@
 // Limits of the log.
 const (
 	// historyLength is the number of changes that a head names. A writer
-	// that lost an answer finds its change among them.
+	// whose response was lost finds its change among them.
 	historyLength = 256
-	// compactAfter is the number of changes after which new chunks are written.
-	compactAfter = 64
-	// inlineOpsBytes bounds the steps kept inside a change; a larger change
-	// goes into chunks at once.
-	inlineOpsBytes = 512 << 10
-	// chunkBytes bounds a chunk, well below the largest value.
-	chunkBytes = 512 << 10
+	// compactionInterval is the number of changes after which new chunks are written.
+	compactionInterval = 64
+	// maxInlineOpsBytes is the maximum size of a change that contains its ops; a
+	// larger one is stored in chunks at once.
+	maxInlineOpsBytes = 512 << 10
+	// maxChunkBytes bounds a chunk, well below the largest value that the object API
+	// takes.
+	maxChunkBytes = 512 << 10
 )
 
 // Ref names one accepted change in the head.
 type Ref struct {
 	Revision inventory.Revision `json:"revision"`
 	ChangeID string             `json:"change_id"`
-	// OpsInChunks says that the change's steps stand in the chunks only.
+	// OpsInChunks says that the change's ops are stored in the chunks only.
 	OpsInChunks bool `json:"rebased,omitempty"`
 }
 
-// Key gives the object that holds the change.
+// Key returns the key of the object that holds the change.
 func (r Ref) Key() string {
 	return changePrefix + strconv.FormatUint(uint64(r.Revision), 10) + "-" + r.ChangeID
 }
 
-// Head is the one object that is ever changed.
+// Head names the accepted changes. It is the only object that is ever updated.
 type Head struct {
 	Revision inventory.Revision `json:"revision"`
-	// ChunksRevision is the revision that the chunks hold.
+	// ChunksRevision is the revision of the snapshot in the chunks.
 	ChunksRevision inventory.Revision `json:"base"`
 	Chunks         []string           `json:"chunks,omitempty"`
-	// Changes are the last accepted changes, oldest first; those after Base
-	// are to be applied to the chunks.
+	// Changes are the last accepted changes, oldest first; those after ChunksRevision
+	// are applied on top of the chunks.
 	Changes []Ref `json:"changes"`
 }
 
-// Find looks for a change by its identifier.
+// Find returns a change by its identifier.
 func (h Head) Find(changeID string) (Ref, bool) {
 	for _, ref := range h.Changes {
 		if ref.ChangeID == changeID {
@@ -72,8 +72,8 @@
 	return Ref{}, false
 }
 
-// After gives the changes after a revision, oldest first. It reports false if
-// the chunks are needed to get from there to the head.
+// After returns the changes after a revision, oldest first, and false if the
+// chunks are needed to get from there to the head.
 func (h Head) After(revision inventory.Revision) ([]Ref, bool) {
 	var refs []Ref
 	for _, ref := range h.Changes {
@@ -85,8 +85,8 @@
 	return refs, complete
 }
 
-// Change is one accepted change of the inventory, which is its own line of
-// the audit trail: the two cannot differ, since they are one object.
+// Change is one accepted change of the inventory. It is also its own entry of the
+// audit trail, so the two cannot differ.
 type Change struct {
 	ID       string             `json:"id"`
 	Operator string             `json:"operator"`
@@ -95,21 +95,21 @@
 	Revision inventory.Revision `json:"revision"`
 	Note     string             `json:"note,omitempty"`
 	// Previous names the change before this one, so that the audit trail can
-	// be followed beyond what the head names.
+	// be followed beyond the changes that the head names.
 	Previous *Ref           `json:"previous,omitempty"`
 	Ops      []inventory.Op `json:"ops,omitempty"`
-	// OpsInChunks says that the steps were too large and stand in the head's chunks.
+	// OpsInChunks says that the ops were too large and are stored in the head's chunks.
 	OpsInChunks bool `json:"rebased,omitempty"`
-	// Items is the number of steps.
+	// Items is the number of ops.
 	Items int `json:"items"`
 }
 
-// Ref gives the change's name.
+// Ref returns the reference to the change.
 func (c Change) Ref() Ref {
 	return Ref{Revision: c.Revision, ChangeID: c.ID, OpsInChunks: c.OpsInChunks}
 }
 
-// Apply makes the next snapshot from a change.
+// Apply applies the change to the snapshot of the revision before it.
 func (c Change) Apply(snapshot *inventory.Snapshot) (*inventory.Snapshot, error) {
 	if c.OpsInChunks {
 		return nil, errors.Errorf("change %s stands in chunks", c.ID)
@@ -126,8 +126,8 @@
 	return head, errors.Wrap(err, "head of the inventory")
 }
 
-// extend gives the head after one more change.
-func (h Head) extend(change Change) Head {
+// withChange returns the head after one more change.
+func (h Head) withChange(change Change) Head {
 	next := h
 	next.Revision = change.Revision
 	next.Changes = append(append([]Ref(nil), h.Changes...), change.Ref())
--- a/internal/configlog/follower.go
+++ b/internal/configlog/follower.go
@@ -8,46 +8,46 @@
 	"github.com/pkg/errors"
 )
 
-// Follower holds the inventory that is in force on this node. Readers take the
-// snapshot without a lock; writers take turns.
+// Follower holds the inventory that is in force on this node. Readers load the
+// snapshot without locking; writers are serialized.
 type Follower struct {
 	current atomic.Pointer[inventory.Snapshot]
 
-	mu     sync.Mutex
-	recent []Change
-	moved  chan struct{}
+	mu      sync.Mutex
+	recent  []Change
+	changed chan struct{}
 }
 
-// NewFollower makes a follower at revision zero.
+// NewFollower returns a follower at revision zero.
 func NewFollower() *Follower {
-	f := &Follower{moved: make(chan struct{})}
+	f := &Follower{changed: make(chan struct{})}
 	f.current.Store(inventory.Empty())
 	return f
 }
 
-// Snapshot gives the inventory in force.
+// Snapshot returns the inventory in force.
 func (f *Follower) Snapshot() *inventory.Snapshot { return f.current.Load() }
 
 // Adopt puts a newer snapshot in force, with the changes that led to it as far
-// as they are known. A snapshot that is not newer is left aside: a stale read
-// or a peer that was replaced must never take a node back, or callers would
-// see an accepted change revert.
+// as they are known, and reports whether it did. A snapshot that is not newer is
+// ignored: a stale read or a replaced peer must not move a node back, or callers
+// would see an accepted change revert.
 func (f *Follower) Adopt(snapshot *inventory.Snapshot, changes []Change) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if snapshot.Revision() <= f.current.Load().Revision() {
 		return false
 	}
-	f.recent = keepRecent(f.recent, changes, snapshot.Revision())
+	f.recent = appendRecent(f.recent, changes, snapshot.Revision())
 	f.current.Store(snapshot)
-	close(f.moved)
-	f.moved = make(chan struct{})
+	close(f.changed)
+	f.changed = make(chan struct{})
 	return true
 }
 
-// keepRecent joins two runs of changes; only an unbroken run that ends at the
-// revision is any use to a peer.
-func keepRecent(recent, changes []Change, revision inventory.Revision) []Change {
+// appendRecent appends changes to the recent ones. It drops what does not form a
+// contiguous run that ends at the revision, since peers can only apply such a run.
+func appendRecent(recent, changes []Change, revision inventory.Revision) []Change {
 	if len(changes) == 0 || changes[len(changes)-1].Revision != revision {
 		return nil
 	}
@@ -55,21 +55,21 @@
 		recent = nil
 	}
 	joined := append(append([]Change(nil), recent...), changes...)
-	if extra := len(joined) - compactAfter; extra > 0 {
+	if extra := len(joined) - compactionInterval; extra > 0 {
 		joined = joined[extra:]
 	}
 	return joined
 }
 
-// Changed gives a channel that is closed at the next change.
+// Changed returns a channel that is closed at the next change.
 func (f *Follower) Changed() <-chan struct{} {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.moved
+	return f.changed
 }
 
-// Since gives the changes after a revision for a peer that is behind; false if
-// it needs the whole inventory.
+// Since returns the changes after a revision for a peer that is behind, and false
+// if the peer needs the whole inventory.
 func (f *Follower) Since(revision inventory.Revision) ([]Change, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,7 +86,7 @@
 	return changes, inventory.Revision(len(changes)) == current-revision
 }
 
-// ApplyPeerChanges applies a peer's changes.
+// ApplyPeerChanges applies changes received from a peer; known ones are skipped.
 func (f *Follower) ApplyPeerChanges(changes []Change) error {
 	snapshot := f.Snapshot()
 	var applied []Change
--- a/internal/configlog/publish.go
+++ b/internal/configlog/publish.go
@@ -13,18 +13,19 @@
 	"github.com/pkg/errors"
 )
 
-const lostAnswerTries = 4
+// maxPutAttempts bounds the attempts of a write after lost responses and conflicts.
+const maxPutAttempts = 4
 
-// Objects is what the log needs of the object API.
+// Objects is the part of the object API that the log uses.
 type Objects interface {
 	Get(ctx context.Context, key string) (objectapi.Object, error)
 	Put(ctx context.Context, key string, value []byte, ifVersion objectapi.Version) (objectapi.Version, error)
 }
 
-// Proposal is a change that an operator wants.
+// Proposal is a change requested by an operator.
 type Proposal struct {
-	// ChangeID is chosen by the operator's tool. The same proposal sent again
-	// under it is accepted only once.
+	// ChangeID is chosen by the operator's tool. A proposal that is sent again
+	// under the same identifier is accepted only once.
 	ChangeID string
 	Operator string
 	From     inventory.Revision
@@ -32,7 +33,7 @@
 	Ops      []inventory.Op
 }
 
-// StaleError refuses a change that was made from an old revision.
+// StaleError reports a change that was based on an old revision.
 type StaleError struct {
 	From    inventory.Revision
 	Current inventory.Revision
@@ -48,10 +49,10 @@
 	return fmt.Sprintf("made from revision %d, but revision %d is in force; since then: %s", e.From, e.Current, strings.Join(since, "; "))
 }
 
-// Verdict says that a refused change has no effect.
+// Verdict returns NotRun: a refused change has no effect.
 func (e *StaleError) Verdict() verdict.Verdict { return verdict.NotRun }
 
-// RejectedError refuses a change that is wrong in itself.
+// RejectedError reports an invalid change.
 type RejectedError struct{ Cause error }
 
 // Error implements error.
@@ -60,10 +61,10 @@
 // Unwrap gives the cause.
 func (e *RejectedError) Unwrap() error { return e.Cause }
 
-// Verdict says that a rejected change has no effect.
+// Verdict returns NotRun: a rejected change has no effect.
 func (e *RejectedError) Verdict() verdict.Verdict { return verdict.NotRun }
 
-// OutcomeUnknownError says that a change may or may not have been accepted.
+// OutcomeUnknownError reports a change that may or may not have been accepted.
 type OutcomeUnknownError struct {
 	ChangeID string
 	Cause    error
@@ -77,18 +78,19 @@
 // Unwrap gives the cause.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
-// Verdict says that the change may be in force.
+// Verdict returns MayHaveRun: the change may be in force.
 func (e *OutcomeUnknownError) Verdict() verdict.Verdict { return verdict.MayHaveRun }
 
-// touchedLimit bounds the items that a message lists of one change.
-const touchedLimit = 5
+// maxItemNames is the number of items of one change that a message lists.
+const maxItemNames = 5
 
-// ItemNames lists the items that a change touches, the first few of many.
+// ItemNames returns the names of the first items that a change modifies, and how many
+// more there are.
 func (c Change) ItemNames() []string {
 	var items []string
 	for _, op := range c.Ops {
-		if len(items) == touchedLimit {
-			return append(items, fmt.Sprintf("and %d more", c.Items-touchedLimit))
+		if len(items) == maxItemNames {
+			return append(items, fmt.Sprintf("and %d more", c.Items-maxItemNames))
 		}
 		items = append(items, op.Item())
 	}
@@ -98,43 +100,43 @@
 	return items
 }
 
-// Publisher writes changes.
+// Publisher writes changes to the log.
 type Publisher struct {
 	objects Objects
 	reader  *Reader
 }
 
-// NewPublisher makes a publisher.
+// NewPublisher returns a publisher.
 func NewPublisher(objects Objects) *Publisher {
 	return &Publisher{objects: objects, reader: NewReader(objects)}
 }
 
-// Publish tries to have a change accepted and gives it with its revision. The
+// Publish attempts to get a change accepted and returns it with its revision. The
 // error carries a verdict: NotRun if the change was not accepted and never
 // will be, MayHaveRun if that is not known.
 func (p *Publisher) Publish(ctx context.Context, known *inventory.Snapshot, proposal Proposal, now time.Time) (Change, error) {
 	var lost error
-	for range lostAnswerTries {
-		change, err := p.try(ctx, known, proposal, now)
+	for range maxPutAttempts {
+		change, err := p.publishOnce(ctx, known, proposal, now)
 		if err == nil {
 			return change, nil
 		}
 		if errors.Is(err, objectapi.ErrConflict) {
-			// Another operator's change won the race: read the head again and
-			// refuse or accept on what it says now. Nothing of ours is in force.
+			// Another operator's change was accepted first and this one is not in
+			// force: read the head again and decide by its new state.
 			continue
 		}
 		if !errors.Is(err, objectapi.ErrAnswerLost) {
-			return Change{}, settle(proposal, lost, err)
+			return Change{}, finalError(proposal, lost, err)
 		}
 		lost = err
 	}
-	return Change{}, settle(proposal, lost, errors.New("too many tries"))
+	return Change{}, finalError(proposal, lost, errors.New("too many tries"))
 }
 
-// settle gives the error after which no further try is made. Once an answer
-// was lost, only a head that has moved on proves that the change is not in it.
-func settle(proposal Proposal, lost, err error) error {
+// finalError returns the error after the last attempt. Once a response was lost, only a
+// newer head that does not name the change proves that it was not accepted.
+func finalError(proposal Proposal, lost, err error) error {
 	var stale *StaleError
 	if lost == nil || errors.As(err, &stale) {
 		return err
@@ -142,7 +144,7 @@
 	return &OutcomeUnknownError{ChangeID: proposal.ChangeID, Cause: lost}
 }
 
-func (p *Publisher) try(ctx context.Context, known *inventory.Snapshot, proposal Proposal, now time.Time) (Change, error) {
+func (p *Publisher) publishOnce(ctx context.Context, known *inventory.Snapshot, proposal Proposal, now time.Time) (Change, error) {
 	head, version, err := p.reader.Head(ctx)
 	if err != nil {
 		return Change{}, err
@@ -151,7 +153,7 @@
 		return p.reader.Change(ctx, ref)
 	}
 	if proposal.From != head.Revision {
-		return Change{}, p.stale(ctx, head, proposal)
+		return Change{}, p.staleError(ctx, head, proposal)
 	}
 	snapshot, _, err := p.reader.CatchUp(ctx, known, head)
 	if err != nil {
@@ -166,27 +168,27 @@
 		Revision: head.Revision + 1, Note: proposal.Note, Previous: head.last(),
 		Ops: proposal.Ops, Items: len(proposal.Ops),
 	}
-	return p.write(ctx, head, version, change, next)
+	return p.writeChange(ctx, head, version, change, next)
 }
 
-func (p *Publisher) write(ctx context.Context, head Head, version objectapi.Version, change Change, next *inventory.Snapshot) (Change, error) {
+func (p *Publisher) writeChange(ctx context.Context, head Head, version objectapi.Version, change Change, next *inventory.Snapshot) (Change, error) {
 	text, err := json.Marshal(change)
 	if err != nil {
 		return Change{}, &RejectedError{Cause: err}
 	}
-	if len(text) > inlineOpsBytes {
+	if len(text) > maxInlineOpsBytes {
 		change.OpsInChunks = true
 		change.Ops = nil
 		text, _ = json.Marshal(change)
 	}
-	nextHead := head.extend(change)
-	if change.OpsInChunks || change.Revision-head.ChunksRevision >= compactAfter {
+	nextHead := head.withChange(change)
+	if change.OpsInChunks || change.Revision-head.ChunksRevision >= compactionInterval {
 		if nextHead.Chunks, err = p.writeChunks(ctx, next); err != nil {
 			return Change{}, err
 		}
 		nextHead.ChunksRevision = change.Revision
 	}
-	if err := p.createOnce(ctx, change.Ref().Key(), text); err != nil {
+	if err := p.createImmutable(ctx, change.Ref().Key(), text); err != nil {
 		return Change{}, err
 	}
 	headText, err := json.Marshal(nextHead)
@@ -197,7 +199,7 @@
 	return change, err
 }
 
-func (p *Publisher) stale(ctx context.Context, head Head, proposal Proposal) error {
+func (p *Publisher) staleError(ctx context.Context, head Head, proposal Proposal) error {
 	stale := &StaleError{From: proposal.From, Current: head.Revision}
 	refs, _ := head.After(proposal.From)
 	for _, ref := range refs {
--- a/internal/configlog/read.go
+++ b/internal/configlog/read.go
@@ -12,10 +12,10 @@
 // Reader reads the log.
 type Reader struct{ objects Objects }
 
-// NewReader makes a reader.
+// NewReader returns a reader.
 func NewReader(objects Objects) *Reader { return &Reader{objects: objects} }
 
-// Head reads the head. An object API that has none yet holds revision zero.
+// Head reads the head. If there is none yet, the inventory is at revision zero.
 func (r *Reader) Head(ctx context.Context) (Head, objectapi.Version, error) {
 	object, err := r.objects.Get(ctx, HeadKey)
 	if errors.Is(err, objectapi.ErrNotFound) {
@@ -39,19 +39,19 @@
 	return change, errors.Wrapf(err, "change %s", ref.ChangeID)
 }
 
-// CatchUp brings a snapshot to the head, by changes where it can and by
-// chunks where it must, and gives the changes that it read.
+// CatchUp brings a snapshot to the head's revision and returns the changes that it
+// read. It reads the chunks only if the changes do not suffice.
 func (r *Reader) CatchUp(ctx context.Context, snapshot *inventory.Snapshot, head Head) (*inventory.Snapshot, []Change, error) {
 	if snapshot.Revision() >= head.Revision {
 		return snapshot, nil, nil
 	}
 	refs, complete := head.After(snapshot.Revision())
 	if !complete || anyInChunks(refs) {
-		based, err := r.chunks(ctx, head)
+		fromChunks, err := r.readChunks(ctx, head)
 		if err != nil {
 			return nil, nil, err
 		}
-		snapshot = based
+		snapshot = fromChunks
 		refs, _ = head.After(snapshot.Revision())
 	}
 	var changes []Change
@@ -68,7 +68,7 @@
 	return snapshot, changes, nil
 }
 
-// anyInChunks says whether one of the changes stands in chunks only.
+// anyInChunks reports whether one of the changes is stored in chunks only.
 func anyInChunks(refs []Ref) bool {
 	for _, ref := range refs {
 		if ref.OpsInChunks {
@@ -78,7 +78,7 @@
 	return false
 }
 
-func (r *Reader) chunks(ctx context.Context, head Head) (*inventory.Snapshot, error) {
+func (r *Reader) readChunks(ctx context.Context, head Head) (*inventory.Snapshot, error) {
 	var chunks [][]byte
 	for _, name := range head.Chunks {
 		object, err := r.objects.Get(ctx, chunkPrefix+name)
@@ -90,7 +90,7 @@
 	return DecodeChunks(head.ChunksRevision, chunks)
 }
 
-// Audit reads the trail backwards from the head, newest first.
+// Audit reads up to limit changes backwards from the head, newest first.
 func (r *Reader) Audit(ctx context.Context, limit int) ([]Change, error) {
 	head, _, err := r.Head(ctx)
 	if err != nil {
