--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -14,16 +14,16 @@
 	"github.com/pkg/errors"
 )
 
-// stream passes an answer on as server-sent events. The status is sent with
-// the first piece, so that a refusal before it has a status of its own. The
-// verdict comes as a trailer, and after a broken answer as an event too.
-func (a *API) stream(c echo.Context, req dispatch.Request) error {
+// completeStream forwards an answer as server-sent events. The status is sent with the
+// first piece, so that an earlier refusal can have its own status. The verdict is sent as
+// a trailer, and if the answer breaks off also in an event.
+func (a *API) completeStream(c echo.Context, req dispatch.Request) error {
 	w := c.Response()
-	begun := false
+	started := false
 	var line []byte
 	refusal := a.dispatcher.Complete(c.Request().Context(), req, func(piece engine.Piece) error {
-		if !begun {
-			begun = true
+		if !started {
+			started = true
 			w.Header().Set("Content-Type", "text/event-stream")
 			w.Header().Set("Trailer", HeaderVerdict)
 			w.WriteHeader(http.StatusOK)
@@ -34,14 +34,14 @@
 		}
 		return http.NewResponseController(w.Writer).Flush()
 	})
-	if !begun {
+	if !started {
 		if refusal == nil {
 			refusal = &dispatch.Refusal{Status: http.StatusBadGateway, Code: engine.CodeMalformed, Message: "empty answer", Verdict: verdict.Ran}
 		}
 		return refusal
 	}
 	if refusal != nil {
-		return breakStream(w, refusal)
+		return endBrokenStream(w, refusal)
 	}
 	w.Header().Set(HeaderVerdict, verdict.Ran.String())
 	_, err := w.Write([]byte("data: [DONE]\n\n"))
@@ -56,9 +56,9 @@
 	return append(line, "\n\n"...)
 }
 
-// breakStream ends a stream that did not come whole: without the closing mark,
-// and with an event that says why.
-func breakStream(w *echo.Response, refusal *dispatch.Refusal) error {
+// endBrokenStream ends an incomplete stream with an event that gives the reason, and
+// without the [DONE] marker.
+func endBrokenStream(w *echo.Response, refusal *dispatch.Refusal) error {
 	w.Header().Set(HeaderVerdict, refusal.Verdict.String())
 	text, err := json.Marshal(errorBody{Code: refusal.Code, Message: refusal.Message, Verdict: refusal.Verdict})
 	if err != nil {
@@ -68,8 +68,9 @@
 	return err
 }
 
-// piece is what is read of an engine's piece to make a whole answer.
-type piece struct {
+// completionChunk holds the fields of an engine's piece that are needed to assemble the
+// whole answer.
+type completionChunk struct {
 	ID      string          `json:"id"`
 	Created int64           `json:"created"`
 	Model   string          `json:"model"`
@@ -84,16 +85,16 @@
 	} `json:"choices"`
 }
 
-type wholeAnswer struct {
-	ID      string          `json:"id"`
-	Object  string          `json:"object"`
-	Created int64           `json:"created,omitempty"`
-	Model   string          `json:"model"`
-	Choices []wholeChoice   `json:"choices"`
-	Usage   json.RawMessage `json:"usage,omitempty"`
+type completion struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Created int64              `json:"created,omitempty"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   json.RawMessage    `json:"usage,omitempty"`
 }
 
-type wholeChoice struct {
+type completionChoice struct {
 	Index        int      `json:"index"`
 	Text         *string  `json:"text,omitempty"`
 	Message      *message `json:"message,omitempty"`
@@ -105,49 +106,49 @@
 	Content string `json:"content"`
 }
 
-// gather puts the pieces of an answer together.
-type gather struct {
-	last    piece
+// assembler assembles an answer from its pieces.
+type assembler struct {
+	last    completionChunk
 	texts   map[int]*strings.Builder
 	reasons map[int]*string
 }
 
-func (g *gather) reset() {
-	*g = gather{texts: map[int]*strings.Builder{}, reasons: map[int]*string{}}
+func (a *assembler) reset() {
+	*a = assembler{texts: map[int]*strings.Builder{}, reasons: map[int]*string{}}
 }
 
-func (g *gather) add(raw engine.Piece) error {
-	var p piece
-	if err := json.Unmarshal(raw.Data, &p); err != nil {
+func (a *assembler) add(raw engine.Piece) error {
+	var chunk completionChunk
+	if err := json.Unmarshal(raw.Data, &chunk); err != nil {
 		return errors.Wrap(err, "piece of an answer")
 	}
-	usage := g.last.Usage
-	g.last = p
-	if p.Usage == nil {
-		g.last.Usage = usage
+	usage := a.last.Usage
+	a.last = chunk
+	if chunk.Usage == nil {
+		a.last.Usage = usage
 	}
-	for _, choice := range p.Choices {
-		text := g.texts[choice.Index]
+	for _, choice := range chunk.Choices {
+		text := a.texts[choice.Index]
 		if text == nil {
 			text = &strings.Builder{}
-			g.texts[choice.Index] = text
+			a.texts[choice.Index] = text
 		}
 		text.WriteString(choice.Text + choice.Delta.Content)
 		if choice.FinishReason != nil {
-			g.reasons[choice.Index] = choice.FinishReason
+			a.reasons[choice.Index] = choice.FinishReason
 		}
 	}
 	return nil
 }
 
-func (g *gather) answer(chat bool) wholeAnswer {
-	answer := wholeAnswer{ID: g.last.ID, Object: "text_completion", Created: g.last.Created, Model: g.last.Model, Usage: g.last.Usage}
+func (a *assembler) build(chat bool) completion {
+	answer := completion{ID: a.last.ID, Object: "text_completion", Created: a.last.Created, Model: a.last.Model, Usage: a.last.Usage}
 	if chat {
 		answer.Object = "chat.completion"
 	}
-	for index, builder := range g.texts {
+	for index, builder := range a.texts {
 		text := builder.String()
-		choice := wholeChoice{Index: index, FinishReason: g.reasons[index]}
+		choice := completionChoice{Index: index, FinishReason: a.reasons[index]}
 		if chat {
 			choice.Message = &message{Role: "assistant", Content: text}
 		} else {
@@ -159,14 +160,14 @@
 	return answer
 }
 
-// whole waits for the whole answer and sends it as one JSON document.
-func (a *API) whole(c echo.Context, req dispatch.Request) error {
-	g := &gather{}
-	g.reset()
-	req.Restart = g.reset
-	if refusal := a.dispatcher.Complete(c.Request().Context(), req, g.add); refusal != nil {
+// completeWhole waits for the whole answer and sends it as one JSON document.
+func (a *API) completeWhole(c echo.Context, req dispatch.Request) error {
+	asm := &assembler{}
+	asm.reset()
+	req.Restart = asm.reset
+	if refusal := a.dispatcher.Complete(c.Request().Context(), req, asm.add); refusal != nil {
 		return refusal
 	}
 	c.Response().Header().Set(HeaderVerdict, verdict.Ran.String())
-	return c.JSON(http.StatusOK, g.answer(strings.Contains(req.Path, "/chat/")))
+	return c.JSON(http.StatusOK, asm.build(strings.Contains(req.Path, "/chat/")))
 }
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -1,5 +1,5 @@
-// Package callerapi is the HTTP interface to callers: completions as model
-// servers commonly offer them, the list of models, and plain services.
+// Package callerapi is the HTTP API for callers: completions in the form that model
+// servers commonly offer, the list of models, and plain services.
 package callerapi
 
 import (
@@ -25,7 +25,7 @@
 	"github.com/pkg/errors"
 )
 
-// Headers of this interface.
+// Headers of this API.
 const (
 	HeaderVerdict        = "Cherrystage-Verdict"
 	HeaderIdempotent     = "Cherrystage-Idempotent"
@@ -33,7 +33,7 @@
 	HeaderRequestID      = "X-Request-Id"
 )
 
-// Codes of refusals made before a request is admitted.
+// Codes of refusals before a request is dispatched.
 const (
 	codeUnauthorized = "unauthorized"
 	codeForbidden    = "forbidden"
@@ -53,18 +53,17 @@
 	Service(ctx context.Context, req dispatch.Request, call plain.Call) (plain.Answer, *dispatch.Refusal)
 }
 
-// Inventory gives the snapshot in force.
+// Inventory provides the snapshot in force.
 type Inventory interface{ Snapshot() *inventory.Snapshot }
 
-// Streams counts the requests under way, for the bound on them and for a
-// graceful stop.
+// Streams counts the requests in progress, to limit them and for graceful shutdown.
 type Streams interface {
-	// Begin refuses when too many are under way.
+	// Begin returns false if too many requests are in progress.
 	Begin() bool
 	End()
 }
 
-// API is the interface to callers.
+// API is the HTTP API for callers.
 type API struct {
 	dispatcher Dispatcher
 	inventory  Inventory
@@ -73,12 +72,12 @@
 	maxBody    int64
 }
 
-// New makes the interface; ready tells whether this host takes requests.
+// New returns an API; ready reports whether this host takes requests.
 func New(dispatcher Dispatcher, inv Inventory, streams Streams, ready func() bool, maxBody int64) *API {
 	return &API{dispatcher: dispatcher, inventory: inv, streams: streams, ready: ready, maxBody: maxBody}
 }
 
-// Handler gives the HTTP handler.
+// Handler returns the HTTP handler.
 func (a *API) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
@@ -103,18 +102,18 @@
 	return &dispatch.Refusal{Status: status, Code: code, Message: message, Verdict: verdict.NotRun}
 }
 
-// errorBody is the JSON of a refusal.
+// errorBody is the JSON body of a refusal.
 type errorBody struct {
 	Code    string          `json:"code"`
 	Message string          `json:"message"`
 	Verdict verdict.Verdict `json:"verdict"`
 }
 
-// handleError writes every refusal in the one form that callers know.
+// handleError writes every refusal in the same form.
 func handleError(err error, c echo.Context) {
 	var refusal *dispatch.Refusal
 	if !errors.As(err, &refusal) {
-		refusal = unforeseen(err)
+		refusal = refusalFromError(err)
 	}
 	if c.Response().Committed {
 		return
@@ -127,18 +126,18 @@
 	_ = c.JSON(refusal.Status, errorBody{Code: refusal.Code, Message: refusal.Message, Verdict: refusal.Verdict})
 }
 
-// unforeseen covers the errors of the HTTP library, which come before any
-// request is sent on.
-func unforeseen(err error) *dispatch.Refusal {
-	var library *echo.HTTPError
-	if errors.As(err, &library) {
-		return refuse(library.Code, codeBadRequest, http.StatusText(library.Code))
+// refusalFromError converts other errors. Those of the HTTP library occur before a
+// request is dispatched; any other one may have occurred after.
+func refusalFromError(err error) *dispatch.Refusal {
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		return refuse(httpError.Code, codeBadRequest, http.StatusText(httpError.Code))
 	}
 	return &dispatch.Refusal{Status: http.StatusInternalServerError, Code: "internal", Message: "internal error", Verdict: verdict.MayHaveRun}
 }
 
-// caller finds who sends the request.
-func (a *API) caller(c echo.Context, snapshot *inventory.Snapshot) (inventory.Caller, error) {
+// authenticate returns the caller that sends the request.
+func (a *API) authenticate(c echo.Context, snapshot *inventory.Snapshot) (inventory.Caller, error) {
 	key, found := credential.BearerDigest(c.Request().Header["Authorization"])
 	if !found {
 		return inventory.Caller{}, refuse(http.StatusUnauthorized, codeUnauthorized, "no bearer key")
@@ -162,8 +161,8 @@
 	return body, nil
 }
 
-// newRequest fills in what every request has.
-func newRequest(c echo.Context, caller inventory.Caller, treatment inventory.Policy) (dispatch.Request, error) {
+// newRequest sets the fields that all requests have.
+func newRequest(c echo.Context, caller inventory.Caller, policy inventory.Policy) (dispatch.Request, error) {
 	header := c.Request().Header
 	id := header.Get(HeaderRequestID)
 	if id == "" {
@@ -175,9 +174,9 @@
 	}
 	c.Response().Header().Set(HeaderRequestID, id)
 	return dispatch.Request{
-		ID: id, Caller: caller.Name, Weight: caller.Weight, Priority: treatment.Priority,
+		ID: id, Caller: caller.Name, Weight: caller.Weight, Priority: policy.Priority,
 		Path:       c.Request().URL.Path,
-		Idempotent: !treatment.NonIdempotent && header.Get(HeaderIdempotent) != "false",
+		Idempotent: !policy.NonIdempotent && header.Get(HeaderIdempotent) != "false",
 		Key:        key,
 	}, nil
 }
@@ -201,10 +200,10 @@
 	Versions []string `json:"versions"`
 }
 
-// models lists the adapters that the caller may call.
+// models lists the adapters that the caller may use.
 func (a *API) models(c echo.Context) error {
 	snapshot := a.inventory.Snapshot()
-	caller, err := a.caller(c, snapshot)
+	caller, err := a.authenticate(c, snapshot)
 	if err != nil {
 		return err
 	}
@@ -217,10 +216,10 @@
 	return c.JSON(http.StatusOK, list)
 }
 
-// service passes a request to a plain service on.
+// service forwards a request to a plain service.
 func (a *API) service(c echo.Context) error {
 	snapshot := a.inventory.Snapshot()
-	caller, err := a.caller(c, snapshot)
+	caller, err := a.authenticate(c, snapshot)
 	if err != nil {
 		return err
 	}
@@ -268,18 +267,18 @@
 			header[name] = values
 		}
 	}
-	ended := verdict.Ran
+	outcome := verdict.Ran
 	if answer.Status >= http.StatusInternalServerError {
-		// The service failed on the way: how far it came is not known.
-		ended = verdict.MayHaveRun
+		// The service failed; how much of the request ran is unknown.
+		outcome = verdict.MayHaveRun
 	}
-	header.Set(HeaderVerdict, ended.String())
+	header.Set(HeaderVerdict, outcome.String())
 	c.Response().WriteHeader(answer.Status)
 	_, err := c.Response().Write(answer.Body)
 	return err
 }
 
-// completionBody is what is read of a caller's request; all else passes on.
+// completionBody holds the decoded fields of a caller's request; all others are passed on.
 type completionBody struct {
 	Model  string `json:"model"`
 	Stream bool   `json:"stream"`
@@ -288,7 +287,7 @@
 // complete serves a completion.
 func (a *API) complete(c echo.Context) error {
 	snapshot := a.inventory.Snapshot()
-	caller, err := a.caller(c, snapshot)
+	caller, err := a.authenticate(c, snapshot)
 	if err != nil {
 		return err
 	}
@@ -300,7 +299,7 @@
 	if err := json.Unmarshal(raw, &body); err != nil {
 		return refuse(http.StatusBadRequest, codeBadRequest, "body is not a completion request: "+err.Error())
 	}
-	req, err := a.admit(c, snapshot, caller, body.Model, raw)
+	req, err := a.buildRequest(c, snapshot, caller, body.Model, raw)
 	if err != nil {
 		return err
 	}
@@ -309,13 +308,13 @@
 	}
 	defer a.streams.End()
 	if body.Stream {
-		return a.stream(c, req)
+		return a.completeStream(c, req)
 	}
-	return a.whole(c, req)
+	return a.completeWhole(c, req)
 }
 
-// admit fixes the adapter's version and checks that the caller may use it.
-func (a *API) admit(c echo.Context, snapshot *inventory.Snapshot, caller inventory.Caller, model string, raw []byte) (dispatch.Request, error) {
+// buildRequest resolves the adapter's version and checks that the caller may use it.
+func (a *API) buildRequest(c echo.Context, snapshot *inventory.Snapshot, caller inventory.Caller, model string, raw []byte) (dispatch.Request, error) {
 	if model == "" {
 		return dispatch.Request{}, refuse(http.StatusBadRequest, codeBadRequest, "the field model is missing: it names the adapter, or ADAPTER@VERSION")
 	}
@@ -332,19 +331,20 @@
 	}
 	req.Model = inventory.ModelName(adapter.Name, version)
 	req.Base = adapter.Base
-	req.Body, err = forEngine(raw, req.Model)
+	req.Body, err = engineBody(raw, req.Model)
 	return req, err
 }
 
-// forEngine gives the body with the versioned name, and always as a stream:
-// pieces are how silence, order and completeness are seen.
-func forEngine(raw []byte, model string) ([]byte, error) {
+// engineBody returns the body with the versioned model name and with streaming enabled.
+// Only a stream shows whether the engine is silent and whether the pieces are complete
+// and in order.
+func engineBody(raw []byte, model string) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(raw, &fields); err != nil || fields == nil {
 		return nil, refuse(http.StatusBadRequest, codeBadRequest, "body is not a JSON object")
 	}
-	// Names that differ in case only go too: some engines would read the
-	// caller's "Model" in the place of the name that was checked.
+	// Names that differ only in case are removed too: some engines would use the
+	// caller's "Model" instead of the name that was checked.
 	maps.DeleteFunc(fields, func(name string, _ json.RawMessage) bool {
 		return strings.EqualFold(name, "model") || strings.EqualFold(name, "stream")
 	})
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -19,7 +19,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// fakeDispatcher answers with what it is told, and keeps the last request.
+// fakeDispatcher returns preset pieces and refusals, and records the last request.
 type fakeDispatcher struct {
 	last    dispatch.Request
 	pieces  []string
@@ -46,22 +46,22 @@
 func (f fakeStreams) Begin() bool { return !f.full }
 func (fakeStreams) End()          {}
 
-type fixed struct{ snapshot *inventory.Snapshot }
+type fixedInventory struct{ snapshot *inventory.Snapshot }
 
-func (f fixed) Snapshot() *inventory.Snapshot { return f.snapshot }
+func (f fixedInventory) Snapshot() *inventory.Snapshot { return f.snapshot }
 
 func snapshot(t *testing.T) *inventory.Snapshot {
 	t.Helper()
 	document := standalone.Sample()
 	document.Callers = append(document.Callers, inventory.Caller{Name: "farm", KeyDigest: standalone.Digest("farm-key")})
 	document.Adapters[0].Callers = []string{"pilot-desk"}
-	made, err := inventory.Empty().Apply(1, inventory.Diff(inventory.Empty(), document))
+	applied, err := inventory.Empty().Apply(1, inventory.Diff(inventory.Empty(), document))
 	must.NoError(t, err)
-	return made
+	return applied
 }
 
-// exchange is one request and what its caller must see.
-type exchange struct {
+// testRequest is a request and the expected response.
+type testRequest struct {
 	name, method, path, key, body string
 	header                        http.Header
 	full                          bool
@@ -70,14 +70,14 @@
 	code, verdict, retry          string
 }
 
-const pieceOne = `{"id":"x","model":"mooring-plan@2","choices":[{"index":0,"text":"one ","delta":{}}]}`
-const pieceTwo = `{"id":"x","model":"mooring-plan@2","choices":[{"index":0,"text":"two","finish_reason":"stop","delta":{}}]}`
+const firstPiece = `{"id":"x","model":"mooring-plan@2","choices":[{"index":0,"text":"one ","delta":{}}]}`
+const secondPiece = `{"id":"x","model":"mooring-plan@2","choices":[{"index":0,"text":"two","finish_reason":"stop","delta":{}}]}`
 
 func TestContract(t *testing.T) {
 	completion := `{"model":"mooring-plan"}`
 	refused := fakeDispatcher{refusal: &dispatch.Refusal{Status: 429, Code: "overloaded", Verdict: verdict.NotRun, RetryAfter: 1500 * time.Millisecond}}
-	whole := fakeDispatcher{pieces: []string{pieceOne, pieceTwo}}
-	for _, row := range []exchange{
+	completed := fakeDispatcher{pieces: []string{firstPiece, secondPiece}}
+	for _, row := range []testRequest{
 		{name: "no key", key: "-", body: completion, status: 401, code: codeUnauthorized, verdict: "not-run"},
 		{name: "unknown key", key: "x", body: completion, status: 401, code: codeUnauthorized, verdict: "not-run"},
 		{name: "not allowed", key: "farm-key", body: completion, status: 403, code: codeForbidden, verdict: "not-run"},
@@ -91,7 +91,7 @@
 		{name: "no such path", path: "/v2", body: completion, status: 404, code: codeBadRequest, verdict: "not-run"},
 		{name: "too many streams", body: completion, full: true, status: 503, code: dispatch.CodeOverloaded, verdict: "not-run", retry: "1"},
 		{name: "refused", body: completion, dispatcher: refused, status: 429, code: "overloaded", verdict: "not-run", retry: "2"},
-		{name: "whole", body: completion, dispatcher: whole, status: 200, verdict: "ran"},
+		{name: "whole", body: completion, dispatcher: completed, status: 200, verdict: "ran"},
 		{name: "models", method: "GET", path: "/v1/models", status: 200},
 		{name: "service", path: "/services/dispatch-api/tugs/7", status: 201, verdict: "ran"},
 		{name: "no such service", path: "/services/other/x", status: 404, code: codeUnknownModel, verdict: "not-run"},
@@ -111,7 +111,7 @@
 	}
 }
 
-func (e *exchange) send(t *testing.T) *httptest.ResponseRecorder {
+func (e *testRequest) send(t *testing.T) *httptest.ResponseRecorder {
 	t.Helper()
 	method, path, key := e.method, e.path, e.key
 	if method == "" {
@@ -130,58 +130,58 @@
 	if key != "-" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
-	api := New(&e.dispatcher, fixed{snapshot(t)}, fakeStreams{e.full}, func() bool { return true }, 1000)
+	api := New(&e.dispatcher, fixedInventory{snapshot(t)}, fakeStreams{e.full}, func() bool { return true }, 1000)
 	recorder := httptest.NewRecorder()
 	api.Handler().ServeHTTP(recorder, req)
 	return recorder
 }
 
-func TestWholeAnswerIsPutTogether(t *testing.T) {
-	e := exchange{body: `{"model":"mooring-plan"}`, dispatcher: fakeDispatcher{pieces: []string{pieceOne, pieceTwo}}}
+func TestWholeAnswerIsAssembled(t *testing.T) {
+	e := testRequest{body: `{"model":"mooring-plan"}`, dispatcher: fakeDispatcher{pieces: []string{firstPiece, secondPiece}}}
 	recorder := e.send(t)
 	must.StrContains(t, recorder.Body.String(), `"text":"one two"`)
 	must.StrContains(t, recorder.Body.String(), `"finish_reason":"stop"`)
 	must.Eq(t, "mooring-plan@2", e.dispatcher.last.Model)
 }
 
-func TestBrokenStreamHasNoClosingMark(t *testing.T) {
-	// An answer breaks off after its first piece. The caller's stream ends with
-	// an event that tells why and gives the verdict, and without [DONE].
-	e := exchange{
+func TestBrokenStreamHasNoDoneMarker(t *testing.T) {
+	// An answer breaks off after its first piece. The stream ends with an event
+	// that gives the reason and the verdict, and without [DONE].
+	e := testRequest{
 		body:       `{"model":"mooring-plan","stream":true}`,
-		dispatcher: fakeDispatcher{pieces: []string{pieceOne}, refusal: &dispatch.Refusal{Code: "answer_cut", Verdict: verdict.MayHaveRun}},
+		dispatcher: fakeDispatcher{pieces: []string{firstPiece}, refusal: &dispatch.Refusal{Code: "answer_cut", Verdict: verdict.MayHaveRun}},
 	}
 	text := e.send(t).Body.String()
 	must.StrContains(t, text, "event: error\ndata: ")
 	must.StrContains(t, text, `"verdict":"may-have-run"`)
-	must.StrNotContains(t, text, doneMark)
+	must.StrNotContains(t, text, doneMarker)
 }
 
-const doneMark = "[DONE]"
+const doneMarker = "[DONE]"
 
-func TestTreatment(t *testing.T) {
-	e := exchange{path: "/services/dispatch-api/tugs/7", header: http.Header{HeaderIdempotencyKey: {"k"}}}
+func TestRequestPolicy(t *testing.T) {
+	e := testRequest{path: "/services/dispatch-api/tugs/7", header: http.Header{HeaderIdempotencyKey: {"k"}}}
 	e.send(t)
 	must.False(t, e.dispatcher.last.Idempotent)
 	must.Eq(t, "k", e.dispatcher.last.Key)
 	must.Eq(t, 5, e.dispatcher.last.Priority)
-	e = exchange{path: "/services/dispatch-api/berths"}
+	e = testRequest{path: "/services/dispatch-api/berths"}
 	e.send(t)
 	must.True(t, e.dispatcher.last.Idempotent)
-	e = exchange{path: "/services/dispatch-api/berths", header: http.Header{HeaderIdempotent: {"false"}}}
+	e = testRequest{path: "/services/dispatch-api/berths", header: http.Header{HeaderIdempotent: {"false"}}}
 	e.send(t)
 	must.False(t, e.dispatcher.last.Idempotent)
 }
 
-func FuzzForEngine(f *testing.F) {
+func FuzzEngineBody(f *testing.F) {
 	f.Add([]byte(`{"model":"a","stream":false,"prompt":"x"}`))
 	f.Add([]byte(`{"model":"a","model":"b","stream":"yes"}`))
 	f.Add([]byte(`[]`))
 	f.Add([]byte(`null`))
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		// Whatever a caller sends, the engine is asked for the fixed model and
-		// for a stream, or the caller is refused as not run.
-		body, err := forEngine(raw, "a@1")
+		// Whatever a caller sends, the engine gets the resolved model and
+		// streaming, or the request is refused as not run.
+		body, err := engineBody(raw, "a@1")
 		if err != nil {
 			var refusal *dispatch.Refusal
 			must.True(t, errors.As(err, &refusal))
