--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -1,5 +1,5 @@
-// Package adminapi is the administration API: operators read and change the
-// inventory and the rules, and read the outcomes.
+// Package adminapi is the HTTP API for operators: they read and change the
+// inventory and its rules, and inspect the state of hosts and requests.
 package adminapi
 
 import (
@@ -22,13 +22,13 @@
 )
 
 const (
-	maxChangeBytes  = 64 << 20
-	defaultAudit    = 50
-	maxAudit        = 1000
-	operatorContext = "operator"
+	maxChangeBytes     = 64 << 20
+	defaultAuditLimit  = 50
+	maxAuditLimit      = 1000
+	operatorContextKey = "operator"
 )
 
-// Codes of errors.
+// Codes of error responses.
 const (
 	CodeUnauthorized = "unauthorized"
 	CodeBadRequest   = "bad_request"
@@ -39,8 +39,8 @@
 	CodeNotFound     = "not_found"
 )
 
-// ChangeRequest asks for a change. Either Ops or Document is given; a document
-// stands for the whole inventory.
+// ChangeRequest is the body of a change request. It contains either Ops or Document; a
+// document replaces the whole inventory.
 type ChangeRequest struct {
 	ChangeID string              `json:"change_id"`
 	From     inventory.Revision  `json:"from"`
@@ -50,7 +50,7 @@
 	DryRun   bool                `json:"dry_run,omitempty"`
 }
 
-// ChangeResult tells what a change did, or would do.
+// ChangeResult lists what a change did, or would do if it is a dry run.
 type ChangeResult struct {
 	Revision inventory.Revision `json:"revision"`
 	ChangeID string             `json:"change_id,omitempty"`
@@ -58,13 +58,13 @@
 	DryRun   bool               `json:"dry_run,omitempty"`
 }
 
-// InventoryResult is the inventory in force on the asked host.
+// InventoryResult is the inventory in force on this host.
 type InventoryResult struct {
 	Revision inventory.Revision `json:"revision"`
 	inventory.Document
 }
 
-// ErrorResult is the JSON of an error.
+// ErrorResult is the JSON body of an error.
 type ErrorResult struct {
 	Code    string             `json:"code"`
 	Message string             `json:"message"`
@@ -73,17 +73,17 @@
 	Since   []configlog.Change `json:"since,omitempty"`
 }
 
-// Publisher has changes accepted.
+// Publisher publishes changes.
 type Publisher interface {
 	Publish(ctx context.Context, known *inventory.Snapshot, proposal configlog.Proposal, now time.Time) (configlog.Change, error)
 }
 
-// Auditor reads the trail of changes.
+// Auditor reads the audit trail.
 type Auditor interface {
 	Audit(ctx context.Context, limit int) ([]configlog.Change, error)
 }
 
-// Node is what operators read of this host, and order it to do.
+// Node is the part of this host that operators inspect and control.
 type Node interface {
 	Snapshot() *inventory.Snapshot
 	Accepted(change configlog.Change)
@@ -92,7 +92,7 @@
 	Drain(ctx context.Context, host string) error
 }
 
-// API is the administration API.
+// API is the HTTP API for operators.
 type API struct {
 	publisher Publisher
 	auditor   Auditor
@@ -100,18 +100,18 @@
 	operators credential.Holders
 }
 
-// New makes the API; operators gives names by the digests of their keys.
+// New returns an API; operators maps the digests of keys to the operators' names.
 func New(publisher Publisher, auditor Auditor, node Node, operators credential.Holders) *API {
 	return &API{publisher: publisher, auditor: auditor, node: node, operators: operators}
 }
 
-// Handler gives the HTTP handler.
+// Handler returns the HTTP handler.
 func (a *API) Handler() http.Handler {
 	e := echo.New()
 	e.HideBanner = true
 	e.HTTPErrorHandler = handleError
 	e.GET("/healthz", func(c echo.Context) error { return c.JSON(http.StatusOK, map[string]string{"status": "ok"}) })
-	api := e.Group("", a.authorize)
+	api := e.Group("", a.authenticate)
 	api.GET("/v1/inventory", a.inventory)
 	api.POST("/v1/changes", a.change)
 	api.GET("/v1/changes", a.audit)
@@ -127,15 +127,15 @@
 	return e
 }
 
-// authorize finds which operator calls.
-func (a *API) authorize(next echo.HandlerFunc) echo.HandlerFunc {
+// authenticate identifies the operator by the request's key and refuses other requests.
+func (a *API) authenticate(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		key, _ := credential.BearerDigest(c.Request().Header["Authorization"])
 		operator, ok := a.operators.Holder(key)
 		if !ok {
 			return &apiError{status: http.StatusUnauthorized, body: ErrorResult{Code: CodeUnauthorized, Message: "no operator has this key", Verdict: verdict.NotRun}}
 		}
-		c.Set(operatorContext, operator)
+		c.Set(operatorContextKey, operator)
 		return next(c)
 	}
 }
@@ -156,9 +156,9 @@
 		_ = c.JSON(known.status, known.body)
 		return
 	}
-	var library *echo.HTTPError
-	if errors.As(err, &library) {
-		_ = c.JSON(library.Code, ErrorResult{Code: CodeBadRequest, Message: http.StatusText(library.Code), Verdict: verdict.NotRun})
+	var httpError *echo.HTTPError
+	if errors.As(err, &httpError) {
+		_ = c.JSON(httpError.Code, ErrorResult{Code: CodeBadRequest, Message: http.StatusText(httpError.Code), Verdict: verdict.NotRun})
 		return
 	}
 	_ = c.JSON(http.StatusInternalServerError, ErrorResult{Code: "internal", Message: err.Error(), Verdict: verdict.MayHaveRun})
@@ -173,7 +173,7 @@
 	return c.JSON(http.StatusOK, InventoryResult{Revision: snapshot.Revision(), Document: snapshot.Document()})
 }
 
-// change has a change accepted, or shows what it would do.
+// change publishes a change, or returns what a dry run would do.
 func (a *API) change(c echo.Context) error {
 	var req ChangeRequest
 	decoder := json.NewDecoder(http.MaxBytesReader(c.Response(), c.Request().Body, maxChangeBytes))
@@ -209,7 +209,7 @@
 }
 
 func (a *API) publish(c echo.Context, snapshot *inventory.Snapshot, req ChangeRequest) error {
-	operator, _ := c.Get(operatorContext).(string)
+	operator, _ := c.Get(operatorContextKey).(string)
 	proposal := configlog.Proposal{ChangeID: req.ChangeID, Operator: operator, From: req.From, Note: req.Note, Ops: req.Ops}
 	change, err := a.publisher.Publish(c.Request().Context(), snapshot, proposal, time.Now())
 	if err != nil {
@@ -219,7 +219,7 @@
 	return c.JSON(http.StatusOK, ChangeResult{Revision: change.Revision, ChangeID: change.ID, Ops: req.Ops})
 }
 
-// changeError turns a change that was not accepted into its answer.
+// changeError converts the error of a change into its response.
 func changeError(err error) error {
 	body := ErrorResult{Message: err.Error(), Verdict: verdict.Of(err)}
 	var stale *configlog.StaleError
@@ -245,11 +245,11 @@
 }
 
 func (a *API) audit(c echo.Context) error {
-	limit := defaultAudit
+	limit := defaultAuditLimit
 	if text := c.QueryParam("limit"); text != "" {
 		number, err := strconv.Atoi(text)
-		if err != nil || number < 1 || number > maxAudit {
-			return badRequest("limit: want 1 to " + strconv.Itoa(maxAudit))
+		if err != nil || number < 1 || number > maxAuditLimit {
+			return badRequest("limit: want 1 to " + strconv.Itoa(maxAuditLimit))
 		}
 		limit = number
 	}
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -20,26 +20,26 @@
 	"github.com/shoenig/test/must"
 )
 
-// fake is a node whose publisher answers with an error, or accepts.
-type fake struct {
+// fakeNode is a node whose calls return a preset error, or succeed.
+type fakeNode struct {
 	err      error
 	proposal configlog.Proposal
 	accepted int
 }
 
-func (f *fake) Publish(_ context.Context, _ *inventory.Snapshot, p configlog.Proposal, _ time.Time) (configlog.Change, error) {
+func (f *fakeNode) Publish(_ context.Context, _ *inventory.Snapshot, p configlog.Proposal, _ time.Time) (configlog.Change, error) {
 	f.proposal = p
 	return configlog.Change{ID: p.ChangeID, Revision: p.From + 1}, f.err
 }
 
-func (f *fake) Audit(context.Context, int) ([]configlog.Change, error) { return nil, f.err }
-func (f *fake) Snapshot() *inventory.Snapshot                          { return sample() }
-func (f *fake) Accepted(configlog.Change)                              { f.accepted++ }
-func (f *fake) Status() Status                                         { return Status{Host: "e1"} }
-func (f *fake) Explain(context.Context, string) (dispatch.Story, bool) {
+func (f *fakeNode) Audit(context.Context, int) ([]configlog.Change, error) { return nil, f.err }
+func (f *fakeNode) Snapshot() *inventory.Snapshot                          { return sample() }
+func (f *fakeNode) Accepted(configlog.Change)                              { f.accepted++ }
+func (f *fakeNode) Status() Status                                         { return Status{Host: "e1"} }
+func (f *fakeNode) Explain(context.Context, string) (dispatch.Story, bool) {
 	return dispatch.Story{}, f.err == nil
 }
-func (f *fake) Drain(context.Context, string) error { return f.err }
+func (f *fakeNode) Drain(context.Context, string) error { return f.err }
 
 func sample() *inventory.Snapshot {
 	snapshot, err := inventory.Empty().Apply(4, inventory.Diff(inventory.Empty(), standalone.Sample()))
@@ -83,7 +83,7 @@
 		{name: "metrics need a key", method: "GET", path: "/debug/vars", key: "-", status: 401, code: CodeUnauthorized, verdict: verdict.NotRun},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			node := &fake{err: row.err}
+			node := &fakeNode{err: row.err}
 			recorder := send(node, row.method, row.path, row.key, row.body)
 			must.Eq(t, row.status, recorder.Code, must.Sprint(recorder.Body.String()))
 			must.Eq(t, row.accepted, node.accepted)
@@ -98,7 +98,7 @@
 	}
 }
 
-func send(node *fake, method, path, key, body string) *httptest.ResponseRecorder {
+func send(node *fakeNode, method, path, key, body string) *httptest.ResponseRecorder {
 	if key == "" {
 		key = standalone.OperatorKey
 	}
@@ -112,8 +112,8 @@
 	return recorder
 }
 
-func TestChangeNamesItsOperator(t *testing.T) {
-	node := &fake{}
+func TestChangeRecordsOperator(t *testing.T) {
+	node := &fakeNode{}
 	send(node, http.MethodPost, "/v1/changes", "", `{"change_id":"c1","from":4,"note":"n","ops":[{"delete_rule":"tug-calls-once"}]}`)
 	must.Eq(t, "kim", node.proposal.Operator)
 	must.Eq(t, "n", node.proposal.Note)
@@ -126,9 +126,9 @@
 	f.Add([]byte(`{"change_id":"c","ops":[{}],"dry_run":true}`))
 	f.Add([]byte(`null`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		// Whatever an operator sends gets an answer, and nothing is in force
-		// that was not accepted.
-		node := &fake{err: errors.New("refused")}
+		// Every body gets a response, and no change is reported as accepted
+		// unless the publisher accepted it.
+		node := &fakeNode{err: errors.New("refused")}
 		recorder := send(node, http.MethodPost, "/v1/changes", "", string(body))
 		must.NotEq(t, 0, recorder.Code)
 		must.Eq(t, 0, node.accepted)
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -16,7 +16,8 @@
 	Now      time.Time          `json:"now"`
 	Revision inventory.Revision `json:"revision"`
 	Adapters int                `json:"adapters"`
-	// LeaseValid says that this host's lease holds, so the object API answers it.
+	// LeaseValid says that this host's lease is valid, which shows that the object API
+	// answers it.
 	LeaseValid bool             `json:"lease_valid"`
 	Hosts      []HostStatus     `json:"hosts"`
 	Runners    []RunnerStatus   `json:"runners"`
@@ -27,14 +28,14 @@
 	Waiting    int              `json:"waiting"`
 }
 
-// HostStatus is one entry host.
+// HostStatus is the state of one entry host.
 type HostStatus struct {
 	fleet.Member
 	State fleet.State `json:"state"`
 	Alive bool        `json:"speaking"`
 }
 
-// RunnerStatus is one runner.
+// RunnerStatus is the state of one runner.
 type RunnerStatus struct {
 	residency.View
 	State      fleet.State `json:"state"`
--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -1,4 +1,4 @@
-// Package adminclient calls the administration API.
+// Package adminclient is a client of the administration API.
 package adminclient
 
 import (
@@ -20,7 +20,7 @@
 
 const maxAnswerBytes = 64 << 20
 
-// APIError is an error that the administration API answered with.
+// APIError is an error response of the administration API.
 type APIError struct {
 	Status int
 	adminapi.ErrorResult
@@ -29,7 +29,7 @@
 // Error implements error.
 func (e *APIError) Error() string { return e.Code + ": " + e.Message }
 
-// Verdict says whether the refused call may have had its effect.
+// Verdict returns whether the failed call may have taken effect.
 func (e *APIError) Verdict() verdict.Verdict { return e.ErrorResult.Verdict }
 
 // Client calls one host's administration API.
@@ -39,42 +39,42 @@
 	http *http.Client
 }
 
-// New makes a client for the API at base with an operator's key.
+// New returns a client for the API at base with an operator's key.
 func New(base, key string, transport http.RoundTripper) *Client {
 	return &Client{base: strings.TrimSuffix(base, "/"), key: key, http: &http.Client{Transport: transport}}
 }
 
-// Inventory reads the inventory in force on the host.
+// Inventory returns the inventory in force on the host.
 func (c *Client) Inventory(ctx context.Context) (adminapi.InventoryResult, error) {
 	var result adminapi.InventoryResult
 	return result, c.call(ctx, http.MethodGet, "/v1/inventory", nil, &result)
 }
 
-// Change asks for a change.
+// Change requests a change of the inventory.
 func (c *Client) Change(ctx context.Context, req adminapi.ChangeRequest) (adminapi.ChangeResult, error) {
 	var result adminapi.ChangeResult
 	return result, c.call(ctx, http.MethodPost, "/v1/changes", req, &result)
 }
 
-// Audit reads the last changes, newest first.
+// Audit returns the last changes, newest first.
 func (c *Client) Audit(ctx context.Context, limit int) ([]configlog.Change, error) {
 	var result []configlog.Change
 	return result, c.call(ctx, http.MethodGet, "/v1/changes?limit="+strconv.Itoa(limit), nil, &result)
 }
 
-// Status reads the state of the deployment as the host sees it.
+// Status returns the state of the deployment as the host sees it.
 func (c *Client) Status(ctx context.Context) (adminapi.Status, error) {
 	var result adminapi.Status
 	return result, c.call(ctx, http.MethodGet, "/v1/status", nil, &result)
 }
 
-// Explain reads why a request went where it went.
+// Explain returns the record of how a request was dispatched.
 func (c *Client) Explain(ctx context.Context, request string) (dispatch.Story, error) {
 	var result dispatch.Story
 	return result, c.call(ctx, http.MethodGet, "/v1/requests/"+url.PathEscape(request), nil, &result)
 }
 
-// Drain makes an entry host give its work away.
+// Drain makes an entry host hand over its work.
 func (c *Client) Drain(ctx context.Context, host string) error {
 	var result map[string]string
 	return c.call(ctx, http.MethodPost, "/v1/hosts/"+url.PathEscape(host)+"/drain", nil, &result)
@@ -91,7 +91,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, reader)
 	if err != nil {
-		return errors.Wrap(err, "request")
+		return errors.Wrap(err, "create request")
 	}
 	req.Header.Set("Authorization", "Bearer "+c.key)
 	req.Header.Set("Content-Type", "application/json")
@@ -102,7 +102,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return errors.Wrap(err, "answer cut short")
+		return errors.Wrap(err, "read response of the administration API")
 	}
 	if resp.StatusCode != http.StatusOK {
 		failed := &APIError{Status: resp.StatusCode}
@@ -111,5 +111,5 @@
 		}
 		return failed
 	}
-	return errors.Wrap(json.Unmarshal(text, into), "answer of the administration API")
+	return errors.Wrap(json.Unmarshal(text, into), "decode response of the administration API")
 }
