--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -17,14 +17,14 @@
 
 // Limits of the client.
 const (
-	defaultTimeout   = 3 * time.Second
-	firstReadTimeout = time.Second
-	watchGrace       = 2 * time.Second
-	maxListingBytes  = 64 << 20
-	maxErrorBodySize = 512
+	defaultTimeout     = 3 * time.Second
+	firstGetTimeout    = time.Second
+	watchTimeoutMargin = 2 * time.Second
+	maxListingBytes    = 64 << 20
+	maxErrorBodySize   = 512
 )
 
-// Client speaks HTTP and JSON to the object API. It is safe for concurrent use.
+// Client calls the object API over HTTP with JSON. It is safe for concurrent use.
 type Client struct {
 	base    string
 	http    *http.Client
@@ -32,8 +32,8 @@
 	calls   atomic.Int64
 }
 
-// NewClient makes a client for the object API at base, such as
-// "http://127.0.0.1:9000". The transport carries the connections.
+// NewClient returns a client for the object API at base, such as
+// "http://127.0.0.1:9000", that connects through the given transport.
 func NewClient(base string, transport http.RoundTripper) *Client {
 	return &Client{
 		base:    strings.TrimSuffix(base, "/"),
@@ -42,16 +42,17 @@
 	}
 }
 
-// CallCount gives the number of calls made so far.
+// CallCount returns the number of calls made so far.
 func (c *Client) CallCount() int64 { return c.calls.Load() }
 
-// Get reads one object.
+// Get reads one object. If the first attempt finds the API unavailable, it tries once
+// more on a new connection.
 func (c *Client) Get(ctx context.Context, key string) (Object, error) {
-	object, err := c.getOnce(ctx, key, firstReadTimeout)
+	object, err := c.getOnce(ctx, key, firstGetTimeout)
 	if err == nil || !errors.Is(err, ErrUnavailable) || ctx.Err() != nil {
 		return object, err
 	}
-	// The pooled connection may have gone silent while new ones work.
+	// The pooled connection may be dead while new ones work.
 	c.http.CloseIdleConnections()
 	return c.getOnce(ctx, key, c.timeout)
 }
@@ -83,7 +84,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.do(ctx, "put", key, http.MethodPut, "/objects/"+key, condition(ifVersion), value)
+	resp, err := c.do(ctx, "put", key, http.MethodPut, "/objects/"+key, preconditionHeader(ifVersion), value)
 	if err != nil {
 		return 0, err
 	}
@@ -99,14 +100,14 @@
 func (c *Client) Delete(ctx context.Context, key string, ifVersion Version) error {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
-	resp, err := c.do(ctx, "delete", key, http.MethodDelete, "/objects/"+key, condition(ifVersion), nil)
+	resp, err := c.do(ctx, "delete", key, http.MethodDelete, "/objects/"+key, preconditionHeader(ifVersion), nil)
 	if err != nil {
 		return err
 	}
 	return resp.Body.Close()
 }
 
-// List reads all objects whose key starts with prefix.
+// List returns all objects whose key starts with prefix.
 func (c *Client) List(ctx context.Context, prefix string) (Listing, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
@@ -116,12 +117,12 @@
 	return listing, err
 }
 
-// Watch waits up to wait for a change under prefix after the given version.
-// It returns with no events when none came.
+// Watch waits up to wait for changes under prefix after the given version. It returns no
+// events if there were none.
 func (c *Client) Watch(ctx context.Context, prefix string, after Version, wait time.Duration) (Changes, error) {
-	// A watch whose connection has gone silent would wait for good, so the
-	// client gives up a little after the platform should have answered.
-	ctx, cancel := context.WithTimeout(ctx, wait+watchGrace)
+	// A watch on a dead connection would wait forever, so the client times out a
+	// little after the platform should have answered.
+	ctx, cancel := context.WithTimeout(ctx, wait+watchTimeoutMargin)
 	defer cancel()
 	var changes Changes
 	path := "/watch?prefix=" + url.QueryEscape(prefix) +
@@ -154,7 +155,7 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		// Whatever was wrong with this connection may be wrong with its like.
+		// Other pooled connections may have the same fault as this one.
 		c.http.CloseIdleConnections()
 		return nil, &Error{Op: op, Key: key, Cause: transportCause(method), Detail: err.Error()}
 	}
@@ -166,8 +167,8 @@
 	return nil, &Error{Op: op, Key: key, Cause: statusCause(method, resp.StatusCode), Detail: strings.TrimSpace(string(info))}
 }
 
-// transportCause treats every broken write as one that may have taken effect:
-// the answer to a write can be lost after the write is done.
+// transportCause returns the cause of a call without a usable response. Every such write
+// may have taken effect: its response can be lost after the write is done.
 func transportCause(method string) error {
 	if method == http.MethodGet {
 		return ErrUnavailable
@@ -188,7 +189,7 @@
 	}
 }
 
-func condition(version Version) http.Header {
+func preconditionHeader(version Version) http.Header {
 	if version == 0 {
 		return http.Header{"If-None-Match": {"*"}}
 	}
--- a/internal/objectapi/contract_test.go
+++ b/internal/objectapi/contract_test.go
@@ -16,11 +16,11 @@
 	"github.com/shoenig/test/must"
 )
 
-// contractURL names a real object API to run the contract against, beside the
-// stand-in: set CHERRYSTAGE_CONTRACT_OBJECT_API to its URL.
+// contractURL is the environment variable with the URL of a real object API. If it is set,
+// the contract is run against that API as well as the stand-in.
 const contractURL = "CHERRYSTAGE_CONTRACT_OBJECT_API"
 
-// contract is what the project relies on of an object API.
+// contract lists what the project relies on in an object API.
 var contract = []struct {
 	name string
 	run  func(t *testing.T, c *objectapi.Client, prefix string)
@@ -30,7 +30,7 @@
 		must.ErrorIs(t, err, objectapi.ErrNotFound)
 		must.Eq(t, verdict.NotRun, verdict.Of(err))
 	}},
-	{"what was written is read, with its version", func(t *testing.T, c *objectapi.Client, prefix string) {
+	{"a written value is read back with its version", func(t *testing.T, c *objectapi.Client, prefix string) {
 		version, err := c.Put(context.Background(), prefix+"a", []byte("one"), 0)
 		must.NoError(t, err)
 		object, err := c.Get(context.Background(), prefix+"a")
@@ -62,21 +62,21 @@
 		must.NoError(t, err)
 		must.Greater(t, first, second)
 	}},
-	{"a list holds what stands under its prefix", func(t *testing.T, c *objectapi.Client, prefix string) {
+	{"a list contains the objects under its prefix", func(t *testing.T, c *objectapi.Client, prefix string) {
 		_, _ = c.Put(context.Background(), prefix+"list/1", []byte("x"), 0)
 		_, _ = c.Put(context.Background(), prefix+"list/2", []byte("y"), 0)
 		listing, err := c.List(context.Background(), prefix+"list/")
 		must.NoError(t, err)
 		must.Len(t, 2, listing.Items)
 	}},
-	{"a watch tells a change that came before it was opened", func(t *testing.T, c *objectapi.Client, prefix string) {
+	{"a watch reports a change made before it was opened", func(t *testing.T, c *objectapi.Client, prefix string) {
 		before, _ := c.List(context.Background(), prefix+"w/")
 		_, _ = c.Put(context.Background(), prefix+"w/1", []byte("x"), 0)
 		changes, err := c.Watch(context.Background(), prefix+"w/", before.Version, 5*time.Second)
 		must.NoError(t, err)
 		must.Len(t, 1, changes.Events)
 	}},
-	{"a watch without a change ends in its time", func(t *testing.T, c *objectapi.Client, prefix string) {
+	{"a watch without a change ends after its wait", func(t *testing.T, c *objectapi.Client, prefix string) {
 		before, _ := c.List(context.Background(), prefix)
 		changes, err := c.Watch(context.Background(), prefix+"quiet/", before.Version, 200*time.Millisecond)
 		must.NoError(t, err)
@@ -96,14 +96,14 @@
 				prefix := "contract/" + strconv.FormatInt(time.Now().UnixNano(), 36) + "/"
 				row.run(t, objectapi.NewClient(url, nil), prefix)
 			}
-			withStandin(t, func(t *testing.T, c *objectapi.Client, _ *standin.Platform, _ *standin.Network) {
+			withStandIn(t, func(t *testing.T, c *objectapi.Client, _ *standin.Platform, _ *standin.Network) {
 				row.run(t, c, "contract/")
 			})
 		})
 	}
 }
 
-func withStandin(t *testing.T, run func(t *testing.T, c *objectapi.Client, p *standin.Platform, n *standin.Network)) {
+func withStandIn(t *testing.T, run func(t *testing.T, c *objectapi.Client, p *standin.Platform, n *standin.Network)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		network := standin.NewNetwork()
@@ -121,7 +121,7 @@
 }
 
 func TestFaults(t *testing.T) {
-	// The object API fails in each of its ways. The verdict says whether a
+	// For each kind of fault of the object API, the verdict must say whether a
 	// write may have taken effect; a read never has an effect.
 	for _, row := range []struct {
 		name    string
@@ -136,7 +136,7 @@
 		{"connection silent", func(_ *standin.Platform, n *standin.Network) { n.Silence("entry", "platform") }, objectapi.ErrAnswerLost, verdict.MayHaveRun, nil},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			withStandin(t, func(t *testing.T, c *objectapi.Client, p *standin.Platform, n *standin.Network) {
+			withStandIn(t, func(t *testing.T, c *objectapi.Client, p *standin.Platform, n *standin.Network) {
 				version, err := c.Put(context.Background(), "x", []byte("1"), 0)
 				must.NoError(t, err)
 				row.fault(p, n)
--- a/internal/objectapi/objectapi.go
+++ b/internal/objectapi/objectapi.go
@@ -1,6 +1,6 @@
-// Package objectapi is the adapter to the platform's object API: values of up
-// to a megabyte with versions, conditional updates and watches. All that must
-// outlive a host is kept there.
+// Package objectapi is the client of the platform's object API: values of up to a
+// megabyte with versions, conditional updates and watches. It stores all state that
+// must outlive a host.
 package objectapi
 
 import (
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// MaxValueBytes is the largest value that the platform takes.
+// MaxValueBytes is the size of the largest value that the platform takes.
 const MaxValueBytes = 1 << 20
 
-// Version is the platform's version of an object. It grows with every write
-// to any object. Zero stands for an object that does not exist.
+// Version is the platform's version of an object. It increases with every write
+// to any object. Zero means that the object does not exist.
 type Version uint64
 
 // Object is one stored value.
@@ -22,22 +22,21 @@
 	Value   []byte  `json:"value,omitempty"`
 }
 
-// Event tells that an object changed or was deleted.
+// Event reports that an object changed or was deleted.
 type Event struct {
 	Key     string  `json:"key"`
 	Version Version `json:"version"`
 	Deleted bool    `json:"deleted,omitempty"`
 }
 
-// Listing is the answer to a list or a watch, with the platform's version at
-// that moment.
+// Listing is the response to a list, with the platform's version at that moment.
 type Listing struct {
 	Items   []Object `json:"items"`
 	Version Version  `json:"version"`
 }
 
-// Changes is the answer to a watch. Reset says that the platform no longer
-// knows all changes since the asked version, so the watcher must list again.
+// Changes is the response to a watch. Reset says that the platform no longer
+// knows all changes since the requested version, so the watcher must list again.
 type Changes struct {
 	Events  []Event `json:"events"`
 	Version Version `json:"version"`
@@ -46,14 +45,14 @@
 
 // Causes of a failed call.
 var (
-	// ErrNotFound: the object does not exist.
+	// ErrNotFound means that the object does not exist.
 	ErrNotFound = errors.New("object not found")
-	// ErrConflict: the object's version is not the one that the caller gave.
+	// ErrConflict means that the object's version is not the given one.
 	ErrConflict = errors.New("object has changed since it was read")
-	// ErrUnavailable: the object API did not take the call.
+	// ErrUnavailable means that the object API did not take the call.
 	ErrUnavailable = errors.New("object API unavailable")
-	// ErrAnswerLost: the call was sent and no answer came; a write may or may
-	// not have taken effect.
+	// ErrAnswerLost means that the call was sent and no response came; a write may or
+	// may not have taken effect.
 	ErrAnswerLost = errors.New("answer of the object API lost")
 )
 
@@ -74,10 +73,10 @@
 	return text
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// Verdict says whether a write may have taken effect.
+// Verdict returns whether a write may have taken effect.
 func (e *Error) Verdict() verdict.Verdict {
 	if errors.Is(e.Cause, ErrAnswerLost) {
 		return verdict.MayHaveRun
