--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,4 +1,4 @@
-// Package clock tells a time that goes on while the host is suspended.
+// Package clock provides a clock that keeps running while the host is suspended.
 package clock
 
 import (
@@ -7,12 +7,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now gives the time since the host's start as a point in time. It neither
-// jumps with the time of day nor stands still while the host is suspended.
+// Now returns the time since the host's boot as a time.Time. It is not affected by
+// changes of the wall clock and includes the time for which the host was suspended.
 //
-// A lease measured by Go's monotonic clock would still look valid after a
-// suspension, and its holder would give orders beside its successor. This
-// clock has counted the suspension, so the holder sees that its lease is over.
+// Measured by Go's monotonic clock, a lease would still look valid after a suspension,
+// and its holder would issue orders concurrently with its successor. This clock counts
+// the suspension, so the holder sees that its lease has expired.
 func Now() time.Time {
 	var spec unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &spec); err != nil {
--- a/internal/plain/plain.go
+++ b/internal/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is the adapter to plain services: HTTP requests passed on as
-// they are, with a verdict.
+// Package plain is the client of plain HTTP services. It forwards requests unchanged and
+// classifies failures by how far the request got.
 package plain
 
 import (
@@ -16,11 +16,11 @@
 	"github.com/pkg/errors"
 )
 
-// MaxAnswerBytes bounds an answer. It is held whole before it is passed on, so
-// that a caller never sees half of one as if it were all.
+// MaxAnswerBytes is the largest answer. Answers are buffered as a whole before they are
+// forwarded, so that a caller never takes a truncated one for complete.
 const MaxAnswerBytes = 8 << 20
 
-// Call is one attempt of a request on one host of a service.
+// Call is one attempt to send a request to one host of a service.
 type Call struct {
 	Address    string
 	Method     string
@@ -32,49 +32,48 @@
 	Idempotent bool
 }
 
-// Answer is a whole answer.
+// Answer is a complete response of a service.
 type Answer struct {
 	Status int
 	Header http.Header
 	Body   []byte
 }
 
-// Client speaks to plain services. It is safe for concurrent use.
+// Client sends requests to plain services. It is safe for concurrent use.
 type Client struct {
-	timeout time.Duration
-	pooled  *http.Client
-	fresh   *http.Client
+	timeout   time.Duration
+	pooled    *http.Client
+	singleUse *http.Client
 }
 
-const idlePerHost = 32
+const maxIdlePerHost = 32
 
-// NewClient makes a client; timeout bounds a whole request.
+// NewClient returns a client; timeout bounds a whole request.
 func NewClient(dial func(ctx context.Context, network, address string) (net.Conn, error), timeout time.Duration) *Client {
 	transport := func(keepAlive bool) *http.Client {
 		return &http.Client{
-			Transport: &http.Transport{DialContext: dial, DisableKeepAlives: !keepAlive, MaxIdleConnsPerHost: idlePerHost, DisableCompression: true},
-			// The answer belongs to the caller, redirects too.
+			Transport: &http.Transport{DialContext: dial, DisableKeepAlives: !keepAlive, MaxIdleConnsPerHost: maxIdlePerHost, DisableCompression: true},
+			// All answers go to the caller, redirects included.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	return &Client{timeout: timeout, pooled: transport(true), fresh: transport(false)}
+	return &Client{timeout: timeout, pooled: transport(true), singleUse: transport(false)}
 }
 
-// hopHeaders concern one connection only and are not passed on. The
-// idempotency key is among them: the HTTP library would take it as leave to
-// send the request twice.
-var hopHeaders = []string{
+// droppedHeaders are not forwarded: hop-by-hop headers, credentials, and the idempotency
+// key, for which the HTTP library would retry the request by itself.
+var droppedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization", "Idempotency-Key",
 }
 
-// PassHeader gives the headers that go on to the next hop.
-func PassHeader(header http.Header) http.Header {
-	passed := header.Clone()
-	for _, name := range hopHeaders {
-		passed.Del(name)
+// forwardHeader returns the headers without those that are not forwarded.
+func forwardHeader(header http.Header) http.Header {
+	forwarded := header.Clone()
+	for _, name := range droppedHeaders {
+		forwarded.Del(name)
 	}
-	return passed
+	return forwarded
 }
 
 // Do makes one attempt.
@@ -91,8 +90,8 @@
 	}
 	client := c.pooled
 	if !call.Idempotent {
-		// A connection of its own, so that the library has no ground to send again.
-		client = c.fresh
+		// The HTTP library only retries on reused connections, so use a new one.
+		client = c.singleUse
 	}
 	resp, err := client.Do(req)
 	if err != nil {
@@ -112,7 +111,7 @@
 		return nil, errors.Wrap(err, "request to service")
 	}
 	req.GetBody = nil
-	req.Header = PassHeader(call.Header)
+	req.Header = forwardHeader(call.Header)
 	req.Header.Set(engine.HeaderTrace, call.TraceID)
 	return req, nil
 }
@@ -135,5 +134,5 @@
 	if len(body) > MaxAnswerBytes {
 		return Answer{}, &engine.Failure{Stage: engine.StageSend, Code: engine.CodeMalformed, Cause: errors.New("answer over the bound")}
 	}
-	return Answer{Status: resp.StatusCode, Header: PassHeader(resp.Header), Body: body}, nil
+	return Answer{Status: resp.StatusCode, Header: forwardHeader(resp.Header), Body: body}, nil
 }
--- a/internal/standalone/standalone.go
+++ b/internal/standalone/standalone.go
@@ -1,5 +1,5 @@
-// Package standalone starts the stand-ins of a first try in the daemon's own
-// process, with a small sample inventory.
+// Package standalone runs stand-ins for the platform and the runners inside the daemon's
+// process, with a small sample inventory, to try out the daemon on one machine.
 package standalone
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/pkg/errors"
 )
 
-// Keys of the sample. They open a first try on this machine and nothing else.
+// Keys of the sample. They give access to the standalone daemon only.
 const (
 	CallerKey   = "sample-caller-key"
 	OperatorKey = "sample-operator-key"
@@ -23,28 +23,28 @@
 )
 
 // Start starts the stand-ins, points the settings at them and applies the
-// sample inventory. The returned function ends the stand-ins.
+// sample inventory. The returned function stops the stand-ins.
 func Start(ctx context.Context, cfg *settings.Settings) (func(), error) {
-	world, err := standin.NewWorld(standin.WorldConfig{
+	standins, err := standin.NewWorld(standin.WorldConfig{
 		Runners: 3, Slots: 3, MaxBatch: 16, TokenTime: 40 * time.Millisecond, LoadTime: 300 * time.Millisecond,
 		ReportLag: 200 * time.Millisecond, Parallel: 1, Base: "base", DataCentre: cfg.DataCentre, Service: "dispatch-api",
 	}, standin.Loopback)
 	if err != nil {
-		return nil, errors.Wrap(err, "stand-ins")
+		return nil, errors.Wrap(err, "start stand-ins")
 	}
-	world.AddEntry(cfg.Host, cfg.DataCentre, cfg.AdvertisedPeer())
-	cfg.ObjectAPI = "http://" + world.Address
+	standins.AddEntry(cfg.Host, cfg.DataCentre, cfg.AdvertisedPeer())
+	cfg.ObjectAPI = "http://" + standins.Address
 	cfg.HostList = cfg.ObjectAPI
 	cfg.PeerKey = peerKey
 	cfg.OperatorKeys = append(cfg.OperatorKeys, "sample-operator="+Digest(OperatorKey))
 	if err := applySample(ctx, cfg.ObjectAPI); err != nil {
-		world.Close()
+		standins.Close()
 		return nil, err
 	}
-	return world.Close, nil
+	return standins.Close, nil
 }
 
-// Digest gives the digest of a key as settings and inventories hold it.
+// Digest returns the digest of a key in the form that settings and inventories use.
 func Digest(key string) string { return credential.Of(key).String() }
 
 func applySample(ctx context.Context, url string) error {
@@ -53,10 +53,10 @@
 		ChangeID: "sample", Operator: "sample-operator", Note: "sample inventory",
 		Ops: inventory.Diff(inventory.Empty(), Sample()),
 	}, time.Now())
-	return errors.Wrap(err, "sample inventory")
+	return errors.Wrap(err, "apply sample inventory")
 }
 
-// Sample is the sample inventory.
+// Sample returns the sample inventory.
 func Sample() inventory.Document {
 	adapter := func(name string, versions ...string) inventory.Adapter {
 		return inventory.Adapter{Name: name, Base: "base", Versions: versions, Current: versions[len(versions)-1], Callers: []string{inventory.AnyCaller}}
--- a/internal/weights/contract_test.go
+++ b/internal/weights/contract_test.go
@@ -18,9 +18,9 @@
 		ok         bool
 	}{
 		{"limits", `{"per_second":3.5}`, http.StatusOK, true},
-		{"nothing allowed", `{"per_second":0}`, http.StatusOK, false},
+		{"no loads allowed", `{"per_second":0}`, http.StatusOK, false},
 		{"not JSON", `<html>`, http.StatusOK, false},
-		{"an outage", `{"per_second":3.5}`, http.StatusServiceUnavailable, false},
+		{"outage", `{"per_second":3.5}`, http.StatusServiceUnavailable, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/internal/weights/weights.go
+++ b/internal/weights/weights.go
@@ -1,5 +1,5 @@
-// Package weights is the adapter to the weight store, which tells how many
-// loads it allows. Engines fetch the weights themselves.
+// Package weights is the client of the weight store, which limits the rate of adapter
+// loads. Engines fetch the weights themselves.
 package weights
 
 import (
@@ -18,19 +18,19 @@
 	maxAnswerBytes = 4 << 10
 )
 
-// Limits are what the weight store allows to the whole deployment now.
+// Limits are the weight store's current limits for the whole deployment.
 type Limits struct {
-	// PerSecond is the loads a second.
+	// PerSecond is the number of loads per second.
 	PerSecond float64 `json:"per_second"`
 }
 
-// Client reads the limits over HTTP and JSON.
+// Client reads the limits over HTTP with JSON.
 type Client struct {
 	url  string
 	http *http.Client
 }
 
-// NewClient makes a client for the weight store at base.
+// NewClient returns a client for the weight store at base.
 func NewClient(base string, transport http.RoundTripper) *Client {
 	return &Client{
 		url:  strings.TrimSuffix(base, "/") + "/weights/limits",
@@ -38,8 +38,8 @@
 	}
 }
 
-// Limits reads the limits. Limits that allow nothing are taken as an error: to
-// believe them would end all loads on one wrong answer.
+// Limits reads the limits. It returns an error for limits that allow no loads: one wrong
+// response would otherwise stop all loads.
 func (c *Client) Limits(ctx context.Context) (Limits, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
