--- a/internal/configlog/publish.go
+++ b/internal/configlog/publish.go
@@ -58,7 +58,7 @@
 // Error implements error.
 func (e *RejectedError) Error() string { return "change rejected: " + e.Cause.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *RejectedError) Unwrap() error { return e.Cause }
 
 // Verdict returns NotRun: a rejected change has no effect.
@@ -75,7 +75,7 @@
 	return fmt.Sprintf("change %s may or may not have been accepted: send it again under the same identifier, or look for it in the audit trail: %s", e.ChangeID, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *OutcomeUnknownError) Unwrap() error { return e.Cause }
 
 // Verdict returns MayHaveRun: the change may be in force.
--- a/internal/plain/plain.go
+++ b/internal/plain/plain.go
@@ -1,5 +1,5 @@
-// Package plain is the client of plain HTTP services. It forwards requests unchanged and
-// classifies failures by how far the request got.
+// Package plain is the client of plain HTTP services. It forwards requests and answers
+// unchanged but for some headers, and reports how far a failed request got.
 package plain
 
 import (
