--- a/cmd/cherryctl/audit.go
+++ b/cmd/cherryctl/audit.go
@@ -21,7 +21,7 @@
 		printRow(w, "REVISION", "AT", "OPERATOR", "FROM", "CHANGE", "ITEMS", "NOTE")
 		for _, change := range changes {
 			printRow(w, change.Revision, change.At.Format(time.RFC3339), change.Operator, change.From, change.ID,
-				strings.Join(change.Touched(), " "), dashIfEmpty(change.Note))
+				strings.Join(change.ItemNames(), " "), dashIfEmpty(change.Note))
 		}
 	})
 }
--- a/cmd/cherryctl/status.go
+++ b/cmd/cherryctl/status.go
@@ -25,7 +25,7 @@
 	printRow(w)
 	printRow(w, "HOST", "DATA CENTRE", "STATE", "HEARD", "REVISION", "LEAVING")
 	for _, h := range s.Hosts {
-		printRow(w, h.Host, h.DataCentre, dashIfEmpty(string(h.State)), h.Speaking, h.Revision, h.Leaving)
+		printRow(w, h.Host, h.DataCentre, dashIfEmpty(string(h.State)), h.Alive, h.Revision, h.Leaving)
 	}
 	printRow(w)
 	printRow(w, "RUNNER", "STATE", "OWNER", "FENCE", "RUNNING", "BATCH", "FILL", "SLOTS", "BLOCKED BY", "MODELS")
