--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -144,7 +144,7 @@
 		ranked := hosts["a"].rankedHosts(poison)
 		lost, remaining := ranked[:4], ranked[4:]
 		for _, name := range lost {
-			hosts[name].network.End(name)
+			hosts[name].network.KillHost(name)
 		}
 		for i, name := range remaining[:3] {
 			hosts[name].truncate(i)
--- a/internal/mesh/fetch_test.go
+++ b/internal/mesh/fetch_test.go
@@ -118,15 +118,15 @@
 func TestFetchResumesAtAnotherSource(t *testing.T) {
 	const size = 300_000
 	withCluster(t, func(m *cluster) {
-		m.net.Links.Limit("asker", 10)
+		m.net.Links.SetBandwidth("asker", 10)
 		m.update(size, "first", "second")
 		m.announce("asker", "second")
 		m.announce("asker", "first")
 		time.Sleep(120 * time.Millisecond)
 		must.Eq(t, 1, m.revision("asker"))
-		m.net.Cut("asker", "first")
-		m.net.Cut("asker", "second")
-		m.net.Mend("asker", "second")
+		m.net.Partition("asker", "first")
+		m.net.Partition("asker", "second")
+		m.net.Heal("asker", "second")
 		m.announce("asker", "second")
 		time.Sleep(time.Second)
 		must.Eq(t, 2, m.revision("asker"))
@@ -143,7 +143,7 @@
 	withCluster(t, func(m *cluster) {
 		m.update(100_000, "stuck", "other", "full")
 		for _, host := range []string{"stuck", "full"} {
-			m.net.Links.Limit(host, 0.0001)
+			m.net.Links.SetBandwidth(host, 0.0001)
 		}
 		m.announce("asker", "stuck")
 		time.Sleep(50 * time.Millisecond)
@@ -164,7 +164,7 @@
 		hosts = append(hosts, fmt.Sprintf("h%d", i))
 	}
 	withCluster(t, func(m *cluster) {
-		m.net.Links.Limit("source", 10)
+		m.net.Links.SetBandwidth("source", 10)
 		const size = 1_000_000
 		m.update(size, "source")
 		for end := time.Now().Add(14 * time.Second); time.Now().Before(end); time.Sleep(largeFleetInterval) {
@@ -190,7 +190,7 @@
 		hosts = append(hosts, fmt.Sprintf("h%d", i))
 	}
 	withCluster(t, func(m *cluster) {
-		m.net.Links.Limit("source", 10)
+		m.net.Links.SetBandwidth("source", 10)
 		for i, host := range hosts[1:] {
 			m.all[host].Kinds["k"].Changed([]registry.Change{{Record: registry.Record{Name: fmt.Sprint("own-", i), Revision: uint64(i + 2), Spec: json.RawMessage("1")}}}, registry.Position{Revision: uint64(i + 2)})
 			m.all["source"].Kinds["k"].Changed([]registry.Change{{Record: registry.Record{Name: fmt.Sprint("own-", i), Revision: uint64(i + 2), Spec: json.RawMessage("1")}}}, registry.Position{Revision: uint64(i + 2)})
--- a/internal/node/baseline_test.go
+++ b/internal/node/baseline_test.go
@@ -18,7 +18,7 @@
 
 // baseline is entry hosts that each act for themselves.
 type baseline struct {
-	world   *standin.World
+	world   *standin.Environment
 	client  *engine.Client
 	d       deployment
 	store   chan struct{}
@@ -41,7 +41,7 @@
 func runBaseline(t *testing.T, d deployment, trace []arrival) (result outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		network := standin.NewNetwork()
-		world, err := standin.NewWorld(d.world(), func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
+		world, err := standin.NewEnvironment(d.world(), func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
 		must.NoError(t, err)
 		ctx, stop := context.WithCancel(context.Background())
 		defer func() {
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -35,7 +35,7 @@
 type cluster struct {
 	t     *testing.T
 	net   *standin.Network
-	world *standin.World
+	world *standin.Environment
 	nodes map[string]*testNode
 	// tune changes the settings of nodes that are started.
 	tune func(cfg *settings.Settings)
@@ -51,21 +51,21 @@
 	closers []io.Closer
 }
 
-func smallWorld() standin.WorldConfig {
-	return standin.WorldConfig{
+func smallWorld() standin.EnvironmentConfig {
+	return standin.EnvironmentConfig{
 		Runners: 2, Slots: 2, MaxBatch: 8, TokenTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond,
-		ReportLag: 200 * time.Millisecond, Parallel: 1, Base: "base", DataCentre: "hall", Service: "dispatch",
+		ReportLag: 200 * time.Millisecond, ParallelLoads: 1, Base: "base", DataCentre: "hall", Service: "dispatch",
 	}
 }
 
 // inCluster runs a test in virtual time with so many entry hosts, ready.
-func inCluster(t *testing.T, hosts int, world standin.WorldConfig, run func(c *cluster)) {
+func inCluster(t *testing.T, hosts int, world standin.EnvironmentConfig, run func(c *cluster)) {
 	t.Helper()
 	synctestCluster(t, hosts, world, nil, run)
 }
 
 // synctestCluster is inCluster with other settings of the hosts.
-func synctestCluster(t *testing.T, hosts int, world standin.WorldConfig, tune func(cfg *settings.Settings), run func(c *cluster)) {
+func synctestCluster(t *testing.T, hosts int, world standin.EnvironmentConfig, tune func(cfg *settings.Settings), run func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, world)
@@ -81,10 +81,10 @@
 	})
 }
 
-func newCluster(t *testing.T, cfg standin.WorldConfig) *cluster {
+func newCluster(t *testing.T, cfg standin.EnvironmentConfig) *cluster {
 	t.Helper()
 	network := standin.NewNetwork()
-	world, err := standin.NewWorld(cfg, func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
+	world, err := standin.NewEnvironment(cfg, func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
 	must.NoError(t, err)
 	return &cluster{t: t, net: network, world: world, nodes: map[string]*testNode{}}
 }
@@ -162,7 +162,7 @@
 func (c *cluster) kill(id string) {
 	node := c.nodes[id]
 	delete(c.nodes, id)
-	c.net.Cut(id, "*")
+	c.net.Partition(id, "*")
 	node.cancel()
 	for _, server := range node.servers {
 		_ = server.Close()
@@ -171,7 +171,7 @@
 		_ = closer.Close()
 	}
 	<-node.done
-	c.net.Mend(id, "*")
+	c.net.Heal(id, "*")
 }
 
 func (c *cluster) close() {
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -36,7 +36,7 @@
 	// is told that it was accepted, it is in force everywhere, and the audit
 	// trail holds it once. Sent again under its identifier, it is not repeated.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		c.world.Platform.LoseAnswers(2)
+		c.world.Platform.DropResponses(2)
 		result, err := c.change("e1", "lost", 1, putRule("r", "farm"))
 		must.NoError(t, err)
 		must.Eq(t, 2, result.Revision)
@@ -83,18 +83,18 @@
 	// revision behind. A new host starts, hears both, and serves by the higher
 	// revision; no host ever goes back.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.net.Cut("e2", "e1")
-		c.net.Cut("e2", "platform")
+		c.net.Partition("e2", "e1")
+		c.net.Partition("e2", "platform")
 		_, err := c.change("e1", "second", 1, putRule("r", "farm"))
 		must.NoError(t, err)
 		time.Sleep(5 * time.Second)
 		must.Eq(t, 1, c.nodes["e2"].Snapshot().Revision())
 		c.world.Platform.SetDown(true)
 		c.start("e3")
-		c.net.Cut("e3", "e1")
+		c.net.Partition("e3", "e1")
 		time.Sleep(2 * time.Second)
 		must.Eq(t, 1, c.nodes["e3"].Snapshot().Revision())
-		c.net.Mend("e3", "e1")
+		c.net.Heal("e3", "e1")
 		time.Sleep(3 * time.Second)
 		c.requireRevisionOf("e3", 2)
 		c.requireRevisionOf("e1", 2)
@@ -111,9 +111,9 @@
 	// have gone silent. A change is in force on all hosts within 5 s all the
 	// same: its host tells its peers, and a poll stands behind that.
 	inCluster(t, 4, smallWorld(), func(c *cluster) {
-		c.world.Platform.SilenceWatches(true)
+		c.world.Platform.MuteWatches(true)
 		for id := range c.nodes {
-			c.net.Silence(id, "platform")
+			c.net.Blackhole(id, "platform")
 		}
 		_, err := c.change("e1", "quiet", 1, putRule("r", "farm"))
 		must.NoError(t, err)
@@ -126,9 +126,9 @@
 	// One host hears neither its peers nor, since its watch is silent, of
 	// changes. The slow poll of the head alone brings the change within 5 s.
 	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		c.world.Platform.SilenceWatches(true)
-		c.net.Cut("e3", "e1")
-		c.net.Cut("e3", "e2")
+		c.world.Platform.MuteWatches(true)
+		c.net.Partition("e3", "e1")
+		c.net.Partition("e3", "e2")
 		_, err := c.change("e1", "quiet", 1, putRule("r", "farm"))
 		must.NoError(t, err)
 		time.Sleep(5 * time.Second)
@@ -208,18 +208,18 @@
 	// host hears the one behind first. It does not say that it is ready before
 	// it has heard the other, so no caller sees the accepted change revert.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.net.Cut("e2", "e1")
-		c.net.Cut("e2", "platform")
+		c.net.Partition("e2", "e1")
+		c.net.Partition("e2", "platform")
 		_, err := c.change("e1", "second", 1, putRule("r", "farm"))
 		must.NoError(t, err)
 		time.Sleep(time.Second)
 		c.world.Platform.SetDown(true)
 		fresh := c.start("e3")
-		c.net.Cut("e3", "e1")
+		c.net.Partition("e3", "e1")
 		time.Sleep(1200 * time.Millisecond)
 		must.Eq(t, 1, fresh.Snapshot().Revision())
 		must.False(t, fresh.Ready())
-		c.net.Mend("e3", "e1")
+		c.net.Heal("e3", "e1")
 		for !fresh.Ready() {
 			time.Sleep(10 * time.Millisecond)
 		}
--- a/internal/node/experiment_test.go
+++ b/internal/node/experiment_test.go
@@ -143,10 +143,10 @@
 	return document
 }
 
-func (d deployment) world() standin.WorldConfig {
-	return standin.WorldConfig{
+func (d deployment) world() standin.EnvironmentConfig {
+	return standin.EnvironmentConfig{
 		Runners: d.runners, Slots: d.slots, MaxBatch: d.batch, TokenTime: pieceTime, LoadTime: d.load,
-		ReportLag: 500 * time.Millisecond, Parallel: d.parallel, Base: "base", DataCentre: "hall",
+		ReportLag: 500 * time.Millisecond, ParallelLoads: d.parallel, Base: "base", DataCentre: "hall",
 	}
 }
 
@@ -171,17 +171,17 @@
 }
 
 // measure reads what the engines and the weight store saw.
-func (o *outcome) measure(world *standin.World) {
+func (o *outcome) measure(world *standin.Environment) {
 	var busy, filled float64
 	for _, e := range world.Engines {
 		o.broken += e.Counts().EvictedInUse
 		o.loads += e.Counts().Loads
-		time, fill := e.Fill()
+		time, fill := e.BatchUtilization()
 		busy += time.Seconds()
 		filled += time.Seconds() * fill
 	}
 	o.fill = filled / max(busy, 1)
-	o.peak = peakRate(world.Weights.Starts())
+	o.peak = peakRate(world.WeightStore.LoadStarts())
 }
 
 // peakRate gives the most loads a second that were begun in any half minute.
@@ -283,12 +283,12 @@
 		c.world.Platform.SetDown(false)
 		for id := range c.nodes {
 			if id != "e5" {
-				c.net.Cut("e5", id)
+				c.net.Partition("e5", id)
 			}
 		}
 		time.Sleep(part)
 		for id := range c.nodes {
-			c.net.Mend("e5", id)
+			c.net.Heal("e5", id)
 		}
 		c.world.Engines[1].Restart()
 	}
--- a/internal/node/history_test.go
+++ b/internal/node/history_test.go
@@ -74,7 +74,7 @@
 		}
 		for range 8 {
 			time.Sleep(300 * time.Millisecond)
-			c.world.Platform.LoseAnswers(4)
+			c.world.Platform.DropResponses(4)
 		}
 		c.world.Platform.SetDown(true)
 		time.Sleep(400 * time.Millisecond)
--- a/internal/node/once_test.go
+++ b/internal/node/once_test.go
@@ -65,7 +65,7 @@
 	// The object API takes the claim and loses its answer. The host finds its
 	// own claim and runs the request, once.
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.world.Platform.LoseAnswers(1)
+		c.world.Platform.DropResponses(1)
 		must.Eq(t, 200, c.tug("e1", "key-3", "tug").status)
 		must.Eq(t, 1, c.world.Service.Runs("tug"))
 	})
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -101,10 +101,10 @@
 // isolate cuts a host off from the platform and its peers; its connections to
 // runners stay.
 func (c *cluster) isolate(host string) {
-	c.net.Cut(host, "platform")
+	c.net.Partition(host, "platform")
 	for id := range c.nodes {
 		if id != host {
-			c.net.Cut(host, id)
+			c.net.Partition(host, id)
 		}
 	}
 }
@@ -134,7 +134,7 @@
 		requireWhole(t, c.ask(holder, "a0", "takes-the-pin", 1), "a0@1", 1)
 		for id := range c.nodes {
 			if id != holder {
-				c.net.Cut(holder, id)
+				c.net.Partition(holder, id)
 			}
 		}
 		evicting := c.delayEvictions("a0@1", 2*time.Second)
@@ -202,7 +202,7 @@
 		wg.Wait()
 		time.Sleep(20 * time.Second)
 		must.Eq(t, 0, c.world.Engine("runner-1").Counts().NoSlot)
-		c.world.Weights.SetSlowdown(0)
+		c.world.WeightStore.SetSlowdown(0)
 		c.fill("e1", "a3", "a4", "a5")
 		runner, _ := c.nodes["e1"].table.Get("runner-1")
 		must.Eq(t, 2, c.world.Engine("runner-1").ResidentCount())
@@ -305,9 +305,9 @@
 	world := smallWorld()
 	world.LoadTime = 10 * time.Millisecond
 	inCluster(t, 3, world, func(c *cluster) {
-		c.net.Cut("e1", "e2")
-		c.net.Cut("e1", "e3")
-		c.net.Cut("e2", "e3")
+		c.net.Partition("e1", "e2")
+		c.net.Partition("e1", "e3")
+		c.net.Partition("e2", "e3")
 		began := time.Now()
 		var wg sync.WaitGroup
 		for id := range c.nodes {
@@ -317,7 +317,7 @@
 			}
 		}
 		wg.Wait()
-		requireAllowance(t, c.world.Weights.Starts(), began, 3.5, 3)
+		requireAllowance(t, c.world.WeightStore.LoadStarts(), began, 3.5, 3)
 	})
 }
 
@@ -340,7 +340,7 @@
 		}
 		requireWhole(t, c.ask("e2", "a0", "resident", 5), "a0@1", 5)
 		wg.Wait()
-		requireAllowance(t, c.world.Weights.Starts(), began, 0.35, 1)
+		requireAllowance(t, c.world.WeightStore.LoadStarts(), began, 0.35, 1)
 	})
 }
 
--- a/internal/node/streams_test.go
+++ b/internal/node/streams_test.go
@@ -74,8 +74,8 @@
 			wg.Go(func() { got[i] = c.ask("e1", model, fmt.Sprint("s", i), 100+i) })
 		}
 		time.Sleep(time.Second)
-		c.net.Silence("e1", "runner-1")
-		c.net.Silence("e1", "runner-2")
+		c.net.Blackhole("e1", "runner-1")
+		c.net.Blackhole("e1", "runner-2")
 		wg.Wait()
 		for i := range got {
 			requireWhole(t, got[i], fmt.Sprintf("a%d@1", i%2), 100+i)
@@ -91,8 +91,8 @@
 	inCluster(t, 2, smallWorld(), func(c *cluster) {
 		c.fill("e1", "a0")
 		requireWhole(t, c.ask("e1", "a0", "leaves-a-connection", 1), "a0@1", 1)
-		c.net.Silence("e1", "runner-1")
-		c.net.Silence("e1", "runner-2")
+		c.net.Blackhole("e1", "runner-1")
+		c.net.Blackhole("e1", "runner-2")
 		began := time.Now()
 		requireWhole(t, c.ask("e1", "a0", "on-a-silent-one", 5), "a0@1", 5)
 		must.Less(t, 15*time.Second, time.Since(began))
--- a/internal/objectapi/contract_test.go
+++ b/internal/objectapi/contract_test.go
@@ -131,9 +131,9 @@
 		get     error
 	}{
 		{"outage", func(p *standin.Platform, _ *standin.Network) { p.SetDown(true) }, objectapi.ErrUnavailable, verdict.NotRun, objectapi.ErrUnavailable},
-		{"answer lost", func(p *standin.Platform, _ *standin.Network) { p.LoseAnswers(1) }, objectapi.ErrAnswerLost, verdict.MayHaveRun, nil},
-		{"cut off", func(_ *standin.Platform, n *standin.Network) { n.Cut("entry", "platform") }, objectapi.ErrAnswerLost, verdict.MayHaveRun, objectapi.ErrUnavailable},
-		{"connection silent", func(_ *standin.Platform, n *standin.Network) { n.Silence("entry", "platform") }, objectapi.ErrAnswerLost, verdict.MayHaveRun, nil},
+		{"answer lost", func(p *standin.Platform, _ *standin.Network) { p.DropResponses(1) }, objectapi.ErrAnswerLost, verdict.MayHaveRun, nil},
+		{"cut off", func(_ *standin.Platform, n *standin.Network) { n.Partition("entry", "platform") }, objectapi.ErrAnswerLost, verdict.MayHaveRun, objectapi.ErrUnavailable},
+		{"connection silent", func(_ *standin.Platform, n *standin.Network) { n.Blackhole("entry", "platform") }, objectapi.ErrAnswerLost, verdict.MayHaveRun, nil},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			withStandin(t, func(t *testing.T, c *objectapi.Client, p *standin.Platform, n *standin.Network) {
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -98,7 +98,7 @@
 	withPeers(t, "the right key", func(t *testing.T, pool *Pool, _ *Server, network *standin.Network) {
 		_, err := call(pool, "echo", echoParams{}, time.Second)
 		must.NoError(t, err)
-		network.Silence("a", "b")
+		network.Blackhole("a", "b")
 		_, err = call(pool, "echo", echoParams{}, time.Second)
 		must.Error(t, err)
 		_, err = call(pool, "echo", echoParams{}, time.Second)
--- a/internal/standalone/standalone.go
+++ b/internal/standalone/standalone.go
@@ -25,9 +25,9 @@
 // Start starts the stand-ins, points the settings at them and applies the
 // sample inventory. The returned function ends the stand-ins.
 func Start(ctx context.Context, cfg *settings.Settings) (func(), error) {
-	world, err := standin.NewWorld(standin.WorldConfig{
+	world, err := standin.NewEnvironment(standin.EnvironmentConfig{
 		Runners: 3, Slots: 3, MaxBatch: 16, TokenTime: 40 * time.Millisecond, LoadTime: 300 * time.Millisecond,
-		ReportLag: 200 * time.Millisecond, Parallel: 1, Base: "base", DataCentre: cfg.DataCentre, Service: "dispatch-api",
+		ReportLag: 200 * time.Millisecond, ParallelLoads: 1, Base: "base", DataCentre: cfg.DataCentre, Service: "dispatch-api",
 	}, standin.Loopback)
 	if err != nil {
 		return nil, errors.Wrap(err, "stand-ins")
--- a/internal/standin/cmd/standins/main.go
+++ b/internal/standin/cmd/standins/main.go
@@ -46,9 +46,9 @@
 		}
 		return standin.Loopback(name)
 	}
-	world, err := standin.NewWorld(standin.WorldConfig{
+	world, err := standin.NewEnvironment(standin.EnvironmentConfig{
 		Runners: opts.Runners, Unfenced: opts.Unfenced, Slots: opts.Slots, MaxBatch: opts.MaxBatch,
-		TokenTime: opts.TokenTime, LoadTime: opts.LoadTime, ReportLag: opts.ReportLag, Parallel: opts.Parallel,
+		TokenTime: opts.TokenTime, LoadTime: opts.LoadTime, ReportLag: opts.ReportLag, ParallelLoads: opts.Parallel,
 		Base: "base", DataCentre: "local", Service: "dispatch-api",
 	}, listen)
 	if err != nil {
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -22,9 +22,9 @@
 	ReportLag   time.Duration
 	ChecksFence bool
 	Tokens      int
-	Weights     *Weights
-	// Broken names models whose load always fails.
-	Broken map[string]bool
+	WeightStore *WeightStore
+	// FailingModels names models whose load always fails.
+	FailingModels map[string]bool
 }
 
 // Engine plays a model engine. It counts broken promises for the tests.
@@ -47,9 +47,9 @@
 	busy, work time.Duration
 }
 
-// Fill gives the mean share of the batch that was used, over the time in which
+// BatchUtilization gives the mean share of the batch that was used, over the time in which
 // the engine ran at all.
-func (e *Engine) Fill() (busy time.Duration, fill float64) {
+func (e *Engine) BatchUtilization() (busy time.Duration, fill float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.accountLocked(0)
@@ -400,14 +400,14 @@
 	if s.ready {
 		return http.StatusOK, ""
 	}
-	e.cfg.Weights.fetch(e.cfg.LoadTime)
+	e.cfg.WeightStore.fetch(e.cfg.LoadTime)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Loads++
 	if e.boot != boot {
 		return http.StatusInternalServerError, engine.CodeLoadFailed
 	}
-	if e.cfg.Broken[model] {
+	if e.cfg.FailingModels[model] {
 		delete(e.resident, model)
 		return http.StatusInternalServerError, engine.CodeLoadFailed
 	}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -31,8 +31,8 @@
 // bitsPerByte converts the bandwidths that deployments give.
 const bitsPerByte = 8
 
-// Limit sets the bandwidth of a host's link in Mbit/s.
-func (l *Links) Limit(host string, mbps float64) {
+// SetBandwidth sets the bandwidth of a host's link in Mbit/s.
+func (l *Links) SetBandwidth(host string, mbps float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.bytesPerSecond[host] = mbps * 1e6 / bitsPerByte
@@ -41,20 +41,20 @@
 // piece is how much of a message is sent at a time, so that connections share a link.
 const piece = 4 << 10
 
-// Take reserves the way of some bytes and gives how long they take to arrive.
-func (l *Links) Take(from, to string, bytes int) time.Duration {
+// Reserve reserves the way of some bytes and gives how long they take to arrive.
+func (l *Links) Reserve(from, to string, bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.now()
-	arrived := l.reserve(direction{from, true}, now, bytes)
-	if at := l.reserve(direction{to, false}, now, bytes); at.After(arrived) {
+	arrived := l.reserveDirection(direction{from, true}, now, bytes)
+	if at := l.reserveDirection(direction{to, false}, now, bytes); at.After(arrived) {
 		arrived = at
 	}
 	return arrived.Sub(now)
 }
 
-// reserve gives when the bytes have passed one direction of a link; the lock is held.
-func (l *Links) reserve(way direction, now time.Time, bytes int) time.Time {
+// reserveDirection gives when the bytes have passed one direction of a link; the lock is held.
+func (l *Links) reserveDirection(way direction, now time.Time, bytes int) time.Time {
 	rate, limited := l.bytesPerSecond[way.host]
 	if !limited {
 		return now
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -97,18 +97,18 @@
 	return n.cut[[2]string{a, b}] || n.cut[[2]string{b, a}] || n.cut[[2]string{a, "*"}] || n.cut[[2]string{b, "*"}]
 }
 
-// Cut breaks the connections between two hosts and lets none be made; "*"
+// Partition breaks the connections between two hosts and lets none be made; "*"
 // stands for every other host.
-func (n *Network) Cut(a, b string) {
+func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	n.cut[[2]string{a, b}] = true
 	n.mu.Unlock()
 	n.each(a, b, func(conn *memConn) { _ = conn.Close() })
 }
 
-// End ends a host's process: its own ends of connections are closed, so that the other
+// KillHost ends a host's process: its own ends of connections are closed, so that the other
 // ends read their end, and none can be made until Mend(host, "*").
-func (n *Network) End(host string) {
+func (n *Network) KillHost(host string) {
 	n.mu.Lock()
 	n.cut[[2]string{host, "*"}] = true
 	n.mu.Unlock()
@@ -119,16 +119,16 @@
 	})
 }
 
-// Mend undoes Cut and End.
-func (n *Network) Mend(a, b string) {
+// Heal undoes Cut and End.
+func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, [2]string{a, b})
 }
 
-// Silence makes the open connections between two hosts carry nothing any
+// Blackhole makes the open connections between two hosts carry nothing any
 // more, without either end noticing. New connections work.
-func (n *Network) Silence(a, b string) {
+func (n *Network) Blackhole(a, b string) {
 	n.each(a, b, func(conn *memConn) { conn.silence() })
 }
 
@@ -265,7 +265,7 @@
 	if to == c.owner {
 		to = c.ends[1]
 	}
-	takes := c.network.Links.Take(c.owner, to, len(data))
+	takes := c.network.Links.Reserve(c.owner, to, len(data))
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if takes <= 0 && !c.travelling {
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -53,15 +53,15 @@
 	p.down = down
 }
 
-// SilenceWatches makes watches wait their time and tell nothing.
-func (p *Platform) SilenceWatches(silent bool) {
+// MuteWatches makes watches wait their time and tell nothing.
+func (p *Platform) MuteWatches(silent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.muteWait = silent
 }
 
-// LoseAnswers lets the next n writes take effect and loses their answers.
-func (p *Platform) LoseAnswers(n int) {
+// DropResponses lets the next n writes take effect and loses their answers.
+func (p *Platform) DropResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.loseNext = n
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Weights plays the weight store: it remembers when loads began and slows
+// WeightStore plays the weight store: it remembers when loads began and slows
 // those beyond the number that it serves at full speed.
-type Weights struct {
+type WeightStore struct {
 	mu       sync.Mutex
 	parallel int
 	active   int
@@ -16,26 +16,26 @@
 	starts   []time.Time
 }
 
-// NewWeights makes a store that serves so many loads at full speed at a time.
-func NewWeights(parallel int) *Weights {
-	return &Weights{parallel: parallel, slowdown: 1}
+// NewWeightStore makes a store that serves so many loads at full speed at a time.
+func NewWeightStore(parallel int) *WeightStore {
+	return &WeightStore{parallel: parallel, slowdown: 1}
 }
 
 // SetSlowdown makes every load take so many times as long.
-func (s *Weights) SetSlowdown(times int) {
+func (s *WeightStore) SetSlowdown(times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowdown = times
 }
 
-// Starts gives the times at which loads began.
-func (s *Weights) Starts() []time.Time {
+// LoadStarts gives the times at which loads began.
+func (s *WeightStore) LoadStarts() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.starts...)
 }
 
-func (s *Weights) fetch(duration time.Duration) {
+func (s *WeightStore) fetch(duration time.Duration) {
 	s.mu.Lock()
 	s.starts = append(s.starts, time.Now())
 	s.active++
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -10,31 +10,31 @@
 	"github.com/pkg/errors"
 )
 
-// WorldConfig sets a small world of stand-ins.
-type WorldConfig struct {
-	Runners    int
-	Slots      int
-	MaxBatch   int
-	TokenTime  time.Duration
-	LoadTime   time.Duration
-	ReportLag  time.Duration
-	Parallel   int
-	Base       string
-	DataCentre string
+// EnvironmentConfig sets a small world of stand-ins.
+type EnvironmentConfig struct {
+	Runners       int
+	Slots         int
+	MaxBatch      int
+	TokenTime     time.Duration
+	LoadTime      time.Duration
+	ReportLag     time.Duration
+	ParallelLoads int
+	Base          string
+	DataCentre    string
 	// Unfenced is the number of runners that ignore fencing numbers.
 	Unfenced int
 	Service  string
 }
 
-// World is a platform with runners and a plain service that listen on
+// Environment is a platform with runners and a plain service that listen on
 // loopback.
-type World struct {
-	Platform *Platform
-	Weights  *Weights
-	Engines  []*Engine
-	Service  *Service
-	Address  string
-	servers  []*http.Server
+type Environment struct {
+	Platform    *Platform
+	WeightStore *WeightStore
+	Engines     []*Engine
+	Service     *Service
+	Address     string
+	servers     []*http.Server
 }
 
 // defaultTokens is the length of a stand-in's answer where none is asked for.
@@ -46,9 +46,9 @@
 // Loopback listens on a free port of this machine.
 func Loopback(string) (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
-// NewWorld starts a world. listen opens one listener for each part.
-func NewWorld(cfg WorldConfig, listen Listen) (*World, error) {
-	w := &World{Platform: NewPlatform(), Weights: NewWeights(max(1, cfg.Parallel)), Service: NewService()}
+// NewEnvironment starts a world. listen opens one listener for each part.
+func NewEnvironment(cfg EnvironmentConfig, listen Listen) (*Environment, error) {
+	w := &Environment{Platform: NewPlatform(), WeightStore: NewWeightStore(max(1, cfg.ParallelLoads)), Service: NewService()}
 	address, err := w.serve("platform", w.Platform, listen)
 	if err != nil {
 		return nil, err
@@ -70,12 +70,12 @@
 	return w, nil
 }
 
-func (w *World) addRunner(cfg WorldConfig, index int, listen Listen) error {
+func (w *Environment) addRunner(cfg EnvironmentConfig, index int, listen Listen) error {
 	id := fmt.Sprintf("runner-%d", index+1)
 	fenced := index >= cfg.Unfenced
 	e := NewEngine(EngineConfig{
 		ID: id, Slots: cfg.Slots, MaxBatch: cfg.MaxBatch, TokenTime: cfg.TokenTime, LoadTime: cfg.LoadTime,
-		ReportLag: cfg.ReportLag, ChecksFence: fenced, Tokens: defaultTokens, Weights: w.Weights, Broken: map[string]bool{},
+		ReportLag: cfg.ReportLag, ChecksFence: fenced, Tokens: defaultTokens, WeightStore: w.WeightStore, FailingModels: map[string]bool{},
 	})
 	address, err := w.serve(id, e, listen)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-func (w *World) serve(name string, handler http.Handler, listen Listen) (string, error) {
+func (w *Environment) serve(name string, handler http.Handler, listen Listen) (string, error) {
 	listener, err := listen(name)
 	if err != nil {
 		return "", errors.Wrap(err, name)
@@ -101,12 +101,12 @@
 }
 
 // AddEntry lists an entry host.
-func (w *World) AddEntry(id, dataCentre, peerAddress string) {
+func (w *Environment) AddEntry(id, dataCentre, peerAddress string) {
 	w.Platform.SetHost(fleet.Host{ID: id, Role: fleet.RoleEntry, State: fleet.StateLive, DataCentre: dataCentre, Address: peerAddress})
 }
 
 // Engine gives a runner's engine by its identifier.
-func (w *World) Engine(id string) *Engine {
+func (w *Environment) Engine(id string) *Engine {
 	for _, e := range w.Engines {
 		if e.cfg.ID == id {
 			return e
@@ -116,7 +116,7 @@
 }
 
 // Close ends the world.
-func (w *World) Close() {
+func (w *Environment) Close() {
 	for _, server := range w.servers {
 		_ = server.Close()
 	}
