--- a/spec/era_test.go
+++ b/spec/era_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test/must"
 )
 
-// The store comes back from copies, twice within the bounds, while the owner of a runner is
-// cut off and back and a process restarts: no two hosts order the runner within the gap, and no
+// The store is restored from a backup, up to twice, while the runner's owner is partitioned and
+// reconnected and a process restarts: no two hosts order the runner within the gap, and no
 // token is lower than one before.
 func TestNoTwoHostsOrderThroughADrill(t *testing.T) {
 	states, broken, complete := ExploreEra(EraProtocol(), 2*limit(t))
@@ -15,21 +15,21 @@
 	must.SliceEmpty(t, broken, must.Sprintf("%+v", broken))
 }
 
-// With one safeguard switched off, the exploration finds orders that break the promise.
+// With any safeguard switched off, the exploration finds orders that violate the invariant.
 func TestEachSafeguardOfADrillIsNeeded(t *testing.T) {
 	for name, off := range map[string]func(g *EraSafeguards){
 		"tokens by era":   func(g *EraSafeguards) { g.TokensByEra = false },
-		"wait":            func(g *EraSafeguards) { g.Wait = false },
-		"continuity":      func(g *EraSafeguards) { g.Continuity = false },
-		"a process waits": func(g *EraSafeguards) { g.FreshWaits = false },
-		"records anew":    func(g *EraSafeguards) { g.ListAnew = false },
+		"wait":            func(g *EraSafeguards) { g.WaitUntilSettled = false },
+		"continuity":      func(g *EraSafeguards) { g.ContinuousLease = false },
+		"restart waits":   func(g *EraSafeguards) { g.WaitAfterRestart = false },
+		"replace records": func(g *EraSafeguards) { g.ReplaceRecords = false },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := EraProtocol()
 			off(&g)
 			states, broken, complete := ExploreEra(g, 4*limit(t))
 			must.SliceNotEmpty(t, broken, must.Sprintf("%d states, complete %t", states, complete))
-			t.Logf("%s after %d steps, %d states", broken[len(broken)-1].Why, len(broken)-1, states)
+			t.Logf("%s after %d steps, %d states", broken[len(broken)-1].Violation, len(broken)-1, states)
 		})
 	}
 }
--- a/spec/spec.go
+++ b/spec/spec.go
@@ -1,45 +1,49 @@
-// Package spec is the specification of the core protocol as a small state
-// machine, explored exhaustively within bounds: ownership of one runner under
-// leases and fencing numbers, pins and recalls, intents, orders that come
-// late, a paused owner, and an engine that checks fencing numbers or ignores
-// them. A second, smaller machine covers the configuration head and claims.
+// Package spec specifies the core protocols as small state machines that are
+// explored exhaustively within bounds. State covers the ownership of one runner:
+// leases, fencing numbers, pins, recalls, eviction intents, delayed orders, a
+// paused owner, and an engine that checks or ignores fencing numbers. StoreState
+// covers the configuration head and claims, QuotaState the counting of quotas, and
+// EraState a store that is restored from a backup.
 //
-// Each safeguard can be switched off; the exploration then finds a state in
-// which a promise is broken.
+// Each safeguard can be switched off; the exploration then finds a state that
+// violates an invariant.
 package spec
 
 import "fmt"
 
-// Safeguards are the switches. All are on in the protocol as it is built.
+// Safeguards switches the parts of the ownership protocol. Protocol gives those of
+// the implementation.
 type Safeguards struct {
-	// Fenced: the engine refuses orders under an old fencing number.
+	// Fenced: the engine rejects orders with an old fencing number.
 	Fenced bool
-	// FenceFirst: before it grants pins a new owner has the engine take an
-	// order under the new number.
+	// FenceFirst: before a new owner grants pins, it sends the engine an order
+	// with the new fencing number.
 	FenceFirst bool
-	// Intents: an owner writes an eviction down before it orders it, and a
-	// successor lets nobody use what is named there. For unfenced engines.
+	// Intents: an owner stores an eviction intent before it orders the eviction,
+	// and its successor grants no pin on a model with an intent. For engines that
+	// don't check fencing numbers.
 	Intents bool
-	// HearAll: a new owner evicts nothing before every holder told its pins.
-	HearAll bool
-	// WaitReturns: nothing is evicted while a pin is out.
-	WaitReturns bool
-	// VoidGrants: a grant whose recall overtook it is refused.
-	VoidGrants bool
+	// AwaitAllReports: a new owner evicts nothing until every holder has reported
+	// its pins.
+	AwaitAllReports bool
+	// AwaitPinReturns: no model is evicted while a pin on it is out.
+	AwaitPinReturns bool
+	// VoidRecalledGrants: a holder refuses a grant that its recall has overtaken.
+	VoidRecalledGrants bool
 	// RefuseOldGrants: a holder refuses grants of an earlier owner.
 	RefuseOldGrants bool
 	// Models is the number of models in the runner's slots, up to MaxModels.
-	// They share the owner, the fencing numbers and the holders' word, and
-	// nothing else; one model is enough for most faults.
+	// They share only the owner, the fencing numbers and the holders' reports;
+	// one model reaches most faults.
 	Models int
 }
 
-// Protocol is the protocol as it is built, before an engine that does or does
-// not check fencing numbers.
+// Protocol returns the safeguards of the implementation, for an engine that does or
+// does not check fencing numbers.
 func Protocol(fenced bool) Safeguards {
 	return Safeguards{
-		Fenced: fenced, FenceFirst: fenced, Intents: !fenced, HearAll: true,
-		WaitReturns: true, VoidGrants: true, RefuseOldGrants: true, Models: 1,
+		Fenced: fenced, FenceFirst: fenced, Intents: !fenced, AwaitAllReports: true,
+		AwaitPinReturns: true, VoidRecalledGrants: true, RefuseOldGrants: true, Models: 1,
 	}
 }
 
@@ -47,61 +51,66 @@
 const (
 	Owners    = 2 // the first owner and its successor
 	Holders   = 2
-	MaxModels = 2 // in two slots; a third is what room is wanted for
-	maxSeq    = 2 // grants that one owner gives
+	MaxModels = 2 // they fill two slots; loading a third requires an eviction
+	maxSeq    = 2 // grants by one owner
 )
 
-// pinState is what an owner knows of one holder's pin.
+// pinState is what an owner knows about one holder's pin.
 type pinState struct {
-	Out     bool
-	Seq     uint8
-	Unheard bool
+	Out           bool
+	Seq           uint8
+	ReportPending bool
 }
 
 // owner is one owner's knowledge. Owner 0 has fence 1, owner 1 has fence 2.
 type owner struct {
-	Active  bool
-	Open    bool
-	Seq     uint8
-	Pins    [MaxModels][Holders]pinState
-	Closing [MaxModels]bool
-	Gone    [MaxModels]bool
+	Active       bool
+	EngineFenced bool
+	Seq          uint8
+	Pins         [MaxModels][Holders]pinState
+	Recalling    [MaxModels]bool
+	Evicted      [MaxModels]bool
 }
 
-// grant is a pin under way to a holder; Seq zero means none.
-type grant struct{ Seq uint8 }
+// pinMessage is a grant or recall in transit to a holder; Seq 0 means none. A recall
+// carries the pin's number plus one.
+type pinMessage struct{ Seq uint8 }
 
-// State is one state of the whole. It is comparable, so states are kept in a map.
+// State is one state of the ownership model. It is comparable, so that it can be a
+// map key.
 type State struct {
-	// Record is the store's: the owner's number and the intents.
+	// Fence and Intents are the stored record: the current owner's fencing number
+	// and the evictions that were announced.
 	Fence   uint8
 	Intents [MaxModels]bool
 	Owners  [Owners]owner
-	// Grants and Recalls are messages under way, from owner to holder.
-	Grants  [Owners][MaxModels][Holders]grant
-	Recalls [Owners][MaxModels][Holders]grant
-	// Holders' state.
+	// Grants and Recalls are messages in transit, by owner, model and holder.
+	Grants  [Owners][MaxModels][Holders]pinMessage
+	Recalls [Owners][MaxModels][Holders]pinMessage
+	// HolderFence is the highest fencing number that a holder knows; the fields up
+	// to Using are the holders' state too.
 	HolderFence [Holders]uint8
 	Held        [MaxModels][Holders]bool
 	HeldSeq     [MaxModels][Holders]uint8
 	Recalled    [MaxModels][Holders]bool
 	Void        [MaxModels][Holders]uint8
 	Using       [MaxModels][Holders]bool
-	// Orders to evict under way to the engine, by owner.
+	// Orders are eviction orders in transit to the engine, by owner.
 	Orders [Owners][MaxModels]bool
-	// Engine.
+	// EngineFence is the highest fencing number that the engine has seen, Loaded
+	// the models that it holds.
 	EngineFence uint8
 	Loaded      [MaxModels]bool
-	// Broken names the promise that was broken.
-	Broken string
+	// Violation describes the invariant that was violated, if any.
+	Violation string
 }
 
-// Initial is the state after the first owner has taken the runner over and
+// Initial returns the state in which the first owner has taken over the runner and
 // both models are loaded.
 func Initial() State {
 	var s State
 	s.Fence, s.EngineFence = 1, 1
-	s.Owners[0].Active, s.Owners[0].Open = true, true
+	s.Owners[0].Active, s.Owners[0].EngineFenced = true, true
 	for model := range MaxModels {
 		s.Loaded[model] = true
 	}
@@ -111,7 +120,7 @@
 	return s
 }
 
-// Next gives every state that one step leads to.
+// Next returns every state that is reachable in one step.
 func Next(s State, g Safeguards) []State {
 	var next []State
 	add := func(change func(n *State)) {
@@ -129,24 +138,24 @@
 			}
 		}
 		for h := range Holders {
-			hear(s, g, o, h, add)
+			reportPins(s, g, o, h, add)
 		}
 	}
 	for m := range g.Models {
 		for h := range Holders {
-			useSteps(s, m, h, add)
+			holderSteps(s, m, h, add)
 		}
 	}
 	return next
 }
 
-type adder func(change func(n *State))
+type addState func(change func(n *State))
 
 func fenceOf(o int) uint8 { return uint8(o + 1) }
 
-// takeOver: the first owner's lease is broken while it is paused; it does not
-// know, and goes on afterwards with what it was doing.
-func takeOver(s State, g Safeguards, add adder) {
+// takeOver makes the second owner the successor: the first owner's lease is broken
+// while it is paused. It doesn't notice, and later continues what it was doing.
+func takeOver(s State, g Safeguards, add addState) {
 	if s.Fence != 1 {
 		return
 	}
@@ -154,36 +163,37 @@
 		n.Fence = 2
 		successor := &n.Owners[1]
 		successor.Active = true
-		successor.Open = !g.FenceFirst
+		successor.EngineFenced = !g.FenceFirst
 		for m := range g.Models {
-			successor.Gone[m] = !s.Loaded[m]
+			successor.Evicted[m] = !s.Loaded[m]
 			for h := range Holders {
-				successor.Pins[m][h].Unheard = g.HearAll
+				successor.Pins[m][h].ReportPending = g.AwaitAllReports
 			}
 		}
 	})
 }
 
-// openEngine: the successor's first order makes the engine know its number.
-func openEngine(s State, g Safeguards, o int, add adder) {
-	if s.Owners[o].Active && !s.Owners[o].Open && g.FenceFirst {
+// openEngine has the successor's first order raise the engine's fencing number.
+func openEngine(s State, g Safeguards, o int, add addState) {
+	if s.Owners[o].Active && !s.Owners[o].EngineFenced && g.FenceFirst {
 		add(func(n *State) {
 			n.EngineFence = max(n.EngineFence, fenceOf(o))
-			n.Owners[o].Open = true
+			n.Owners[o].EngineFenced = true
 		})
 	}
 }
 
-// hear: a holder tells a new owner its pins, and refuses older grants from then on.
-func hear(s State, g Safeguards, o, h int, add adder) {
-	if !s.Owners[o].Active || !s.Owners[o].Pins[0][h].Unheard || s.HolderFence[h] > fenceOf(o) {
+// reportPins has a holder report its pins to a new owner; from then on it refuses
+// grants of earlier owners.
+func reportPins(s State, g Safeguards, o, h int, add addState) {
+	if !s.Owners[o].Active || !s.Owners[o].Pins[0][h].ReportPending || s.HolderFence[h] > fenceOf(o) {
 		return
 	}
 	add(func(n *State) {
-		raise(n, h, fenceOf(o))
+		raiseFence(n, h, fenceOf(o))
 		for m := range MaxModels {
 			pin := &n.Owners[o].Pins[m][h]
-			pin.Unheard = false
+			pin.ReportPending = false
 			if s.Held[m][h] && !pin.Out {
 				*pin = pinState{Out: true}
 			}
@@ -191,7 +201,9 @@
 	})
 }
 
-func raise(n *State, h int, fence uint8) {
+// raiseFence has a holder accept a newer owner. Sequence numbers and recalls of the
+// earlier owner become void.
+func raiseFence(n *State, h int, fence uint8) {
 	if fence <= n.HolderFence[h] {
 		return
 	}
@@ -203,53 +215,53 @@
 	}
 }
 
-func ownerSteps(s State, g Safeguards, o, m int, add adder) {
+func ownerSteps(s State, g Safeguards, o, m int, add addState) {
 	own := &s.Owners[o]
 	if !own.Active {
 		return
 	}
-	grantable := own.Open && !own.Closing[m] && !own.Gone[m] && own.Seq < maxSeq
+	grantable := own.EngineFenced && !own.Recalling[m] && !own.Evicted[m] && own.Seq < maxSeq
 	if grantable && !(g.Intents && o == 1 && s.Intents[m]) {
 		for h := range Holders {
 			add(func(n *State) {
 				n.Owners[o].Seq++
 				seq := n.Owners[o].Seq
-				n.Owners[o].Pins[m][h] = pinState{Out: true, Seq: seq, Unheard: own.Pins[m][h].Unheard}
-				n.Grants[o][m][h] = grant{seq}
+				n.Owners[o].Pins[m][h] = pinState{Out: true, Seq: seq, ReportPending: own.Pins[m][h].ReportPending}
+				n.Grants[o][m][h] = pinMessage{seq}
 			})
 		}
 	}
-	if own.Open && !own.Closing[m] && !own.Gone[m] {
+	if own.EngineFenced && !own.Recalling[m] && !own.Evicted[m] {
 		add(func(n *State) { beginRecall(n, o, m) })
 	}
-	if own.Closing[m] && mayEvict(s, g, o, m) {
+	if own.Recalling[m] && mayEvict(s, g, o, m) {
 		add(func(n *State) { sendEviction(n, g, o, m) })
 	}
 	if s.Orders[o][m] {
-		add(func(n *State) { obey(n, g, o, m) })
+		add(func(n *State) { executeOrder(n, g, o, m) })
 	}
 }
 
 func beginRecall(n *State, o, m int) {
-	n.Owners[o].Closing[m] = true
+	n.Owners[o].Recalling[m] = true
 	for h := range Holders {
 		if pin := n.Owners[o].Pins[m][h]; pin.Out {
-			n.Recalls[o][m][h] = grant{pin.Seq + 1}
+			n.Recalls[o][m][h] = pinMessage{pin.Seq + 1}
 		}
 	}
 }
 
 func mayEvict(s State, g Safeguards, o, m int) bool {
 	own := &s.Owners[o]
-	if own.Gone[m] {
+	if own.Evicted[m] {
 		return false
 	}
 	for h := range Holders {
-		if own.Pins[m][h].Unheard || (g.WaitReturns && own.Pins[m][h].Out) {
+		if own.Pins[m][h].ReportPending || (g.AwaitPinReturns && own.Pins[m][h].Out) {
 			return false
 		}
 	}
-	// The intent is a conditional write: an owner that was replaced fails at it.
+	// An intent is a conditional write, which fails for an owner that was replaced.
 	return !g.Intents || s.Fence == fenceOf(o)
 }
 
@@ -257,12 +269,12 @@
 	if g.Intents {
 		n.Intents[m] = true
 	}
-	n.Owners[o].Gone[m] = true
+	n.Owners[o].Evicted[m] = true
 	n.Orders[o][m] = true
 }
 
-// obey: the order reaches the engine, however late.
-func obey(n *State, g Safeguards, o, m int) {
+// executeOrder has an eviction order reach the engine, after any delay.
+func executeOrder(n *State, g Safeguards, o, m int) {
 	n.Orders[o][m] = false
 	if g.Fenced && fenceOf(o) < n.EngineFence {
 		return
@@ -270,34 +282,34 @@
 	n.EngineFence = max(n.EngineFence, fenceOf(o))
 	for h := range Holders {
 		if n.Loaded[m] && n.Using[m][h] {
-			n.Broken = fmt.Sprintf("model %d evicted while holder %d uses it", m, h)
+			n.Violation = fmt.Sprintf("model %d evicted while holder %d uses it", m, h)
 		}
 	}
 	n.Loaded[m] = false
 }
 
-func messageSteps(s State, g Safeguards, o, m, h int, add adder) {
+func messageSteps(s State, g Safeguards, o, m, h int, add addState) {
 	if sent := s.Grants[o][m][h]; sent.Seq > 0 {
 		add(func(n *State) {
-			n.Grants[o][m][h] = grant{}
-			takeGrant(n, g, o, m, h, sent.Seq)
+			n.Grants[o][m][h] = pinMessage{}
+			receiveGrant(n, g, o, m, h, sent.Seq)
 		})
-		add(func(n *State) { n.Grants[o][m][h] = grant{} }) // lost
+		add(func(n *State) { n.Grants[o][m][h] = pinMessage{} }) // the grant is lost
 	}
 	if sent := s.Recalls[o][m][h]; sent.Seq > 0 {
 		add(func(n *State) {
-			n.Recalls[o][m][h] = grant{}
-			takeRecall(n, o, m, h, sent.Seq-1)
+			n.Recalls[o][m][h] = pinMessage{}
+			receiveRecall(n, o, m, h, sent.Seq-1)
 		})
 	}
 }
 
-func takeGrant(n *State, g Safeguards, o, m, h int, seq uint8) {
+func receiveGrant(n *State, g Safeguards, o, m, h int, seq uint8) {
 	if fenceOf(o) < n.HolderFence[h] && g.RefuseOldGrants {
 		return
 	}
-	raise(n, h, fenceOf(o))
-	if g.VoidGrants && seq <= n.Void[m][h] {
+	raiseFence(n, h, fenceOf(o))
+	if g.VoidRecalledGrants && seq <= n.Void[m][h] {
 		return
 	}
 	if !n.Held[m][h] {
@@ -310,91 +322,91 @@
 	}
 }
 
-func takeRecall(n *State, o, m, h int, seq uint8) {
+func receiveRecall(n *State, o, m, h int, seq uint8) {
 	if fenceOf(o) < n.HolderFence[h] {
 		return
 	}
-	raise(n, h, fenceOf(o))
+	raiseFence(n, h, fenceOf(o))
 	n.Void[m][h] = max(n.Void[m][h], seq)
 	if !n.Held[m][h] {
-		takeReturn(n, o, m, h, seq)
+		receiveReturn(n, o, m, h, seq)
 		return
 	}
 	n.HeldSeq[m][h] = max(n.HeldSeq[m][h], seq)
 	n.Recalled[m][h] = true
 	if !n.Using[m][h] {
-		giveBack(n, m, h)
+		returnPin(n, m, h)
 	}
 }
 
-// giveBack returns a pin to the owner that the holder knows.
-func giveBack(n *State, m, h int) {
+// returnPin returns a pin to the latest owner that the holder knows.
+func returnPin(n *State, m, h int) {
 	seq := n.HeldSeq[m][h]
 	n.Held[m][h], n.HeldSeq[m][h], n.Recalled[m][h] = false, 0, false
-	takeReturn(n, int(n.HolderFence[h])-1, m, h, seq)
+	receiveReturn(n, int(n.HolderFence[h])-1, m, h, seq)
 }
 
-func takeReturn(n *State, o, m, h int, seq uint8) {
+func receiveReturn(n *State, o, m, h int, seq uint8) {
 	pin := &n.Owners[o].Pins[m][h]
 	if pin.Out && seq >= pin.Seq {
-		*pin = pinState{Unheard: pin.Unheard}
+		*pin = pinState{ReportPending: pin.ReportPending}
 	}
 }
 
-func useSteps(s State, m, h int, add adder) {
+func holderSteps(s State, m, h int, add addState) {
 	if s.Held[m][h] && !s.Recalled[m][h] && !s.Using[m][h] {
-		// A request for a model that is not loaded is refused by the engine, not run.
+		// The engine refuses a request for a model that isn't loaded.
 		add(func(n *State) { n.Using[m][h] = s.Loaded[m] })
 	}
 	if s.Using[m][h] {
 		add(func(n *State) {
 			n.Using[m][h] = false
 			if n.Recalled[m][h] {
-				giveBack(n, m, h)
+				returnPin(n, m, h)
 			}
 		})
 	}
 	if s.Held[m][h] && !s.Using[m][h] {
-		add(func(n *State) { giveBack(n, m, h) })
+		add(func(n *State) { returnPin(n, m, h) })
 	}
 }
 
-// Explore visits every state within so many steps and at most so many states,
-// breadth first. It returns the number of distinct states and the shortest way
-// to a broken promise, if there is one.
+// Explore searches the ownership model breadth first, up to limit states. It returns
+// the number of distinct states, the shortest path to a violation, if there is one,
+// and whether the search wasn't cut short by the limit.
 func Explore(g Safeguards, limit int) (states int, broken []State, complete bool) {
-	return explore(Initial(), func(s State) []State { return Next(s, g) }, func(s State) bool { return s.Broken != "" }, limit)
+	return explore(Initial(), func(s State) []State { return Next(s, g) }, func(s State) bool { return s.Violation != "" }, limit)
 }
 
-// explore is a breadth-first search over comparable states.
-func explore[S comparable](initial S, next func(S) []S, bad func(S) bool, limit int) (int, []S, bool) {
-	from := map[S]S{initial: initial}
+// explore implements Explore for any state machine with comparable states.
+func explore[S comparable](initial S, next func(S) []S, violated func(S) bool, limit int) (int, []S, bool) {
+	predecessor := map[S]S{initial: initial}
 	queue := []S{initial}
 	for len(queue) > 0 {
 		state := queue[0]
 		queue = queue[1:]
-		if bad(state) {
-			return len(from), wayTo(from, state), true
+		if violated(state) {
+			return len(predecessor), pathTo(predecessor, state), true
 		}
 		for _, following := range next(state) {
-			if _, seen := from[following]; seen {
+			if _, visited := predecessor[following]; visited {
 				continue
 			}
-			if len(from) >= limit {
-				return len(from), nil, false
+			if len(predecessor) >= limit {
+				return len(predecessor), nil, false
 			}
-			from[following] = state
+			predecessor[following] = state
 			queue = append(queue, following)
 		}
 	}
-	return len(from), nil, true
+	return len(predecessor), nil, true
 }
 
-func wayTo[S comparable](from map[S]S, state S) []S {
-	way := []S{state}
-	for from[state] != state {
-		state = from[state]
-		way = append([]S{state}, way...)
+func pathTo[S comparable](predecessor map[S]S, state S) []S {
+	path := []S{state}
+	for predecessor[state] != state {
+		state = predecessor[state]
+		path = append([]S{state}, path...)
 	}
-	return way
+	return path
 }
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 )
 
-// limit bounds the states of one exploration; SPEC_STATES asks for more.
+// limit returns the maximum number of states of one exploration; SPEC_STATES overrides it.
 func limit(t *testing.T) int {
 	if text := os.Getenv("SPEC_STATES"); text != "" {
 		number, err := strconv.Atoi(text)
@@ -19,8 +19,8 @@
 }
 
 func TestNoModelInUseIsEvicted(t *testing.T) {
-	// Whatever the order of steps, with an owner paused for as long as one
-	// likes and its order late: no model is evicted while a holder uses it.
+	// In any order of steps, with an owner paused for any time and its order
+	// delayed, no model is evicted while a holder uses it.
 	for name, fenced := range map[string]bool{"fenced": true, "unfenced": false} {
 		t.Run(name, func(t *testing.T) {
 			states, broken, complete := Explore(Protocol(fenced), limit(t))
@@ -37,7 +37,7 @@
 }
 
 func TestEachSafeguardIsNeeded(t *testing.T) {
-	// With one safeguard switched off, the exploration finds a broken promise.
+	// With any safeguard switched off, the exploration finds a violation.
 	for _, row := range []struct {
 		name   string
 		fenced bool
@@ -46,10 +46,10 @@
 		{"engine checks fencing", true, func(g *Safeguards) { g.Fenced = false }},
 		{"fencing order first", true, func(g *Safeguards) { g.FenceFirst = false }},
 		{"intents", false, func(g *Safeguards) { g.Intents = false }},
-		{"all holders heard", true, func(g *Safeguards) { g.HearAll = false }},
-		{"all holders heard, unfenced", false, func(g *Safeguards) { g.HearAll = false }},
-		{"pins returned", true, func(g *Safeguards) { g.WaitReturns = false }},
-		{"void grants", true, func(g *Safeguards) { g.VoidGrants = false }},
+		{"all holders heard", true, func(g *Safeguards) { g.AwaitAllReports = false }},
+		{"all holders heard, unfenced", false, func(g *Safeguards) { g.AwaitAllReports = false }},
+		{"pins returned", true, func(g *Safeguards) { g.AwaitPinReturns = false }},
+		{"void grants", true, func(g *Safeguards) { g.VoidRecalledGrants = false }},
 		{"old grants refused", true, func(g *Safeguards) { g.RefuseOldGrants = false }},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -57,24 +57,24 @@
 			row.off(&g)
 			states, broken, _ := Explore(g, limit(t))
 			must.SliceNotEmpty(t, broken, must.Sprintf("%d states", states))
-			t.Logf("%s after %d steps, %d states", broken[len(broken)-1].Broken, len(broken)-1, states)
+			t.Logf("%s after %d steps, %d states", broken[len(broken)-1].Violation, len(broken)-1, states)
 		})
 	}
 }
 
 func TestHeadAndClaims(t *testing.T) {
-	// Two writers, a lost answer, stale reads, and one once-only request
-	// through two hosts: no change is lost or accepted twice, no revision goes
-	// back, and the request runs at most once.
+	// With two writers, lost answers, stale reads, and one non-idempotent request
+	// through two hosts, no change is lost or accepted twice, the follower's
+	// revision never decreases, and the request runs at most once.
 	states, broken, complete := ExploreStore(StoreProtocol(), limit(t))
 	t.Logf("%d distinct states", states)
 	must.True(t, complete)
 	must.SliceEmpty(t, broken)
 	for name, off := range map[string]func(g *StoreSafeguards){
 		"conditional update": func(g *StoreSafeguards) { g.Conditional = false },
-		"read back":          func(g *StoreSafeguards) { g.ReadBack = false },
-		"never back":         func(g *StoreSafeguards) { g.NeverBack = false },
-		"claim":              func(g *StoreSafeguards) { g.Claim = false },
+		"read back":          func(g *StoreSafeguards) { g.VerifyAfterLostAnswer = false },
+		"never back":         func(g *StoreSafeguards) { g.RejectOlderRevisions = false },
+		"claim":              func(g *StoreSafeguards) { g.RequireClaim = false },
 	} {
 		g := StoreProtocol()
 		off(&g)
--- a/spec/store.go
+++ b/spec/store.go
@@ -1,22 +1,24 @@
 package spec
 
-// StoreSafeguards are the switches of the second machine: two writers that
-// move one head by conditional updates, a follower, and two entry hosts that
-// may send one once-only request.
+// StoreSafeguards switches the parts of the store model: two writers that advance one
+// configuration head by conditional updates, a follower that reads it, and two entry
+// hosts that may each send the same non-idempotent request.
 type StoreSafeguards struct {
-	// Conditional: the head is moved only from the version that was read.
+	// Conditional: a writer updates the head only if it is still at the version
+	// that it read.
 	Conditional bool
-	// ReadBack: after a lost answer the writer looks for its change in the head.
-	ReadBack bool
-	// NeverBack: a follower leaves a lower revision aside.
-	NeverBack bool
-	// Claim: a host sends a once-only request only under a claim.
-	Claim bool
+	// VerifyAfterLostAnswer: after a lost answer the writer looks for its change in
+	// the head.
+	VerifyAfterLostAnswer bool
+	// RejectOlderRevisions: a follower ignores revisions below its own.
+	RejectOlderRevisions bool
+	// RequireClaim: a host sends a non-idempotent request only if it holds the claim.
+	RequireClaim bool
 }
 
-// StoreProtocol is the protocol as it is built.
+// StoreProtocol returns the safeguards of the implementation: all of them.
 func StoreProtocol() StoreSafeguards {
-	return StoreSafeguards{Conditional: true, ReadBack: true, NeverBack: true, Claim: true}
+	return StoreSafeguards{Conditional: true, VerifyAfterLostAnswer: true, RejectOlderRevisions: true, RequireClaim: true}
 }
 
 const (
@@ -25,25 +27,25 @@
 )
 
 type writer struct {
-	Phase    uint8 // 0 idle, 1 has read, 2 answer lost, 3 told accepted, 4 told refused
+	Phase    uint8 // 0 idle, 1 has read, 2 answer lost, 3 reported accepted, 4 reported refused
 	Read     uint8
-	Accepted uint8 // how often its change stands in the head
+	Accepted uint8 // how often its change was committed
 }
 
-// StoreState is one state of the second machine.
+// StoreState is one state of the store model.
 type StoreState struct {
 	Head    uint8
 	Writers [writers]writer
-	// Stale is a revision that a stale read or an old peer may still tell.
-	Stale    [maxRevision + 1]bool
-	Follower uint8
-	Claimed  uint8 // 0 free, else the host's number
-	Sent     [2]bool
-	Runs     uint8
-	Broken   string
+	// Stale are old revisions that a stale read or a lagging peer may still return.
+	Stale     [maxRevision + 1]bool
+	Follower  uint8
+	Claimed   uint8 // number of the host that holds the claim, 0 if it is free
+	Sent      [2]bool
+	Runs      uint8
+	Violation string
 }
 
-// NextStore gives every state that one step leads to.
+// NextStore returns every state that is reachable in one step.
 func NextStore(s StoreState, g StoreSafeguards) []StoreState {
 	var next []StoreState
 	add := func(change func(n *StoreState)) {
@@ -56,11 +58,11 @@
 	}
 	for revision := range s.Stale {
 		if s.Stale[revision] || revision == int(s.Head) {
-			add(func(n *StoreState) { follow(n, g, uint8(revision)) })
+			add(func(n *StoreState) { applyRevision(n, g, uint8(revision)) })
 		}
 	}
 	for host := range 2 {
-		sendOnce(s, g, host, add)
+		sendSteps(s, g, host, add)
 	}
 	return next
 }
@@ -78,11 +80,11 @@
 			add(func(n *StoreState) { n.Writers[w].Phase = 4 })
 			return
 		}
-		add(func(n *StoreState) { accept(n, w, 3) })
-		add(func(n *StoreState) { accept(n, w, 2) }) // the answer is lost
+		add(func(n *StoreState) { commitChange(n, w, 3) })
+		add(func(n *StoreState) { commitChange(n, w, 2) }) // the answer is lost
 	case 2:
 		add(func(n *StoreState) {
-			if g.ReadBack && me.Accepted > 0 {
+			if g.VerifyAfterLostAnswer && me.Accepted > 0 {
 				n.Writers[w].Phase = 3
 				return
 			}
@@ -91,50 +93,50 @@
 	}
 }
 
-func accept(n *StoreState, w int, phase uint8) {
+func commitChange(n *StoreState, w int, phase uint8) {
 	if n.Writers[w].Read != n.Head {
-		n.Broken = "a change was lost under another"
+		n.Violation = "a change was lost under another"
 	}
 	n.Stale[n.Head] = true
 	n.Head = n.Writers[w].Read + 1
 	n.Writers[w].Phase = phase
 	n.Writers[w].Accepted++
 	if n.Writers[w].Accepted > 1 {
-		n.Broken = "one change was accepted twice"
+		n.Violation = "one change was accepted twice"
 	}
 }
 
-func follow(n *StoreState, g StoreSafeguards, revision uint8) {
+func applyRevision(n *StoreState, g StoreSafeguards, revision uint8) {
 	if revision < n.Follower {
-		if g.NeverBack {
+		if g.RejectOlderRevisions {
 			return
 		}
-		n.Broken = "a revision went back"
+		n.Violation = "a revision went back"
 	}
 	n.Follower = revision
 }
 
-// sendOnce: a caller sends one once-only request through two hosts; either may
-// die after sending, which is a host that takes no further step.
-func sendOnce(s StoreState, g StoreSafeguards, host int, add func(func(*StoreState))) {
+// sendSteps has a caller send one non-idempotent request through two hosts. A host
+// that crashes after sending is one that takes no further step.
+func sendSteps(s StoreState, g StoreSafeguards, host int, add func(func(*StoreState))) {
 	number := uint8(host + 1)
-	if g.Claim && s.Claimed == 0 {
+	if g.RequireClaim && s.Claimed == 0 {
 		add(func(n *StoreState) { n.Claimed = number })
 	}
-	if s.Sent[host] || (g.Claim && s.Claimed != number) {
+	if s.Sent[host] || (g.RequireClaim && s.Claimed != number) {
 		return
 	}
 	add(func(n *StoreState) {
 		n.Sent[host] = true
 		n.Runs++
 		if n.Runs > 1 {
-			n.Broken = "a once-only request ran twice"
+			n.Violation = "a non-idempotent request ran twice"
 		}
 	})
 }
 
-// ExploreStore visits every state of the second machine.
+// ExploreStore searches the store model as Explore does.
 func ExploreStore(g StoreSafeguards, limit int) (states int, broken []StoreState, complete bool) {
 	return explore(StoreState{}, func(s StoreState) []StoreState { return NextStore(s, g) },
-		func(s StoreState) bool { return s.Broken != "" }, limit)
+		func(s StoreState) bool { return s.Violation != "" }, limit)
 }
