--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -13,25 +13,25 @@
 	"github.com/pkg/errors"
 )
 
-// Figures of a caller and of the product's requests, as in package serve.
+// Timing of a caller and of the product's handling of a request, as in package serve.
 const (
-	retryAfter    = 300 * time.Millisecond
-	callerSilence = 2 * time.Second
-	callerTargets = 4
-	callerGaps    = 8
-	sendMargin    = 150 * time.Millisecond
-	firstMargin   = 60 * time.Millisecond
-	patienceShare = 2
-	earlyPause    = 30 * time.Millisecond
-	maxSends      = 4
-	silentFactor  = 2
-	// outputSpread is that of the lengths of answers.
+	retryAfter        = 300 * time.Millisecond
+	callerSilence     = 2 * time.Second
+	silenceTargets    = 4
+	silenceGaps       = 8
+	sendReserve       = 150 * time.Millisecond
+	firstEventReserve = 60 * time.Millisecond
+	promptWaitDivisor = 2
+	missingPause      = 30 * time.Millisecond
+	maxSends          = 4
+	suspectFactor     = 2
+	// outputSpread is the standard deviation of the logarithm of answer lengths.
 	outputSpread = 0.7
 )
 
-// request is one caller's request, its retry included.
+// request is one caller's request, including its retry.
 type request struct {
-	w       *world
+	sim     *simulation
 	kind    *KindConfig
 	key     adapters.Key
 	prompt  int
@@ -39,7 +39,7 @@
 	begun   time.Time
 	retried bool
 
-	// of the present try
+	// The fields below belong to the current attempt.
 	host     *host
 	arrived  time.Time
 	search   *placing.Search
@@ -53,30 +53,31 @@
 	first    time.Time
 	lastSeen time.Time
 	gap      time.Duration
-	over     bool
+	finished bool
 	tried    map[string]bool
 }
 
-// arrive makes the requests of a kind, one after the other.
-func (w *world) arrive(kind *KindConfig) {
-	rate := kind.PerS * w.factor(kind.Name)
+// generate creates the requests of a kind, one after the other.
+func (sim *simulation) generate(kind *KindConfig) {
+	rate := kind.PerS * sim.loadFactor(kind.Name)
 	if rate <= 0 {
-		w.clock.after(time.Second, func() { w.arrive(kind) })
+		sim.clock.after(time.Second, func() { sim.generate(kind) })
 		return
 	}
-	w.clock.after(seconds(w.demand.ExpFloat64()/rate), func() {
-		if w.clock.now.Sub(w.started) > seconds(w.cfg.LengthS) {
+	sim.clock.after(seconds(sim.demand.ExpFloat64()/rate), func() {
+		if sim.clock.now.Sub(sim.started) > seconds(sim.cfg.LengthS) {
 			return
 		}
-		w.ask(kind)
-		w.arrive(kind)
+		sim.newRequest(kind)
+		sim.generate(kind)
 	})
 }
 
-func (w *world) factor(kind string) float64 {
+// loadFactor returns the factor by which bursts currently multiply the load of a kind.
+func (sim *simulation) loadFactor(kind string) float64 {
 	factor := 1.0
-	at := w.clock.now.Sub(w.started)
-	for _, burst := range w.cfg.Bursts {
+	at := sim.clock.now.Sub(sim.started)
+	for _, burst := range sim.cfg.Bursts {
 		if (burst.Kind == "" || burst.Kind == kind) && at >= seconds(burst.AtS) && at < seconds(burst.AtS+burst.ForS) {
 			factor *= burst.Factor
 		}
@@ -84,96 +85,101 @@
 	return factor
 }
 
-func (w *world) ask(kind *KindConfig) {
-	r := &request{w: w, kind: kind, begun: w.clock.now}
+// newRequest draws a request of a kind and starts its first attempt.
+func (sim *simulation) newRequest(kind *KindConfig) {
+	r := &request{sim: sim, kind: kind, begun: sim.clock.now}
 	r.key = adapters.Key{Adapter: site.Adapter{Model: modelName}}
-	if w.demand.Float64() < w.cfg.Demand.Named {
-		r.key.Name = "a" + strconv.Itoa(w.wanted[w.zipf()])
+	if sim.demand.Float64() < sim.cfg.Demand.Named {
+		r.key.Name = "a" + strconv.Itoa(sim.popularity[sim.zipf()])
 	}
-	r.prompt = lognormal(w.demand, kind.Prompt, kind.Spread)
+	r.prompt = lognormal(sim.demand, kind.Prompt, kind.Spread)
 	if kind.MostRead > 0 {
 		r.prompt = min(r.prompt, kind.MostRead)
 	}
-	r.output = max(1, lognormal(w.demand, kind.Events, outputSpread)*w.cfg.Engines.Stride)
-	w.result.asked(r)
+	r.output = max(1, lognormal(sim.demand, kind.Events, outputSpread)*sim.cfg.Engines.Stride)
+	sim.result.countAsked(r)
 	r.begin()
 }
 
-// zipf draws a rank of popularity: rank k, from 1, with a weight of 1 / k^s.
-func (w *world) zipf() int {
-	s := w.cfg.Demand.Zipf
-	n := float64(w.cfg.Demand.Adapters)
-	// The inverse of the integral of x^-s, which is close enough beyond the first
-	// ranks and keeps the first one's share.
-	u := w.demand.Float64()
+// zipf draws a popularity rank. Rank k, counted from 1, has a weight of 1 / k^s; the result
+// is counted from 0.
+func (sim *simulation) zipf() int {
+	s := sim.cfg.Demand.Zipf
+	n := float64(sim.cfg.Demand.Adapters)
+	// The inverse of the integral of x^-s. It approximates the distribution well beyond the
+	// first ranks and keeps the share of the first one.
+	u := sim.demand.Float64()
 	x := math.Pow(1-u*(1-math.Pow(n+0.5, 1-s)/math.Pow(0.5, 1-s)), 1/(1-s)) * 0.5
-	return min(len(w.wanted)-1, max(0, int(x+0.5)-1))
+	return min(len(sim.popularity)-1, max(0, int(x+0.5)-1))
 }
 
-// lognormal draws a number with a mean and a spread of its logarithm.
+// lognormal draws a log-normal number of at least 1 with the given mean; spread is the
+// standard deviation of its logarithm.
 func lognormal(rng *rand.Rand, mean, spread float64) int {
 	return max(1, int(mean*math.Exp(spread*rng.NormFloat64()-spread*spread/2)))
 }
 
-// begin begins a try at some host.
+// begin starts an attempt at a random host.
 func (r *request) begin() {
-	w := r.w
-	r.host = w.hosts[w.rng.IntN(len(w.hosts))]
-	r.arrived = w.clock.now
-	r.sends, r.over, r.run = 0, false, nil
+	sim := r.sim
+	r.host = sim.hosts[sim.choices.IntN(len(sim.hosts))]
+	r.arrived = sim.clock.now
+	r.sends, r.finished, r.run = 0, false, nil
 	r.tried = map[string]bool{}
-	if w.down {
-		// No connection: the caller tries again.
-		r.refuse()
+	if sim.hostsDown {
+		// The connection fails, so the caller retries.
+		r.retryOrRefuse()
 		return
 	}
-	r.host.budget.RecordRequest(w.clock.now, len(w.hosts))
-	if w.policy == Reference {
+	r.host.budget.RecordRequest(sim.clock.now, len(sim.hosts))
+	if sim.policy == Reference {
 		r.placeByReference()
 		return
 	}
 	r.place()
 }
 
-// within is the time within which sending the request is of use.
-func (r *request) within() time.Duration {
-	now := r.w.clock.now
-	silence := max(callerSilence, callerTargets*millis(r.kind.TargetMS), callerGaps*millis(r.kind.GapMS))
-	return min(r.arrived.Add(silence-sendMargin).Sub(now), r.begun.Add(seconds(r.kind.DeadlineS)).Sub(now))
+// timeLeft returns the time within which it is still useful to send the request.
+func (r *request) timeLeft() time.Duration {
+	now := r.sim.clock.now
+	silence := max(callerSilence, silenceTargets*millis(r.kind.TargetMS), silenceGaps*millis(r.kind.GapMS))
+	return min(r.arrived.Add(silence-sendReserve).Sub(now), r.begun.Add(seconds(r.kind.DeadlineS)).Sub(now))
 }
 
+// place ranks the runners for the request's key and starts the search.
 func (r *request) place() {
 	key := r.key.PlacementKey()
 	if r.key.Name == "" {
-		key = "any" + strconv.Itoa(r.w.rng.IntN(1<<20))
+		key = "any" + strconv.Itoa(r.sim.choices.IntN(1<<20))
 	}
-	r.runners = r.w.order(key)
+	r.runners = r.sim.rankRunners(key)
 	r.search = r.host.spreads.Search(key, len(r.runners))
 	if r.search.PreferLocal() {
 		r.runners = slices.Clone(r.runners)
-		slices.SortStableFunc(r.runners, func(a, b *site.Runner) int { return r.far(a) - r.far(b) })
+		slices.SortStableFunc(r.runners, func(a, b *site.Runner) int { return r.distance(a) - r.distance(b) })
 	}
 	r.next()
 }
 
-func (r *request) far(runner *site.Runner) int {
+// distance returns 0 for a runner in the host's data centre and 1 for any other.
+func (r *request) distance(runner *site.Runner) int {
 	if runner.DataCentre == r.host.centre {
 		return 0
 	}
 	return 1
 }
 
-// next asks the next owner.
+// next asks the owner of the next runner in the search for admission.
 func (r *request) next() {
-	w := r.w
+	sim := r.sim
 	for {
-		step, last, more := r.search.Next(w.rng.Float64())
-		if !more || r.within() <= 0 {
-			r.refuse()
+		step, last, more := r.search.Next(sim.choices.Float64())
+		if !more || r.timeLeft() <= 0 {
+			r.retryOrRefuse()
 			return
 		}
 		runner := r.runners[step.Rank]
-		if r.tried[runner.ID] || (!last && r.host.board.View(runner.ID, w.clock.now).Suspect) {
+		if r.tried[runner.ID] || (!last && r.host.board.View(runner.ID, sim.clock.now).Suspect) {
 			continue
 		}
 		r.step, r.last, r.waited = step, last, false
@@ -183,36 +189,36 @@
 }
 
 func (r *request) askOwner() {
-	w := r.w
+	sim := r.sim
 	runner := r.runners[r.step.Rank]
-	way := w.way(r.host.centre, runner.DataCentre)
-	w.result.Asks++
-	w.clock.after(way, func() {
-		k := w.keepers[runner.ID]
-		if k == nil || r.over {
-			w.clock.after(way, func() { r.refused(runner, adapters.ErrNotOwner) })
+	delay := sim.latency(r.host.centre, runner.DataCentre)
+	sim.result.Asks++
+	sim.clock.after(delay, func() {
+		k := sim.controllers[runner.ID]
+		if k == nil || r.finished {
+			sim.clock.after(delay, func() { r.refused(runner, adapters.ErrNotOwner) })
 			return
 		}
 		target := millis(r.kind.TargetMS)
 		admitted, err := k.Admit(adapters.AdmissionRequest{
-			Key: r.key, PromptTokens: r.prompt, MaxOutputTokens: r.output, ExpectedOutputTokens: r.output, PromptWait: target / patienceShare,
-			LatencyBudget: r.arrived.Add(target - firstMargin).Sub(w.clock.now), MaxWait: r.within(), LastResort: r.last,
-			Home: r.step.Home && r.key.Name != "" && w.policy == Product, Retry: r.step.Retry, Waited: r.waited,
+			Key: r.key, PromptTokens: r.prompt, MaxOutputTokens: r.output, ExpectedOutputTokens: r.output, PromptWait: target / promptWaitDivisor,
+			LatencyBudget: r.arrived.Add(target - firstEventReserve).Sub(sim.clock.now), MaxWait: r.timeLeft(), LastResort: r.last,
+			Home: r.step.Home && r.key.Name != "" && sim.policy == Product, Retry: r.step.Retry, Waited: r.waited,
 		})
-		w.wake(k, 0)
+		sim.scheduleStep(k, 0)
 		if err != nil {
-			w.clock.after(way, func() { r.refused(runner, err) })
+			sim.clock.after(delay, func() { r.refused(runner, err) })
 			return
 		}
 		if !admitted.AskAgain {
-			w.load[runner.ID]++
+			sim.load[runner.ID]++
 		}
-		w.clock.after(way, func() { r.admitted(runner, admitted) })
+		sim.clock.after(delay, func() { r.admitted(runner, admitted) })
 	})
 }
 
 func (r *request) refused(runner *site.Runner, err error) {
-	if r.over {
+	if r.finished {
 		return
 	}
 	busy := errors.Is(err, adapters.ErrBusy) || errors.Is(err, adapters.ErrPromptBacklog)
@@ -232,26 +238,26 @@
 }
 
 func (r *request) admitted(runner *site.Runner, admitted adapters.AdmissionResult) {
-	w := r.w
-	pause := admitted.At.Sub(w.clock.now)
-	if pause > r.within() {
-		r.unused(runner, admitted)
+	sim := r.sim
+	pause := admitted.At.Sub(sim.clock.now)
+	if pause > r.timeLeft() {
+		r.releaseAdmission(runner, admitted)
 		r.search.Refused(false, false, nil)
 		r.next()
 		return
 	}
-	if !r.waited && !r.step.Home && r.key.Name != "" && w.policy == Product {
-		w.result.Told++
-		home := w.keepers[r.runners[0].ID]
-		w.clock.after(w.way(r.host.centre, r.runners[0].DataCentre), func() {
+	if !r.waited && !r.step.Home && r.key.Name != "" && sim.policy == Product {
+		sim.result.Told++
+		home := sim.controllers[r.runners[0].ID]
+		sim.clock.after(sim.latency(r.host.centre, r.runners[0].DataCentre), func() {
 			if home != nil {
 				home.AddReplica(r.key, runner.ID)
 			}
 		})
 	}
-	w.clock.after(max(0, pause), func() {
-		if r.over {
-			r.unused(runner, admitted)
+	sim.clock.after(max(0, pause), func() {
+		if r.finished {
+			r.releaseAdmission(runner, admitted)
 			return
 		}
 		if admitted.AskAgain {
@@ -264,19 +270,20 @@
 	})
 }
 
-func (r *request) unused(runner *site.Runner, admitted adapters.AdmissionResult) {
+// releaseAdmission gives back an admission that isn't used.
+func (r *request) releaseAdmission(runner *site.Runner, admitted adapters.AdmissionResult) {
 	if !admitted.AskAgain {
-		r.w.ended(runner.ID, r.key)
+		r.sim.reportEnd(runner.ID, r.key)
 	}
 }
 
-// ended tells a runner's owner that a request is over.
-func (w *world) ended(runner string, key adapters.Key) {
-	w.clock.after(toldAfter, func() {
-		if w.load[runner] > 0 {
-			w.load[runner]--
+// reportEnd tells a runner's owner, after a delay, that a request has ended.
+func (sim *simulation) reportEnd(runner string, key adapters.Key) {
+	sim.clock.after(endReportDelay, func() {
+		if sim.load[runner] > 0 {
+			sim.load[runner]--
 		}
-		if k := w.keepers[runner]; k != nil {
+		if k := sim.controllers[runner]; k != nil {
 			k.RequestsEnded(map[site.Adapter]int{key.Adapter: 1})
 		}
 	})
@@ -284,78 +291,79 @@
 
 // send sends the request to the runner that admitted it.
 func (r *request) send(runner *site.Runner) {
-	w := r.w
+	sim := r.sim
 	r.sends++
-	way := w.way(r.host.centre, runner.DataCentre)
+	delay := sim.latency(r.host.centre, runner.DataCentre)
 	h := r.host
-	h.board.RecordStart(runner.ID, w.clock.now)
-	r.watch(runner)
-	w.clock.after(way, func() {
-		e := w.byID[runner.ID]
-		sent := &run{key: r.key, unread: r.prompt, left: r.output}
-		sent.event = func() { w.clock.after(way, func() { r.event(sent, runner) }) }
+	h.board.RecordStart(runner.ID, sim.clock.now)
+	r.suspectSilence(runner)
+	sim.clock.after(delay, func() {
+		e := sim.byID[runner.ID]
+		sent := &run{key: r.key, unread: r.prompt, remaining: r.output}
+		sent.event = func() { sim.clock.after(delay, func() { r.event(sent, runner) }) }
 		sent.ended = func(whole bool) {
-			w.clock.after(way, func() {
+			sim.clock.after(delay, func() {
 				h.board.RecordEnd(runner.ID)
-				w.ended(runner.ID, r.key)
+				sim.reportEnd(runner.ID, r.key)
 				r.end(sent, runner, whole)
 			})
 		}
 		r.engine, r.run = e, sent
-		if why := e.submit(sent); why != taken {
-			w.clock.after(way, func() {
+		if why := e.submit(sent); why != accepted {
+			sim.clock.after(delay, func() {
 				h.board.RecordEnd(runner.ID)
-				w.ended(runner.ID, r.key)
-				r.turnedAway(sent, runner, why)
+				sim.reportEnd(runner.ID, r.key)
+				r.notRun(sent, runner, why)
 			})
 		}
 	})
-	r.giveUpAfter(r.within() + sendMargin)
+	r.giveUpAfter(r.timeLeft() + sendReserve)
 }
 
-// watch counts a runner's silence against it.
-func (r *request) watch(runner *site.Runner) {
+// suspectSilence records a failure of the runner if no event arrives in time.
+func (r *request) suspectSilence(runner *site.Runner) {
 	sends := r.sends
 	h := r.host
-	r.w.clock.after(silentFactor*millis(r.kind.TargetMS), func() {
-		if r.first.IsZero() && r.sends == sends && !r.over && r.host == h {
-			h.board.RecordFailure(runner.ID, false, r.w.clock.now)
+	r.sim.clock.after(suspectFactor*millis(r.kind.TargetMS), func() {
+		if r.first.IsZero() && r.sends == sends && !r.finished && r.host == h {
+			h.board.RecordFailure(runner.ID, false, r.sim.clock.now)
 		}
 	})
 }
 
-// giveUpAfter has the caller leave if nothing has come by then, or if its time is
-// over.
+// giveUpAfter has the caller abandon the request if no event arrives within silence, or at
+// its deadline.
 func (r *request) giveUpAfter(silence time.Duration) {
-	w := r.w
+	sim := r.sim
 	sends, arrived := r.sends, r.arrived
-	w.clock.after(silence, func() {
-		if !r.over && r.first.IsZero() && r.sends == sends && r.arrived.Equal(arrived) {
-			r.leave()
+	sim.clock.after(silence, func() {
+		if !r.finished && r.first.IsZero() && r.sends == sends && r.arrived.Equal(arrived) {
+			r.abandon()
 		}
 	})
-	w.clock.at(r.begun.Add(seconds(r.kind.DeadlineS)), func() {
-		if !r.over && r.arrived.Equal(arrived) {
-			r.leave()
+	sim.clock.at(r.begun.Add(seconds(r.kind.DeadlineS)), func() {
+		if !r.finished && r.arrived.Equal(arrived) {
+			r.abandon()
 		}
 	})
 }
 
-func (r *request) leave() {
-	r.over = true
+// abandon cancels the request and counts it as failed.
+func (r *request) abandon() {
+	r.finished = true
 	if r.run != nil {
 		r.engine.cancel(r.run)
 		r.host.board.RecordEnd(r.engine.runner.ID)
-		r.w.ended(r.engine.runner.ID, r.key)
+		r.sim.reportEnd(r.engine.runner.ID, r.key)
 	}
-	r.w.result.failed(r)
+	r.sim.result.countFailed(r)
 }
 
 func (r *request) event(sent *run, runner *site.Runner) {
-	if r.over || r.run != sent {
+	if r.finished || r.run != sent {
 		return
 	}
-	now := r.w.clock.now
+	now := r.sim.clock.now
 	r.host.board.RecordActivity(runner.ID, now)
 	if r.first.IsZero() {
 		r.first = now
@@ -366,59 +374,60 @@
 }
 
 func (r *request) end(sent *run, runner *site.Runner, whole bool) {
-	if r.over || r.run != sent {
+	if r.finished || r.run != sent {
 		return
 	}
-	r.over = true
-	now := r.w.clock.now
+	r.finished = true
+	now := r.sim.clock.now
 	if !whole {
 		r.host.board.RecordFailure(runner.ID, false, now)
-		r.w.owners.RecordFailure(runner.ID, false, now)
-		r.w.result.failed(r)
+		r.sim.ownerBoard.RecordFailure(runner.ID, false, now)
+		r.sim.result.countFailed(r)
 		return
 	}
 	r.host.board.RecordSuccess(runner.ID, now)
-	r.w.owners.RecordSuccess(runner.ID, now)
-	r.w.result.served(r)
+	r.sim.ownerBoard.RecordSuccess(runner.ID, now)
+	r.sim.result.countServed(r)
 }
 
-// turnedAway goes on after a runner did not run the request.
-func (r *request) turnedAway(sent *run, runner *site.Runner, why refusal) {
-	if r.over || r.run != sent {
+// notRun continues after an engine did not run the request: it tries another runner if the
+// retry budget allows.
+func (r *request) notRun(sent *run, runner *site.Runner, why refusal) {
+	if r.finished || r.run != sent {
 		return
 	}
-	w := r.w
+	sim := r.sim
 	r.run = nil
-	w.result.TurnedAway++
+	sim.result.TurnedAway++
 	if why == unreachable {
-		r.host.board.RecordFailure(runner.ID, true, w.clock.now)
+		r.host.board.RecordFailure(runner.ID, true, sim.clock.now)
 		r.tried[runner.ID] = true
 	}
-	if r.sends >= maxSends || !r.host.budget.Take(w.clock.now, len(w.hosts)) {
-		r.refuse()
+	if r.sends >= maxSends || !r.host.budget.Take(sim.clock.now, len(sim.hosts)) {
+		r.retryOrRefuse()
 		return
 	}
-	if why != absent {
+	if why != notLoaded {
 		r.tried[runner.ID] = true
 		r.place()
 		return
 	}
-	if k := w.keepers[runner.ID]; k != nil {
+	if k := sim.controllers[runner.ID]; k != nil {
 		k.AdapterMissing(r.key.Adapter)
-		w.wake(k, 0)
+		sim.scheduleStep(k, 0)
 	}
-	w.clock.after(earlyPause, r.place)
+	sim.clock.after(missingPause, r.place)
 }
 
-// refuse tells the caller to come back; it does so once.
-func (r *request) refuse() {
-	r.over = true
-	w := r.w
-	w.result.Refusals++
-	if r.retried || w.clock.now.Add(retryAfter).After(r.begun.Add(seconds(r.kind.DeadlineS))) {
-		w.result.refused(r)
+// retryOrRefuse tells the caller to retry later, which it does once.
+func (r *request) retryOrRefuse() {
+	r.finished = true
+	sim := r.sim
+	sim.result.Refusals++
+	if r.retried || sim.clock.now.Add(retryAfter).After(r.begun.Add(seconds(r.kind.DeadlineS))) {
+		sim.result.countRefused(r)
 		return
 	}
 	r.retried = true
-	w.clock.after(retryAfter, r.begin)
+	sim.clock.after(retryAfter, r.begin)
 }
--- a/internal/experiment/clock.go
+++ b/internal/experiment/clock.go
@@ -5,37 +5,38 @@
 	"time"
 )
 
-// clock is virtual time: a queue of what is to be done when.
+// clock is virtual time: a queue of scheduled events.
 type clock struct {
-	now    time.Time
-	events eventHeap
-	number uint64
+	now      time.Time
+	events   eventHeap
+	sequence uint64
 }
 
 type event struct {
 	at time.Time
-	// number keeps events of one moment in the order of their making.
-	number uint64
-	do     func()
+	// sequence keeps events at the same time in the order in which they were scheduled.
+	sequence uint64
+	action   func()
 }
 
-// at has something done at a time, or now if that is past.
-func (c *clock) at(at time.Time, do func()) {
+// at schedules an action at a time, or now if that is past.
+func (c *clock) at(at time.Time, action func()) {
 	if at.Before(c.now) {
 		at = c.now
 	}
-	c.number++
-	heap.Push(&c.events, event{at: at, number: c.number, do: do})
+	c.sequence++
+	heap.Push(&c.events, event{at: at, sequence: c.sequence, action: action})
 }
 
-func (c *clock) after(wait time.Duration, do func()) { c.at(c.now.Add(wait), do) }
+// after schedules an action after a duration.
+func (c *clock) after(wait time.Duration, action func()) { c.at(c.now.Add(wait), action) }
 
-// run plays all events up to a time.
+// run executes all events up to and including a time.
 func (c *clock) run(until time.Time) {
 	for len(c.events) > 0 && !c.events[0].at.After(until) {
 		next := heap.Pop(&c.events).(event)
 		c.now = next.at
-		next.do()
+		next.action()
 	}
 	c.now = until
 }
@@ -47,7 +48,7 @@
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
 	}
-	return h[i].number < h[j].number
+	return h[i].sequence < h[j].sequence
 }
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
--- a/internal/experiment/cmd/experiment/main.go
+++ b/internal/experiment/cmd/experiment/main.go
@@ -1,5 +1,5 @@
-// Command experiment plays loads on a model of a deployment and reports what
-// callers got, by policy and seed.
+// Command experiment simulates a load on a model of a deployment and reports the
+// outcome for callers, by policy and seed.
 package main
 
 import (
@@ -14,12 +14,12 @@
 )
 
 type options struct {
-	Scenario string   `long:"scenario" short:"s" description:"a scenario that comes with the command; see --list"`
-	File     string   `long:"config" short:"c" description:"a configuration file of your own"`
+	Scenario string   `long:"scenario" short:"s" description:"an embedded scenario; see --list"`
+	File     string   `long:"config" short:"c" description:"a configuration file"`
 	Policies []string `long:"policy" short:"p" description:"product, homeless or reference; may be repeated (default: all)"`
-	Seeds    int      `long:"seeds" short:"n" default:"1" description:"how many seeds to play, from the configuration's on"`
-	Out      string   `long:"out" short:"o" description:"a folder for results.json and a plot for each scenario"`
-	List     bool     `long:"list" description:"name the scenarios"`
+	Seeds    int      `long:"seeds" short:"n" default:"1" description:"number of seeds to run, starting from the configured one"`
+	Out      string   `long:"out" short:"o" description:"a folder for each scenario's results and plot"`
+	List     bool     `long:"list" description:"list the embedded scenarios"`
 }
 
 func main() {
@@ -30,24 +30,24 @@
 		}
 		os.Exit(2)
 	}
-	if err := play(opts); err != nil {
+	if err := run(opts); err != nil {
 		fmt.Fprintln(os.Stderr, "experiment:", err)
 		os.Exit(1)
 	}
 }
 
-func play(opts options) error {
+func run(opts options) error {
 	if opts.List {
 		for _, name := range experiment.Scenarios() {
 			fmt.Println(name)
 		}
 		return nil
 	}
-	cfg, err := configured(opts)
+	cfg, err := loadConfig(opts)
 	if err != nil {
 		return err
 	}
-	policies, err := chosen(opts.Policies)
+	policies, err := parsePolicies(opts.Policies)
 	if err != nil {
 		return err
 	}
@@ -72,20 +72,20 @@
 	return save(opts.Out, cfg.Name, results)
 }
 
-func configured(opts options) (experiment.Config, error) {
+func loadConfig(opts options) (experiment.Config, error) {
 	switch {
 	case opts.Scenario != "" && opts.File != "":
-		return experiment.Config{}, errors.New("--scenario and --config exclude each other")
+		return experiment.Config{}, errors.New("--scenario and --config are mutually exclusive")
 	case opts.File != "":
 		return experiment.Read(opts.File)
 	case opts.Scenario != "":
 		return experiment.Scenario(opts.Scenario)
 	default:
-		return experiment.Config{}, errors.New("one of --scenario, --config and --list is needed")
+		return experiment.Config{}, errors.New("one of --scenario, --config and --list is required")
 	}
 }
 
-func chosen(names []string) ([]experiment.Policy, error) {
+func parsePolicies(names []string) ([]experiment.Policy, error) {
 	if len(names) == 0 {
 		return experiment.Policies(), nil
 	}
@@ -99,7 +99,7 @@
 			}
 		}
 		if !known {
-			return nil, errors.Errorf("no policy %q; there are %v", name, experiment.Policies())
+			return nil, errors.Errorf("unknown policy %q; available: %v", name, experiment.Policies())
 		}
 	}
 	return policies, nil
--- a/internal/experiment/config.go
+++ b/internal/experiment/config.go
@@ -1,12 +1,12 @@
-// Package experiment plays a load on a model of a deployment in virtual time.
+// Package experiment simulates a load on a model of a deployment in virtual time.
 //
-// The decisions are the product's own: the search for a place, the owners'
-// admission and loads, the retry budget, the judgement on runners. Modelled are
-// the engines with their batches, the weight store that divides its rate, the
-// callers with their one retry, and the way between hosts. A run has one seed and
-// repeats to the last figure. It says how a change of a decision fares under a
-// load, against the same decisions without knowledge of homes and against a
-// reference that knows everything at once.
+// The product's own code makes the decisions: the search for a runner, the owners'
+// admission and loads, the retry budget and the suspicion of runners. The engines with
+// their batches, the weight store that divides its rate among loads, the callers with
+// their single retry, and the network latency are modelled. A run has one seed and is
+// exactly reproducible. It shows how a change to a decision performs under a load,
+// compared with the same decisions without homes that know replicas, and with a
+// reference that has full knowledge at any time.
 package experiment
 
 import (
@@ -20,17 +20,17 @@
 	"github.com/pkg/errors"
 )
 
-// Config describes a deployment, its load and its troubles. Times are in seconds
-// unless a name says otherwise.
+// Config describes a deployment, its load and its faults. Times are in seconds unless
+// the name has another unit.
 type Config struct {
 	Name    string  `toml:"name"`
 	Seed    uint64  `toml:"seed"`
 	LengthS float64 `toml:"length_s"`
-	// Hosts and engines are dealt out to the data centres in turn.
+	// Hosts and engines are assigned to the data centres in turn.
 	Hosts       int `toml:"hosts"`
 	DataCentres int `toml:"data_centres"`
-	// LocalMS and FarMS are the way between hosts, one way, within a data centre
-	// and between two.
+	// LocalMS and FarMS are the one-way latencies between hosts, within a data centre and
+	// between two.
 	LocalMS float64       `toml:"local_ms"`
 	FarMS   float64       `toml:"far_ms"`
 	Engines EngineConfig  `toml:"engines"`
@@ -40,8 +40,8 @@
 	Bursts  []BurstConfig `toml:"bursts"`
 	// Shifts move the demand to other adapters.
 	Shifts []ShiftConfig `toml:"shifts"`
-	// Crashes take runners away, Silences have them show nothing for a time, Losses
-	// stop all hosts at once.
+	// Crashes remove runners, Silences make them unresponsive for a time, and Losses stop
+	// all hosts at once.
 	Crashes  []FaultConfig `toml:"crashes"`
 	Silences []FaultConfig `toml:"silences"`
 	Losses   []FaultConfig `toml:"losses"`
@@ -54,16 +54,16 @@
 	Slots  int `toml:"slots"`
 	Queue  int `toml:"queue"`
 	Places int `toml:"places"`
-	// A step takes StepMS, SlotMS more for each request in it, ContextMS more for
-	// each thousand tokens in memory, and reads up to Chunk prompt tokens, ReadPerMS
-	// a millisecond.
+	// A step takes StepMS, plus SlotMS for each request in the batch and ContextMS for each
+	// thousand tokens in memory. It prefills up to Chunk prompt tokens, at ReadPerMS tokens
+	// per millisecond.
 	StepMS    float64 `toml:"step_ms"`
 	SlotMS    float64 `toml:"slot_ms"`
 	ContextMS float64 `toml:"context_ms"`
 	Chunk     int     `toml:"chunk"`
 	ReadPerMS float64 `toml:"read_per_ms"`
-	// Stride is the number of tokens in an event, Remembered how many adapters a
-	// runner held lately load ten times as fast.
+	// Stride is the number of tokens per event. Remembered is the number of adapters that an
+	// engine has cached; these load ten times as fast.
 	Stride     int `toml:"stride"`
 	Remembered int `toml:"remembered"`
 }
@@ -71,13 +71,13 @@
 // StoreConfig describes the weight store.
 type StoreConfig struct {
 	LoadMS float64 `toml:"load_ms"`
-	// Full is the number of loads at a time that are served at full speed.
+	// Full is the number of concurrent loads that are served at full speed.
 	Full int `toml:"full"`
-	// LoadsPerS is its rate of base models, which hosts are told.
+	// LoadsPerS is the store's rate for base models, which hosts are told.
 	LoadsPerS float64 `toml:"loads_per_s"`
 }
 
-// DemandConfig says which adapters are asked for.
+// DemandConfig describes which adapters are requested.
 type DemandConfig struct {
 	Adapters int     `toml:"adapters"`
 	Zipf     float64 `toml:"zipf"`
@@ -85,7 +85,7 @@
 	Named float64 `toml:"named"`
 }
 
-// KindConfig is a kind of request.
+// KindConfig describes a kind of request.
 type KindConfig struct {
 	Name      string  `toml:"name"`
 	PerS      float64 `toml:"per_s"`
@@ -96,7 +96,7 @@
 	TargetMS  float64 `toml:"target_ms"`
 	GapMS     float64 `toml:"gap_ms"`
 	DeadlineS float64 `toml:"deadline_s"`
-	// Worth of an answer in time, and of one that is late.
+	// Worth is the value of an answer in time, Late that of a late one.
 	Worth float64 `toml:"worth"`
 	Late  float64 `toml:"late"`
 }
@@ -109,20 +109,20 @@
 	Kind   string  `toml:"kind"`
 }
 
-// ShiftConfig exchanges the Count most wanted adapters for others.
+// ShiftConfig exchanges the Count most popular adapters with random others.
 type ShiftConfig struct {
 	AtS   float64 `toml:"at_s"`
 	Count int     `toml:"count"`
 }
 
-// FaultConfig is a fault of a share of the runners, or of all hosts.
+// FaultConfig describes a fault of a share of the runners, or of all hosts.
 type FaultConfig struct {
 	AtS   float64 `toml:"at_s"`
 	ForS  float64 `toml:"for_s"`
 	Share float64 `toml:"share"`
 }
 
-// RetryConfig bounds further attempts.
+// RetryConfig configures the retry budget.
 type RetryConfig struct {
 	Ratio   float64 `toml:"ratio"`
 	Slack   float64 `toml:"slack"`
@@ -132,11 +132,11 @@
 //go:embed scenarios/*.toml
 var scenarios embed.FS
 
-// Scenario reads one of the scenarios that come with the package.
+// Scenario reads one of the embedded scenarios.
 func Scenario(name string) (Config, error) {
 	text, err := scenarios.ReadFile("scenarios/" + name + ".toml")
 	if errors.Is(err, fs.ErrNotExist) {
-		return Config{}, errors.Errorf("no scenario %q; there are %s", name, strings.Join(Scenarios(), ", "))
+		return Config{}, errors.Errorf("unknown scenario %q; available: %s", name, strings.Join(Scenarios(), ", "))
 	}
 	if err != nil {
 		return Config{}, err
@@ -144,7 +144,7 @@
 	return Parse(string(text))
 }
 
-// Scenarios names the scenarios that come with the package.
+// Scenarios returns the names of the embedded scenarios.
 func Scenarios() []string {
 	entries, err := scenarios.ReadDir("scenarios")
 	if err != nil {
@@ -157,7 +157,7 @@
 	return names
 }
 
-// Read reads a configuration file.
+// Read reads and checks a configuration file.
 func Read(path string) (Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -167,8 +167,8 @@
 	return cfg, errors.Wrap(err, path)
 }
 
-// Parse reads and checks a configuration. Unlike the platform's settings it is
-// ours, so a field that is not known is an error.
+// Parse parses and checks a configuration. Unknown fields are errors, unlike in the
+// platform's settings, because this format belongs to the project.
 func Parse(text string) (Config, error) {
 	var cfg Config
 	meta, err := toml.Decode(text, &cfg)
@@ -181,7 +181,7 @@
 	return cfg, cfg.Check()
 }
 
-// Check says what is wrong with a configuration.
+// Check returns an error if a configuration is invalid.
 func (c Config) Check() error {
 	for _, number := range []struct {
 		name  string
@@ -202,14 +202,14 @@
 		{"demand.adapters", float64(c.Demand.Adapters)},
 	} {
 		if number.value <= 0 {
-			return errors.Errorf("%s: %v is not above zero", number.name, number.value)
+			return errors.Errorf("%s: %v is not greater than zero", number.name, number.value)
 		}
 	}
 	if len(c.Kinds) == 0 {
-		return errors.New("kinds: there is no kind of request")
+		return errors.New("kinds: at least one kind of request is required")
 	}
 	if c.Demand.Zipf <= 1 {
-		return errors.Errorf("demand.zipf: %v is not above one", c.Demand.Zipf)
+		return errors.Errorf("demand.zipf: %v is not greater than one", c.Demand.Zipf)
 	}
 	for _, kind := range c.Kinds {
 		if kind.PerS < 0 || kind.Prompt <= 0 || kind.Events <= 0 || kind.TargetMS <= 0 || kind.DeadlineS <= 0 {
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -8,24 +8,24 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// engine models one runner: a batch that makes a token a step for each of its
-// requests and reads prompts between, places for adapters, and orders.
+// engine models one runner: a batch that generates a token per step for each of its requests
+// and prefills prompts in between, places for adapters, and orders.
 type engine struct {
-	w       *world
-	cfg     EngineConfig
-	runner  *site.Runner
-	held    map[adapters.Key]bool
-	coming  map[adapters.Key]*fetch
-	leaving map[adapters.Key]bool
-	// memory holds the adapters that load fast, the latest last.
-	memory   []adapters.Key
+	sim      *simulation
+	cfg      EngineConfig
+	runner   *site.Runner
+	held     map[adapters.Key]bool
+	incoming map[adapters.Key]*fetch
+	evicting map[adapters.Key]bool
+	// cached holds the adapters that load fast, the most recent last.
+	cached   []adapters.Key
 	sequence int64
 	running  []*run
 	waiting  []*run
 	stepping bool
 	silent   bool
 	gone     bool
-	// pacer is the reference's; owners have their own.
+	// pacer is used by the reference policy; owners have their own.
 	pacer  adapters.Pacer
 	steps  int
 	filled int
@@ -34,29 +34,30 @@
 // run is a request on an engine.
 type run struct {
 	key adapters.Key
-	// unread and context are prompt tokens, left the tokens to make.
-	unread, context, left, made int
-	event                       func()
-	ended                       func(whole bool)
+	// unread and context count prompt tokens before and after prefill; context includes
+	// generated tokens. remaining counts the tokens still to generate.
+	unread, context, remaining, generated int
+	event                                 func()
+	ended                                 func(whole bool)
 }
 
-// refusal says why an engine did not take a request.
+// refusal says why an engine refused a request.
 type refusal uint8
 
 const (
-	taken refusal = iota
-	absent
-	full
+	accepted refusal = iota
+	notLoaded
+	queueFull
 	unreachable
 )
 
-func newEngine(w *world, cfg EngineConfig, runner *site.Runner) *engine {
+func newEngine(sim *simulation, cfg EngineConfig, runner *site.Runner) *engine {
 	return &engine{
-		w: w, cfg: cfg, runner: runner, held: map[adapters.Key]bool{}, coming: map[adapters.Key]*fetch{}, leaving: map[adapters.Key]bool{},
+		sim: sim, cfg: cfg, runner: runner, held: map[adapters.Key]bool{}, incoming: map[adapters.Key]*fetch{}, evicting: map[adapters.Key]bool{},
 	}
 }
 
-// order carries an order out.
+// order executes an order.
 func (e *engine) order(order adapters.Order) adapters.Outcome {
 	if e.gone || e.silent {
 		return adapters.OutcomeUnknown
@@ -70,40 +71,40 @@
 	return e.unload(order.Key.Adapter)
 }
 
-// maxComing is the number of adapters that may be on their way to one engine.
-const maxComing = 4
+// maxIncoming is the number of adapters that one engine may be loading at a time.
+const maxIncoming = 4
 
 func (e *engine) load(key adapters.Key) adapters.Outcome {
 	switch {
 	case e.held[key]:
 		return adapters.OutcomeDone
-	case len(e.coming) >= maxComing:
+	case len(e.incoming) >= maxIncoming:
 		return adapters.OutcomeConflict
 	}
-	if len(e.held)+len(e.coming) >= e.cfg.Places {
-		// The real engine crashes.
-		e.w.result.Overfull++
+	if len(e.held)+len(e.incoming) >= e.cfg.Places {
+		// A real engine would crash.
+		e.sim.result.Overfull++
 		return adapters.OutcomeRejected
 	}
 	e.sequence++
 	arrived := func() {
-		delete(e.coming, key)
+		delete(e.incoming, key)
 		e.held[key] = true
-		e.remember(key)
+		e.cache(key)
 	}
-	if e.remembers(key) {
+	if e.isCached(key) {
 		f := &fetch{}
-		e.coming[key] = f
-		e.w.result.Reloads++
-		e.w.clock.after(e.w.store.load/10, func() {
-			if e.coming[key] == f {
+		e.incoming[key] = f
+		e.sim.result.Reloads++
+		e.sim.clock.after(e.sim.store.load/10, func() {
+			if e.incoming[key] == f {
 				arrived()
 			}
 		})
 		return adapters.OutcomeAccepted
 	}
-	e.w.fetched(e.runner.ID, key)
-	e.coming[key] = e.w.store.bring(arrived)
+	e.sim.recordFetch(e.runner.ID, key)
+	e.incoming[key] = e.sim.store.startFetch(arrived)
 	return adapters.OutcomeAccepted
 }
 
@@ -114,7 +115,7 @@
 		}
 		e.sequence++
 		if e.uses(key) {
-			e.leaving[key] = true
+			e.evicting[key] = true
 			return adapters.OutcomeAccepted
 		}
 		delete(e.held, key)
@@ -134,21 +135,21 @@
 	return false
 }
 
-func (e *engine) remember(key adapters.Key) {
-	for i, known := range e.memory {
+func (e *engine) cache(key adapters.Key) {
+	for i, known := range e.cached {
 		if known == key {
-			e.memory = append(e.memory[:i], e.memory[i+1:]...)
+			e.cached = append(e.cached[:i], e.cached[i+1:]...)
 			break
 		}
 	}
-	e.memory = append(e.memory, key)
-	if len(e.memory) > e.cfg.Remembered {
-		e.memory = e.memory[1:]
+	e.cached = append(e.cached, key)
+	if len(e.cached) > e.cfg.Remembered {
+		e.cached = e.cached[1:]
 	}
 }
 
-func (e *engine) remembers(key adapters.Key) bool {
-	for _, known := range e.memory {
+func (e *engine) isCached(key adapters.Key) bool {
+	for _, known := range e.cached {
 		if known == key {
 			return true
 		}
@@ -164,38 +165,38 @@
 	for key := range e.held {
 		report.Adapters = append(report.Adapters, adapters.Held{Key: key})
 	}
-	for key := range e.coming {
+	for key := range e.incoming {
 		report.Adapters = append(report.Adapters, adapters.Held{Key: key, Incoming: true})
 	}
 	return report, true
 }
 
-// submit gives the engine a request.
+// submit hands the engine a request.
 func (e *engine) submit(r *run) refusal {
 	switch {
 	case e.gone:
 		return unreachable
 	case e.silent:
 		e.waiting = append(e.waiting, r)
-		return taken
-	case r.key.Name != "" && (!e.held[r.key] || e.leaving[r.key]):
-		return absent
+		return accepted
+	case r.key.Name != "" && (!e.held[r.key] || e.evicting[r.key]):
+		return notLoaded
 	case len(e.running)+len(e.waiting) >= e.cfg.Slots+e.cfg.Queue:
-		return full
+		return queueFull
 	}
 	e.waiting = append(e.waiting, r)
 	e.start()
-	return taken
+	return accepted
 }
 
-// cancel takes a request back whose caller has left.
+// cancel removes a request whose caller has left.
 func (e *engine) cancel(r *run) {
-	e.running = without(e.running, r)
-	e.waiting = without(e.waiting, r)
-	e.settleLeaving()
+	e.running = removeRun(e.running, r)
+	e.waiting = removeRun(e.waiting, r)
+	e.finishEvictions()
 }
 
-func without(runs []*run, r *run) []*run {
+func removeRun(runs []*run, r *run) []*run {
 	for i, other := range runs {
 		if other == r {
 			return append(runs[:i:i], runs[i+1:]...)
@@ -204,10 +205,10 @@
 	return runs
 }
 
-func (e *engine) settleLeaving() {
-	for key := range e.leaving {
+func (e *engine) finishEvictions() {
+	for key := range e.evicting {
 		if !e.uses(key) {
-			delete(e.leaving, key)
+			delete(e.evicting, key)
 			delete(e.held, key)
 		}
 	}
@@ -226,14 +227,14 @@
 	}
 	e.stepping = true
 	batch := append([]*run(nil), e.running...)
-	read := e.read(batch)
+	read := e.prefill(batch)
 	e.steps++
 	e.filled += len(batch)
-	e.w.clock.after(e.stepTime(batch, read), func() { e.step(batch) })
+	e.sim.clock.after(e.stepTime(batch, read), func() { e.step(batch) })
 }
 
-// read reads prompts, the earliest first, and gives the tokens that it read.
-func (e *engine) read(batch []*run) int {
+// prefill reads prompts, in batch order, and returns the number of tokens read.
+func (e *engine) prefill(batch []*run) int {
 	budget := e.cfg.Chunk
 	for _, r := range batch {
 		part := min(budget, r.unread)
@@ -253,7 +254,7 @@
 	return millis(ms)
 }
 
-// step ends a step: each request whose prompt is read has one more token.
+// step completes a step: each request whose prompt is read gains one token.
 func (e *engine) step(batch []*run) {
 	e.stepping = false
 	if e.gone || e.silent {
@@ -263,18 +264,18 @@
 		if r.unread > 0 || !e.runs(r) {
 			continue
 		}
-		r.made++
+		r.generated++
 		r.context++
-		r.left--
-		if r.made%e.cfg.Stride == 0 || r.left <= 0 {
+		r.remaining--
+		if r.generated%e.cfg.Stride == 0 || r.remaining <= 0 {
 			r.event()
 		}
-		if r.left <= 0 {
-			e.running = without(e.running, r)
+		if r.remaining <= 0 {
+			e.running = removeRun(e.running, r)
 			r.ended(true)
 		}
 	}
-	e.settleLeaving()
+	e.finishEvictions()
 	e.start()
 }
 
@@ -287,11 +288,11 @@
 	return false
 }
 
-// crash takes the engine away with all that it runs and holds.
+// crash removes the engine with everything that it runs and holds.
 func (e *engine) crash() {
 	e.gone = true
-	for _, f := range e.coming {
-		e.w.store.drop(f)
+	for _, f := range e.incoming {
+		e.sim.store.cancel(f)
 	}
 	lost := append(append([]*run(nil), e.running...), e.waiting...)
 	e.running, e.waiting = nil, nil
@@ -300,21 +301,21 @@
 	}
 }
 
-// engines implements adapters.Engines over the modelled ones.
-type engines struct{ w *world }
+// engineAPI implements adapters.Engines for the modelled engines.
+type engineAPI struct{ sim *simulation }
 
 // Order implements adapters.Engines.
-func (x engines) Order(_ context.Context, address string, order adapters.Order) (adapters.OrderAnswer, error) {
-	x.w.result.Orders++
-	if e := x.w.byAddress[address]; e != nil && e.runner.ID == order.Instance {
+func (x engineAPI) Order(_ context.Context, address string, order adapters.Order) (adapters.OrderAnswer, error) {
+	x.sim.result.Orders++
+	if e := x.sim.byAddress[address]; e != nil && e.runner.ID == order.Instance {
 		return adapters.OrderAnswer{Outcome: e.order(order)}, nil
 	}
 	return adapters.OrderAnswer{Outcome: adapters.OutcomeRejected}, nil
 }
 
 // Report implements adapters.Engines.
-func (x engines) Report(_ context.Context, address string) (adapters.Report, error) {
-	if e := x.w.byAddress[address]; e != nil {
+func (x engineAPI) Report(_ context.Context, address string) (adapters.Report, error) {
+	if e := x.sim.byAddress[address]; e != nil {
 		if report, ok := e.report(); ok {
 			return report, nil
 		}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -9,7 +9,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func play(t *testing.T, scenario string, policy Policy, change func(cfg *Config)) *Result {
+func runScenario(t *testing.T, scenario string, policy Policy, change func(cfg *Config)) *Result {
 	t.Helper()
 	cfg, err := Scenario(scenario)
 	must.NoError(t, err)
@@ -18,66 +18,66 @@
 	}
 	result, err := Run(cfg, policy)
 	must.NoError(t, err)
-	must.Eq(t, 0, result.Overfull, must.Sprint("a load beyond the places crashes the engine"))
-	t.Logf("worth %.3f, worst window %.3f, %d in time, %d late, %d refused, %d failed, %d fetches, %d copies, %.2f asks a request",
+	must.Eq(t, 0, result.Overfull, must.Sprint("a load beyond its places crashes an engine"))
+	t.Logf("worth %.3f, worst window %.3f, %d in time, %d late, %d refused, %d failed, %d fetches, %d copies, %.2f asks per request",
 		result.Whole.Share(), result.Worst(), result.Whole.InTime, result.Whole.Late, result.Whole.Refused, result.Whole.Failed,
 		result.Fetches, result.Copies, float64(result.Asks)/float64(result.Whole.Asked))
 	return result
 }
 
-// A calm day: next to all callers are served in time, and next to no adapter is
-// fetched to more runners than one.
+// On a calm day almost all callers are served in time, and almost no adapter is fetched to
+// more than one runner.
 func TestCalm(t *testing.T) {
-	r := play(t, "calm", Product, nil)
+	r := runScenario(t, "calm", Product, nil)
 	must.GreaterEq(t, 0.96, r.Whole.Share())
 	must.LessEq(t, r.Wanted/20, r.Copies)
 	must.LessEq(t, r.Whole.Asked/100, r.Whole.Refused+r.Whole.Failed)
 }
 
-// A burst of 1.8 times the load, two shifts of demand and two runners that crash,
-// with a weight store that is never idle: callers get nine tenths of what they are
-// owed, more than where homes do not know what lies elsewhere, by fewer fetches.
+// A burst of 1.8 times the load, two shifts of demand and two runners that crash, with a
+// weight store that is never idle. Callers get nine tenths of the possible worth, more than
+// if homes didn't know what other runners hold, and with fewer fetches.
 func TestBurst(t *testing.T) {
-	r := play(t, "kushiro", Product, nil)
+	r := runScenario(t, "kushiro", Product, nil)
 	must.GreaterEq(t, 0.86, r.Whole.Share())
-	without := play(t, "kushiro", Homeless, nil)
+	without := runScenario(t, "kushiro", WithoutHomes, nil)
 	must.Greater(t, without.Whole.Share(), r.Whole.Share())
 	must.Less(t, without.Copies*9/10, r.Copies)
 }
 
-// All hosts lose power for 1.2 s and know nothing when they are back. The adapters
-// still lie on the runners: from the second window on callers are served as before,
-// and nothing is fetched for a second time.
+// All hosts lose power for 1.2 s and restart without state, while the runners still hold the
+// adapters: from the second window on callers are served as before, and nothing is fetched
+// twice.
 func TestTotalLoss(t *testing.T) {
-	r := play(t, "total-loss", Product, nil)
+	r := runScenario(t, "total-loss", Product, nil)
 	for _, window := range r.Windows[6:] {
 		must.GreaterEq(t, 0.9, window.Share())
 	}
 	must.LessEq(t, r.Wanted/20, r.Copies)
 }
 
-// Two of nine runners show nothing for four seconds. They are avoided after the
-// first requests; a hundred of some 1,100 callers are not served in time at most.
+// Two of nine runners are unresponsive for four seconds. They are avoided after the first
+// requests, so at most a hundred of about 1,100 callers are not served in time.
 func TestSilentRunners(t *testing.T) {
-	r := play(t, "silent-runners", Product, nil)
+	r := runScenario(t, "silent-runners", Product, nil)
 	must.GreaterEq(t, 0.93, r.Whole.Share())
 	must.LessEq(t, 30, r.Whole.Failed)
 }
 
-// 88 hosts before 112 small runners, a quarter of which crashes while a burst is
-// near: nineteen twentieths are earned, and each request asks some two owners.
+// 88 hosts with 112 small runners, a quarter of which crash around a burst: nineteen
+// twentieths of the worth is earned, and a request asks about two owners.
 func TestGrown(t *testing.T) {
-	r := play(t, "kushiro-grown", Product, func(cfg *Config) { cfg.LengthS = 14 })
+	r := runScenario(t, "kushiro-grown", Product, func(cfg *Config) { cfg.LengthS = 14 })
 	must.GreaterEq(t, 0.93, r.Whole.Share())
 	must.LessEq(t, 2.5, float64(r.Asks)/float64(r.Whole.Asked))
 }
 
-// One of seven regions at the size to come, 66 hosts before 530 runners and 20,000
-// adapters, from a cold start. The first two seconds are lost to it: the most wanted
-// adapter needs 50 runners and 66 hosts have to find them. After that a request
-// costs what it does in a small fleet.
+// One of seven regions at its planned size, 66 hosts, 530 runners and 20,000 adapters, from a
+// cold start. The first two seconds are lost because the most popular adapter needs 50
+// runners, which 66 hosts have to find. After that a request costs as much as in a small
+// fleet.
 func TestRegionAtTheTargetSize(t *testing.T) {
-	r := play(t, "region", Product, func(cfg *Config) { cfg.LengthS = 8 })
+	r := runScenario(t, "region", Product, func(cfg *Config) { cfg.LengthS = 8 })
 	must.GreaterEq(t, 0.9, r.Windows[1].Share())
 	must.GreaterEq(t, 0.98, r.Windows[2].Share())
 	must.GreaterEq(t, 0.98, r.Windows[3].Share())
@@ -85,19 +85,19 @@
 	must.LessEq(t, r.Wanted/5, r.Copies)
 }
 
-// A run repeats to the last figure, so that two commits can be compared by one.
+// A run is exactly reproducible, so that one run each is enough to compare two commits.
 func TestRunsRepeat(t *testing.T) {
 	for _, scenario := range []string{"kushiro", "total-loss"} {
-		first := play(t, scenario, Product, func(cfg *Config) { cfg.LengthS = 10 })
-		must.Eq(t, first, play(t, scenario, Product, func(cfg *Config) { cfg.LengthS = 10 }))
+		first := runScenario(t, scenario, Product, func(cfg *Config) { cfg.LengthS = 10 })
+		must.Eq(t, first, runScenario(t, scenario, Product, func(cfg *Config) { cfg.LengthS = 10 }))
 	}
 }
 
-// The same requests come under every policy.
+// Every policy gets the same requests.
 func TestPoliciesMeetTheSameLoad(t *testing.T) {
 	var asked []int
 	for _, policy := range Policies() {
-		r := play(t, "calm", policy, func(cfg *Config) { cfg.LengthS = 6 })
+		r := runScenario(t, "calm", policy, func(cfg *Config) { cfg.LengthS = 6 })
 		for _, window := range r.Windows {
 			asked = append(asked, window.Asked)
 		}
@@ -129,7 +129,7 @@
 }
 
 func TestReport(t *testing.T) {
-	r := play(t, "calm", Product, func(cfg *Config) { cfg.LengthS = 4 })
+	r := runScenario(t, "calm", Product, func(cfg *Config) { cfg.LengthS = 4 })
 	var table bytes.Buffer
 	must.NoError(t, Write(&table, []*Result{r}))
 	must.StrContains(t, table.String(), "calm")
@@ -142,26 +142,26 @@
 
 func TestWeightStoreDividesItsRate(t *testing.T) {
 	c := &clock{}
-	s := &weightStore{clock: c, full: 2, load: 100 * 1e6}
+	s := &weightStore{clock: c, fullSpeed: 2, load: 100 * 1e6}
 	var done []int
 	for i := range 4 {
-		s.bring(func() { done = append(done, i) })
+		s.startFetch(func() { done = append(done, i) })
 	}
 	c.run(c.now.Add(199 * 1e6))
 	must.SliceEmpty(t, done)
 	c.run(c.now.Add(2 * 1e6))
 	must.SliceLen(t, 4, done)
-	s.bring(func() { done = append(done, 4) })
+	s.startFetch(func() { done = append(done, 4) })
 	c.run(c.now.Add(101 * 1e6))
 	must.SliceLen(t, 5, done)
 }
 
-// Twelve runners with five places each, a burst, shifts of demand, two runners that
-// crash. All places are in use now and then; an adapter that a runner held lately then
-// waits there, and is not fetched to another runner: with all such requests sent on,
-// 539 adapters were fetched for what 436 do.
+// Twelve runners with five places each, a burst, shifts of demand and two runners that crash.
+// All places are in use at times. A request for an adapter that a runner held recently then
+// waits for a place there, so that the adapter isn't fetched to another runner: when all such
+// requests were sent on, 539 adapters were fetched instead of 436.
 func TestFewPlaces(t *testing.T) {
-	r := play(t, "few-places", Product, nil)
+	r := runScenario(t, "few-places", Product, nil)
 	must.GreaterEq(t, 0.8, r.Whole.Share())
 	must.LessEq(t, 470, r.Fetches)
 }
--- a/internal/experiment/plot.go
+++ b/internal/experiment/plot.go
@@ -18,13 +18,13 @@
 )
 
 var colours = map[Policy]color.Color{
-	Product:   color.RGBA{R: 190, G: 30, B: 60, A: 255},
-	Homeless:  color.RGBA{R: 120, G: 120, B: 120, A: 255},
-	Reference: color.RGBA{R: 30, G: 90, B: 170, A: 255},
+	Product:      color.RGBA{R: 190, G: 30, B: 60, A: 255},
+	WithoutHomes: color.RGBA{R: 120, G: 120, B: 120, A: 255},
+	Reference:    color.RGBA{R: 30, G: 90, B: 170, A: 255},
 }
 
-// Plot draws the share of their worth that the requests of each window earned, a
-// line for each result, into a file whose name tells the format.
+// Plot draws the share of the possible worth that the requests of each window earned, one
+// line per result. The file's extension selects the format.
 func Plot(path string, results []*Result) error {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
--- a/internal/experiment/reference.go
+++ b/internal/experiment/reference.go
@@ -6,57 +6,57 @@
 	"github.com/cherrystage/cherrystage/internal/adapters"
 )
 
-// referencePause is how often the reference looks again for a place.
-const referencePause = 20 * time.Millisecond
+// referenceRetryInterval is how often the reference looks again for an engine.
+const referenceRetryInterval = 20 * time.Millisecond
 
-// placeByReference sends the request to the least busy engine that holds its
-// adapter, or has the least busy one load it, by what is so at this moment.
+// placeByReference sends the request to the least busy engine that holds its adapter, or has
+// the least busy one load it, based on the exact current state.
 func (r *request) placeByReference() {
-	if r.over {
+	if r.finished {
 		return
 	}
-	w := r.w
-	if r.within() <= 0 {
-		r.refuse()
+	sim := r.sim
+	if r.timeLeft() <= 0 {
+		r.retryOrRefuse()
 		return
 	}
-	if e := w.holder(r); e != nil {
-		at := e.pacer.Admit(r.prompt, w.clock.now)
-		w.clock.at(at, func() { r.send(e.runner) })
+	if e := sim.bestHolder(r); e != nil {
+		at := e.pacer.Admit(r.prompt, sim.clock.now)
+		sim.clock.at(at, func() { r.send(e.runner) })
 		return
 	}
-	if !w.onItsWay(r.key) {
-		w.loadByReference(r.key)
+	if !sim.isLoading(r.key) {
+		sim.loadByReference(r.key)
 	}
-	w.clock.after(referencePause, r.placeByReference)
+	sim.clock.after(referenceRetryInterval, r.placeByReference)
 }
 
-// holder gives the engine with the request's adapter and a free slot that would
-// begin its prompt first, the least busy of those.
-func (w *world) holder(r *request) *engine {
+// bestHolder returns the engine with the request's adapter and a free slot that would begin
+// its prompt first; among equals, the least busy one.
+func (sim *simulation) bestHolder(r *request) *engine {
 	var best *engine
 	var least time.Duration
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		if e.gone || e.silent || (r.key.Name != "" && !e.held[r.key]) || e.busy() >= e.cfg.Slots {
 			continue
 		}
-		wait := e.pacer.Wait(r.prompt, w.clock.now)
+		wait := e.pacer.Wait(r.prompt, sim.clock.now)
 		if best == nil || wait < least || (wait == least && e.busy() < best.busy()) {
 			best, least = e, wait
 		}
 	}
-	if best != nil && least > millis(r.kind.TargetMS)/2 && !w.onItsWay(r.key) {
-		// The adapter is wanted more than its engines can read prompts.
-		w.loadByReference(r.key)
+	if best != nil && least > millis(r.kind.TargetMS)/2 && !sim.isLoading(r.key) {
+		// Its engines cannot prefill prompts fast enough for the demand.
+		sim.loadByReference(r.key)
 	}
 	return best
 }
 
 func (e *engine) busy() int { return len(e.running) + len(e.waiting) }
 
-func (w *world) onItsWay(key adapters.Key) bool {
-	for _, e := range w.engines {
-		if e.coming[key] != nil {
+func (sim *simulation) isLoading(key adapters.Key) bool {
+	for _, e := range sim.engines {
+		if e.incoming[key] != nil {
 			return true
 		}
 	}
@@ -64,35 +64,35 @@
 }
 
 // loadByReference has the least busy engine with an idle place load an adapter.
-func (w *world) loadByReference(key adapters.Key) {
+func (sim *simulation) loadByReference(key adapters.Key) {
 	var best *engine
-	for _, e := range w.engines {
-		if e.gone || e.silent || e.held[key] || e.busy() >= e.cfg.Slots || len(e.coming) >= maxComing || !e.hasRoom() {
+	for _, e := range sim.engines {
+		if e.gone || e.silent || e.held[key] || e.busy() >= e.cfg.Slots || len(e.incoming) >= maxIncoming || !e.hasFreePlace() {
 			continue
 		}
-		if best == nil || e.busy()+len(e.coming) < best.busy()+len(best.coming) {
+		if best == nil || e.busy()+len(e.incoming) < best.busy()+len(best.incoming) {
 			best = e
 		}
 	}
 	if best == nil {
 		return
 	}
-	if len(best.held)+len(best.coming) >= best.cfg.Places {
+	if len(best.held)+len(best.incoming) >= best.cfg.Places {
 		delete(best.held, best.victim())
 	}
 	best.load(key)
 }
 
-func (e *engine) hasRoom() bool {
-	if len(e.held)+len(e.coming) < e.cfg.Places {
+func (e *engine) hasFreePlace() bool {
+	if len(e.held)+len(e.incoming) < e.cfg.Places {
 		return true
 	}
 	return e.victim() != (adapters.Key{})
 }
 
-// victim gives the idle adapter that was loaded longest ago.
+// victim returns the idle adapter that was loaded longest ago.
 func (e *engine) victim() adapters.Key {
-	for _, key := range e.memory {
+	for _, key := range e.cached {
 		if e.held[key] && !e.uses(key) {
 			return key
 		}
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Tally counts what became of requests.
+// Tally counts the outcomes of requests.
 type Tally struct {
 	Asked   int     `json:"asked"`
 	InTime  int     `json:"in_time"`
@@ -18,7 +18,7 @@
 	Earned  float64 `json:"earned"`
 }
 
-// Share gives the part of their worth that the requests earned.
+// Share returns the share of their possible worth that the requests earned.
 func (t Tally) Share() float64 {
 	if t.Owed == 0 {
 		return 1
@@ -29,29 +29,30 @@
 // windowLength is the length of the windows in which requests are counted.
 const windowLength = 2 * time.Second
 
-// Result is what a run showed.
+// Result is the outcome of a run.
 type Result struct {
 	Scenario string           `json:"scenario"`
 	Policy   Policy           `json:"policy"`
 	Seed     uint64           `json:"seed"`
 	Whole    Tally            `json:"whole"`
 	Kinds    map[string]Tally `json:"kinds"`
-	// Windows count requests by when they were first made.
+	// Windows count requests by the time at which they were first made.
 	Windows []Tally `json:"windows"`
-	// Fetches are loads from the weight store, Wanted the adapters that were
-	// fetched at all, Copies the runners beyond one that each was fetched to.
+	// Fetches counts loads from the weight store, Wanted the distinct adapters that were
+	// fetched, Copies the additional runners that adapters were fetched to, and Reloads
+	// the loads from an engine's cache.
 	Fetches int `json:"fetches"`
 	Wanted  int `json:"wanted"`
 	Copies  int `json:"copies"`
 	Reloads int `json:"reloads"`
 	Orders  int `json:"orders"`
-	// Asks are calls to owners, Told calls to homes, Refusals answers that tell a
-	// caller to come back, TurnedAway requests that an engine did not run.
+	// Asks counts calls to owners, Told calls to homes, Refusals answers that tell a caller
+	// to retry, and TurnedAway requests that an engine did not run.
 	Asks       int `json:"asks"`
 	Told       int `json:"told"`
 	Refusals   int `json:"refusals"`
 	TurnedAway int `json:"turned_away"`
-	// Overfull counts loads beyond an engine's places, which crash the real one.
+	// Overfull counts loads beyond an engine's places, which would crash a real engine.
 	Overfull int `json:"overfull"`
 	// Fill is the mean share of the slots in use, over all steps.
 	Fill float64 `json:"fill"`
@@ -61,28 +62,28 @@
 	return &Result{Scenario: cfg.Name, Policy: policy, Seed: cfg.Seed, Kinds: map[string]Tally{}}
 }
 
-func (r *Result) note(q *request, count func(t *Tally)) {
+func (r *Result) tally(q *request, count func(t *Tally)) {
 	count(&r.Whole)
 	kind := r.Kinds[q.kind.Name]
 	count(&kind)
 	r.Kinds[q.kind.Name] = kind
-	window := int(q.begun.Sub(q.w.started) / windowLength)
+	window := int(q.begun.Sub(q.sim.started) / windowLength)
 	for len(r.Windows) <= window {
 		r.Windows = append(r.Windows, Tally{})
 	}
 	count(&r.Windows[window])
 }
 
-func (r *Result) asked(q *request) {
-	r.note(q, func(t *Tally) {
+func (r *Result) countAsked(q *request) {
+	r.tally(q, func(t *Tally) {
 		t.Asked++
 		t.Owed += q.kind.Worth
 	})
 }
 
-func (r *Result) served(q *request) {
+func (r *Result) countServed(q *request) {
 	inTime := q.first.Sub(q.begun) <= millis(q.kind.TargetMS) && q.gap <= millis(q.kind.GapMS)
-	r.note(q, func(t *Tally) {
+	r.tally(q, func(t *Tally) {
 		if inTime {
 			t.InTime++
 			t.Earned += q.kind.Worth
@@ -93,25 +94,25 @@
 	})
 }
 
-func (r *Result) refused(q *request) { r.note(q, func(t *Tally) { t.Refused++ }) }
+func (r *Result) countRefused(q *request) { r.tally(q, func(t *Tally) { t.Refused++ }) }
 
-func (r *Result) failed(q *request) { r.note(q, func(t *Tally) { t.Failed++ }) }
+func (r *Result) countFailed(q *request) { r.tally(q, func(t *Tally) { t.Failed++ }) }
 
-func (r *Result) finish(w *world) {
-	r.Wanted = len(w.copies)
-	for _, on := range w.copies {
+func (r *Result) finish(sim *simulation) {
+	r.Wanted = len(sim.fetchedTo)
+	for _, on := range sim.fetchedTo {
 		r.Copies += len(on) - 1
 	}
 	steps, filled := 0, 0
-	for _, e := range w.engines {
+	for _, e := range sim.engines {
 		steps += e.steps
 		filled += e.filled
 	}
-	r.Fill = float64(filled) / float64(max(1, steps*w.cfg.Engines.Slots))
+	r.Fill = float64(filled) / float64(max(1, steps*sim.cfg.Engines.Slots))
 }
 
-// Worst gives the least share that a window with a twentieth of the mean number of
-// requests or more earned.
+// Worst returns the lowest share of any window that has at least a twentieth of the mean
+// number of requests.
 func (r *Result) Worst() float64 {
 	worst := 1.0
 	for _, window := range r.Windows {
--- a/internal/experiment/weightstore.go
+++ b/internal/experiment/weightstore.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// weightStore brings adapters. Beyond a number of loads at a time it divides its
+// weightStore models the weight store. Beyond a number of concurrent fetches it divides its
 // rate among them.
 type weightStore struct {
-	clock *clock
-	full  int
-	load  time.Duration
+	clock     *clock
+	fullSpeed int
+	load      time.Duration
 
 	active []*fetch
-	// at is up to when the progress of the active fetches is counted.
-	at time.Time
-	// generation makes an event that was planned before a change void.
+	// advancedTo is the time up to which the progress of active fetches is counted.
+	advancedTo time.Time
+	// generation invalidates an event that was scheduled before a change.
 	generation int
 }
 
@@ -22,20 +22,20 @@
 	done func()
 }
 
-// bring begins a fetch.
-func (s *weightStore) bring(done func()) *fetch {
+// startFetch starts a startFetch.
+func (s *weightStore) startFetch(done func()) *fetch {
 	s.advance()
 	f := &fetch{left: s.load, done: done}
 	s.active = append(s.active, f)
-	s.plan()
+	s.scheduleNext()
 	return f
 }
 
-// drop gives a fetch up.
-func (s *weightStore) drop(f *fetch) {
+// cancel aborts a fetch.
+func (s *weightStore) cancel(f *fetch) {
 	s.advance()
 	s.remove(f)
-	s.plan()
+	s.scheduleNext()
 }
 
 func (s *weightStore) remove(f *fetch) {
@@ -48,22 +48,22 @@
 }
 
 func (s *weightStore) rate() float64 {
-	if len(s.active) <= s.full {
+	if len(s.active) <= s.fullSpeed {
 		return 1
 	}
-	return float64(s.full) / float64(len(s.active))
+	return float64(s.fullSpeed) / float64(len(s.active))
 }
 
 func (s *weightStore) advance() {
-	passed := time.Duration(float64(s.clock.now.Sub(s.at)) * s.rate())
-	s.at = s.clock.now
+	passed := time.Duration(float64(s.clock.now.Sub(s.advancedTo)) * s.rate())
+	s.advancedTo = s.clock.now
 	for _, f := range s.active {
 		f.left -= passed
 	}
 }
 
-// plan sets the time at which the next fetch is over.
-func (s *weightStore) plan() {
+// scheduleNext schedules the completion of the next fetch.
+func (s *weightStore) scheduleNext() {
 	s.generation++
 	if len(s.active) == 0 {
 		return
@@ -82,7 +82,7 @@
 		}
 		s.advance()
 		s.remove(first)
-		s.plan()
+		s.scheduleNext()
 		first.done()
 	})
 }
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -17,70 +17,70 @@
 	"github.com/pkg/errors"
 )
 
-// Policy says who decides.
+// Policy selects who decides where requests go.
 type Policy string
 
-// Policies.
+// The policies.
 const (
-	// Product is the product's decisions.
+	// Product is the product's own code.
 	Product Policy = "product"
-	// Homeless is the product's without homes that know of replicas: each owner
-	// for itself.
-	Homeless Policy = "homeless"
-	// Reference knows all engines at every moment and asks nobody.
+	// WithoutHomes is the product's own code without homes that know replicas: each owner
+	// decides alone.
+	WithoutHomes Policy = "homeless"
+	// Reference knows the state of all engines at any time, without communication.
 	Reference Policy = "reference"
 )
 
-// Policies gives all of them.
-func Policies() []Policy { return []Policy{Product, Homeless, Reference} }
+// Policies returns all policies.
+func Policies() []Policy { return []Policy{Product, WithoutHomes, Reference} }
 
 const (
 	modelName = "base"
-	// orderWay is what an order and its answer take.
-	orderWay = 3 * time.Millisecond
-	// toldAfter is how long after a request's end its engine's owner hears of it.
-	toldAfter = 100 * time.Millisecond
-	// suspectsTold is how often hosts tell each other which runners they avoid.
-	suspectsTold = 300 * time.Millisecond
-	// wakeUp is the time that passes on the fleet's lead before the load begins.
-	wakeUp = time.Second
+	// orderRoundTrip is the time that an order and its answer take.
+	orderRoundTrip = 3 * time.Millisecond
+	// endReportDelay is the time from a request's end until the engine's owner hears of it.
+	endReportDelay = 100 * time.Millisecond
+	// suspicionInterval is how often hosts tell each other which runners they avoid.
+	suspicionInterval = 300 * time.Millisecond
+	// warmUp is the time for which the controllers run before the load begins.
+	warmUp = time.Second
 )
 
-var errNoAnswer = errors.New("the engine does not answer")
+var errNoAnswer = errors.New("no answer from the engine")
 
-// world is one run.
-type world struct {
+// simulation is one run.
+type simulation struct {
 	cfg    Config
 	policy Policy
-	// demand draws the load and faults the troubles, both the same for every
-	// policy; rng draws the rest.
-	demand, faults, rng *rand.Rand
+	// demand draws the load and faults the faults, both the same for every policy; choices
+	// draws everything else.
+	demand, faults, choices *rand.Rand
 
 	clock  *clock
 	store  *weightStore
 	result *Result
 
-	hosts     []*host
-	engines   []*engine
-	byAddress map[string]*engine
-	byID      map[string]*engine
-	runners   []*site.Runner
-	keepers   map[string]*keeper
-	// orders of runners by adapter, until the runners change.
+	hosts       []*host
+	engines     []*engine
+	byAddress   map[string]*engine
+	byID        map[string]*engine
+	runners     []*site.Runner
+	controllers map[string]*controller
+	// ranked caches the order of runners by key until the runners change.
 	ranked map[string][]*site.Runner
-	// load counts the requests that owners admitted to each runner and that have
-	// not ended, as far as the owners know.
+	// load counts the requests that owners have admitted to each runner and that, as far as
+	// the owners know, have not ended.
 	load map[string]int
-	// owners is what owners believe of the runners' health, times what each host
-	// has learnt of loads.
-	owners *board.Board
-	times  map[string]*adapters.LoadTimes
-	copies map[adapters.Key]map[string]bool
-	// wanted maps ranks of popularity to adapters.
-	wanted  []int
-	lives   int
-	started time.Time
-	down    bool
+	// ownerBoard is the owners' view of the runners' health; loadTimes is what each host has
+	// learnt about load times.
+	ownerBoard *board.Board
+	loadTimes  map[string]*adapters.LoadTimes
+	fetchedTo  map[adapters.Key]map[string]bool
+	// popularity maps popularity ranks to adapters.
+	popularity []int
+	instances  int
+	started    time.Time
+	hostsDown  bool
 }
 
 type host struct {
@@ -91,26 +91,26 @@
 	budget  *retrybudget.Budget
 }
 
-// keeper is a runner's keeper and when it works next.
-type keeper struct {
+// controller is a runner's controller and the generation of its next scheduled step.
+type controller struct {
 	*adapters.Controller
 	centre     string
 	generation int
 }
 
-// Run plays a configuration.
+// Run simulates a configuration under a policy.
 func Run(cfg Config, policy Policy) (*Result, error) {
 	if err := cfg.Check(); err != nil {
 		return nil, err
 	}
-	w := newWorld(cfg, policy)
-	w.plan()
-	end := w.started.Add(seconds(cfg.LengthS))
-	w.clock.run(end)
-	// Whoever asked in time gets an answer.
-	w.clock.run(end.Add(seconds(longestDeadline(cfg))))
-	w.result.finish(w)
-	return w.result, nil
+	sim := newSimulation(cfg, policy)
+	sim.schedule()
+	end := sim.started.Add(seconds(cfg.LengthS))
+	sim.clock.run(end)
+	// Requests made before the end may still be answered.
+	sim.clock.run(end.Add(seconds(longestDeadline(cfg))))
+	sim.result.finish(sim)
+	return sim.result, nil
 }
 
 func longestDeadline(cfg Config) float64 {
@@ -121,300 +121,301 @@
 	return longest
 }
 
-func newWorld(cfg Config, policy Policy) *world {
+func newSimulation(cfg Config, policy Policy) *simulation {
 	epoch := time.Unix(0, 0)
-	w := &world{
+	sim := &simulation{
 		cfg: cfg, policy: policy, clock: &clock{now: epoch},
-		demand: rand.New(rand.NewPCG(cfg.Seed, 1)), faults: rand.New(rand.NewPCG(cfg.Seed, 2)), rng: rand.New(rand.NewPCG(cfg.Seed, 3)),
-		byAddress: map[string]*engine{}, byID: map[string]*engine{}, keepers: map[string]*keeper{},
-		ranked: map[string][]*site.Runner{}, load: map[string]int{}, owners: board.New(), times: map[string]*adapters.LoadTimes{},
-		copies: map[adapters.Key]map[string]bool{}, started: epoch.Add(wakeUp),
+		demand: rand.New(rand.NewPCG(cfg.Seed, 1)), faults: rand.New(rand.NewPCG(cfg.Seed, 2)), choices: rand.New(rand.NewPCG(cfg.Seed, 3)),
+		byAddress: map[string]*engine{}, byID: map[string]*engine{}, controllers: map[string]*controller{},
+		ranked: map[string][]*site.Runner{}, load: map[string]int{}, ownerBoard: board.New(), loadTimes: map[string]*adapters.LoadTimes{},
+		fetchedTo: map[adapters.Key]map[string]bool{}, started: epoch.Add(warmUp),
 	}
-	w.result = newResult(cfg, policy)
-	w.store = &weightStore{clock: w.clock, full: cfg.Store.Full, load: millis(cfg.Store.LoadMS), at: epoch}
+	sim.result = newResult(cfg, policy)
+	sim.store = &weightStore{clock: sim.clock, fullSpeed: cfg.Store.Full, load: millis(cfg.Store.LoadMS), advancedTo: epoch}
 	for i := range cfg.Hosts {
-		h := &host{name: fmt.Sprintf("h%d", i), centre: w.centre(i), board: board.New()}
-		w.hosts = append(w.hosts, h)
+		h := &host{name: fmt.Sprintf("h%d", i), centre: sim.dataCentre(i), board: board.New()}
+		sim.hosts = append(sim.hosts, h)
 	}
-	w.startHosts()
+	sim.startHosts()
 	for i := range cfg.Engines.Count {
-		w.addEngine(fmt.Sprintf("e%d:1", i), w.centre(i))
+		sim.addEngine(fmt.Sprintf("e%d:1", i), sim.dataCentre(i))
 	}
-	w.wanted = make([]int, cfg.Demand.Adapters)
-	for i := range w.wanted {
-		w.wanted[i] = i
+	sim.popularity = make([]int, cfg.Demand.Adapters)
+	for i := range sim.popularity {
+		sim.popularity[i] = i
 	}
-	w.demand.Shuffle(len(w.wanted), func(i, j int) { w.wanted[i], w.wanted[j] = w.wanted[j], w.wanted[i] })
-	return w
+	sim.demand.Shuffle(len(sim.popularity), func(i, j int) { sim.popularity[i], sim.popularity[j] = sim.popularity[j], sim.popularity[i] })
+	return sim
 }
 
-func (w *world) centre(i int) string { return fmt.Sprintf("c%d", i%w.cfg.DataCentres) }
+func (sim *simulation) dataCentre(i int) string { return fmt.Sprintf("c%d", i%sim.cfg.DataCentres) }
 
-// startHosts gives hosts nothing to remember.
-func (w *world) startHosts() {
-	limit := retrybudget.Limit{Ratio: w.cfg.Retries.Ratio, Slack: w.cfg.Retries.Slack, Window: seconds(w.cfg.Retries.WindowS)}
-	for _, h := range w.hosts {
+// startHosts gives every host an empty state.
+func (sim *simulation) startHosts() {
+	limit := retrybudget.Limit{Ratio: sim.cfg.Retries.Ratio, Slack: sim.cfg.Retries.Slack, Window: seconds(sim.cfg.Retries.WindowS)}
+	for _, h := range sim.hosts {
 		h.spreads = placing.NewSpreadEstimator()
 		h.board = board.New()
-		h.budget = retrybudget.New(limit, w.clock.now)
+		h.budget = retrybudget.New(limit, sim.clock.now)
 	}
 }
 
-func (w *world) addEngine(address, centre string) {
-	w.lives++
-	id := fmt.Sprintf("i%d", w.lives)
-	runner := &site.Runner{ID: id, Instance: id, Address: address, DataCentre: centre, Slots: w.cfg.Engines.Slots}
-	e := newEngine(w, w.cfg.Engines, runner)
-	w.engines = append(w.engines, e)
-	w.byAddress[address] = e
-	w.byID[runner.ID] = e
-	w.listRunners()
-	w.keep(runner)
+func (sim *simulation) addEngine(address, centre string) {
+	sim.instances++
+	id := fmt.Sprintf("i%d", sim.instances)
+	runner := &site.Runner{ID: id, Instance: id, Address: address, DataCentre: centre, Slots: sim.cfg.Engines.Slots}
+	e := newEngine(sim, sim.cfg.Engines, runner)
+	sim.engines = append(sim.engines, e)
+	sim.byAddress[address] = e
+	sim.byID[runner.ID] = e
+	sim.listRunners()
+	sim.startController(runner)
 }
 
-// listRunners takes the runners that are there over.
-func (w *world) listRunners() {
-	w.runners = w.runners[:0:0]
-	for _, e := range w.engines {
+// listRunners updates the list of runners to the engines that are present.
+func (sim *simulation) listRunners() {
+	sim.runners = sim.runners[:0:0]
+	for _, e := range sim.engines {
 		if !e.gone {
-			w.runners = append(w.runners, e.runner)
+			sim.runners = append(sim.runners, e.runner)
 		}
 	}
-	w.ranked = map[string][]*site.Runner{}
+	sim.ranked = map[string][]*site.Runner{}
 }
 
-func (w *world) order(key string) []*site.Runner {
-	if known := w.ranked[key]; known != nil {
+func (sim *simulation) rankRunners(key string) []*site.Runner {
+	if known := sim.ranked[key]; known != nil {
 		return known
 	}
-	byAddress := make(map[string]*site.Runner, len(w.runners))
-	addresses := make([]string, 0, len(w.runners))
-	for _, runner := range w.runners {
+	byAddress := make(map[string]*site.Runner, len(sim.runners))
+	addresses := make([]string, 0, len(sim.runners))
+	for _, runner := range sim.runners {
 		byAddress[runner.Address] = runner
 		addresses = append(addresses, runner.Address)
 	}
-	sorted := make([]*site.Runner, 0, len(w.runners))
+	sorted := make([]*site.Runner, 0, len(sim.runners))
 	for _, address := range fleet.Rank(key, addresses) {
 		sorted = append(sorted, byAddress[address])
 	}
-	w.ranked[key] = sorted
+	sim.ranked[key] = sorted
 	return sorted
 }
 
-// always implements adapters.Authority: who owns a runner is not played here.
-type always struct{}
+// soleOwner implements adapters.Authority: the ownership of runners is not simulated.
+type soleOwner struct{}
 
-func (always) MayOrder(string, time.Time) (uint64, bool) { return 1, true }
+func (soleOwner) MayOrder(string, time.Time) (uint64, bool) { return 1, true }
 
-// keep begins the work of a runner's owner.
-func (w *world) keep(runner *site.Runner) {
-	if w.policy == Reference {
+// startController starts the controller of a runner's owner.
+func (sim *simulation) startController(runner *site.Runner) {
+	if sim.policy == Reference {
 		return
 	}
-	spec := adapters.Spec{Model: site.Model{Name: modelName}, Capacity: w.cfg.Engines.Places, LoadsPerSecond: w.cfg.Store.LoadsPerS}
-	k := &keeper{centre: runner.DataCentre, Controller: adapters.NewController(runner, spec, adapters.ControllerDeps{
+	spec := adapters.Spec{Model: site.Model{Name: modelName}, Capacity: sim.cfg.Engines.Places, LoadsPerSecond: sim.cfg.Store.LoadsPerS}
+	k := &controller{centre: runner.DataCentre, Controller: adapters.NewController(runner, spec, adapters.ControllerDeps{
 		OnSignal: func(string, *board.Signal) {},
-		Holder:   "owner", Engines: engines{w}, Authority: always{}, Times: w.timesOf(runner), StoreLoad: w.crowd, RunnerView: w.view, Utilization: w.share, TypicalPrefill: unknown,
-		ModelLoads: adapters.NewModelLoadLimiter(adapters.ModelLoadLimit{}), HostCount: func() int { return w.cfg.Hosts },
-		Now: func() time.Time { return w.clock.now }, Log: hclog.NewNullLogger(),
+		Holder:   "owner", Engines: engineAPI{sim}, Authority: soleOwner{}, Times: sim.timesOf(runner), StoreLoad: sim.storeLoad, RunnerView: sim.view, Utilization: sim.utilization, TypicalPrefill: unknownPrefill,
+		ModelLoads: adapters.NewModelLoadLimiter(adapters.ModelLoadLimit{}), HostCount: func() int { return sim.cfg.Hosts },
+		Now: func() time.Time { return sim.clock.now }, Log: hclog.NewNullLogger(),
 	})}
-	w.keepers[runner.ID] = k
-	w.wake(k, 0)
+	sim.controllers[runner.ID] = k
+	sim.scheduleStep(k, 0)
 }
 
-// timesOf gives what the owner of a runner has learnt.
-func (w *world) timesOf(runner *site.Runner) *adapters.LoadTimes {
+// timesOf returns what the owner of a runner has learnt about load times.
+func (sim *simulation) timesOf(runner *site.Runner) *adapters.LoadTimes {
 	var near []string
-	for _, h := range w.hosts {
+	for _, h := range sim.hosts {
 		if h.centre == runner.DataCentre {
 			near = append(near, h.name)
 		}
 	}
 	owner := fleet.First(runner.Address, near)
-	if w.times[owner] == nil {
-		w.times[owner] = adapters.NewLoadTimes()
+	if sim.loadTimes[owner] == nil {
+		sim.loadTimes[owner] = adapters.NewLoadTimes()
 	}
-	return w.times[owner]
+	return sim.loadTimes[owner]
 }
 
-// wake has a keeper work after a pause, and not when it would have otherwise.
-func (w *world) wake(k *keeper, pause time.Duration) {
+// scheduleStep schedules a controller's next step after a pause, in place of the one that was
+// scheduled before.
+func (sim *simulation) scheduleStep(k *controller, pause time.Duration) {
 	k.generation++
 	generation := k.generation
-	w.clock.after(pause, func() {
+	sim.clock.after(pause, func() {
 		if k.generation != generation {
 			return
 		}
-		orders := w.result.Orders
+		orders := sim.result.Orders
 		pause := k.Step(context.Background())
-		if w.result.Orders != orders {
-			pause = max(pause, orderWay)
+		if sim.result.Orders != orders {
+			pause = max(pause, orderRoundTrip)
 		}
-		w.wake(k, max(pause, time.Microsecond))
+		sim.scheduleStep(k, max(pause, time.Microsecond))
 	})
 }
 
-// unknown leaves out how fast runners read: they are all alike here.
-func unknown() float64 { return 0 }
+// unknownPrefill gives no typical prefill rate: all runners are alike here.
+func unknownPrefill() float64 { return 0 }
 
-func (w *world) crowd() adapters.StoreLoad {
-	share := adapters.FetchCapacityPerRunner(w.cfg.Store.LoadsPerS, len(w.runners))
-	return adapters.StoreLoad{Fetches: len(w.store.active), Capacity: share * float64(len(w.runners)), PerRunner: share}
+func (sim *simulation) storeLoad() adapters.StoreLoad {
+	share := adapters.FetchCapacityPerRunner(sim.cfg.Store.LoadsPerS, len(sim.runners))
+	return adapters.StoreLoad{Fetches: len(sim.store.active), Capacity: share * float64(len(sim.runners)), PerRunner: share}
 }
 
-// view is what an owner believes of a runner.
-func (w *world) view(runner string, now time.Time) board.View {
-	view := w.owners.View(runner, now)
-	view.Load = w.load[runner]
+// view returns the owners' view of a runner.
+func (sim *simulation) view(runner string, now time.Time) board.View {
+	view := sim.ownerBoard.View(runner, now)
+	view.Load = sim.load[runner]
 	return view
 }
 
-func (w *world) share() float64 {
+func (sim *simulation) utilization() float64 {
 	total := 0
-	for _, runner := range w.runners {
-		total += w.load[runner.ID]
+	for _, runner := range sim.runners {
+		total += sim.load[runner.ID]
 	}
-	return float64(total) / float64(max(1, len(w.runners)*w.cfg.Engines.Slots))
+	return float64(total) / float64(max(1, len(sim.runners)*sim.cfg.Engines.Slots))
 }
 
-func (w *world) fetched(runner string, key adapters.Key) {
-	w.result.Fetches++
-	on := w.copies[key]
-	if on == nil {
-		on = map[string]bool{}
-		w.copies[key] = on
+func (sim *simulation) recordFetch(runner string, key adapters.Key) {
+	sim.result.Fetches++
+	runners := sim.fetchedTo[key]
+	if runners == nil {
+		runners = map[string]bool{}
+		sim.fetchedTo[key] = runners
 	}
-	on[runner] = true
+	runners[runner] = true
 }
 
-// plan plans the load and the troubles.
-func (w *world) plan() {
-	w.clock.at(w.started, func() {
-		for i := range w.cfg.Kinds {
-			w.arrive(&w.cfg.Kinds[i])
+// schedule schedules the load and the faults.
+func (sim *simulation) schedule() {
+	sim.clock.at(sim.started, func() {
+		for i := range sim.cfg.Kinds {
+			sim.generate(&sim.cfg.Kinds[i])
 		}
 	})
-	for _, shift := range w.cfg.Shifts {
-		w.clock.at(w.started.Add(seconds(shift.AtS)), func() { w.shift(shift.Count) })
+	for _, shift := range sim.cfg.Shifts {
+		sim.clock.at(sim.started.Add(seconds(shift.AtS)), func() { sim.shift(shift.Count) })
 	}
-	for _, crash := range w.cfg.Crashes {
-		w.clock.at(w.started.Add(seconds(crash.AtS)), func() { w.crash(crash) })
+	for _, crash := range sim.cfg.Crashes {
+		sim.clock.at(sim.started.Add(seconds(crash.AtS)), func() { sim.crashEngines(crash) })
 	}
-	for _, silence := range w.cfg.Silences {
-		w.clock.at(w.started.Add(seconds(silence.AtS)), func() { w.silence(silence) })
+	for _, silence := range sim.cfg.Silences {
+		sim.clock.at(sim.started.Add(seconds(silence.AtS)), func() { sim.silenceEngines(silence) })
 	}
-	for _, loss := range w.cfg.Losses {
-		w.clock.at(w.started.Add(seconds(loss.AtS)), func() { w.lose(loss) })
+	for _, loss := range sim.cfg.Losses {
+		sim.clock.at(sim.started.Add(seconds(loss.AtS)), func() { sim.stopHosts(loss) })
 	}
-	w.clock.after(suspectsTold, w.tellSuspects)
+	sim.clock.after(suspicionInterval, sim.shareSuspicions)
 }
 
-// shift exchanges the most wanted adapters for others.
-func (w *world) shift(count int) {
-	for i := range min(count, len(w.wanted)) {
-		j := w.faults.IntN(len(w.wanted))
-		w.wanted[i], w.wanted[j] = w.wanted[j], w.wanted[i]
+// shift exchanges the most popular adapters with random others.
+func (sim *simulation) shift(count int) {
+	for i := range min(count, len(sim.popularity)) {
+		j := sim.faults.IntN(len(sim.popularity))
+		sim.popularity[i], sim.popularity[j] = sim.popularity[j], sim.popularity[i]
 	}
 }
 
-// some draws a share of the engines that are there, one at least.
-func (w *world) some(share float64) []*engine {
-	var there []*engine
-	for _, e := range w.engines {
+// drawEngines draws a share of the engines that are present, at least one.
+func (sim *simulation) drawEngines(share float64) []*engine {
+	var present []*engine
+	for _, e := range sim.engines {
 		if !e.gone {
-			there = append(there, e)
+			present = append(present, e)
 		}
 	}
-	w.faults.Shuffle(len(there), func(i, j int) { there[i], there[j] = there[j], there[i] })
-	count := max(1, int(math.Round(share*float64(len(there)))))
-	return there[:min(count, len(there))]
+	sim.faults.Shuffle(len(present), func(i, j int) { present[i], present[j] = present[j], present[i] })
+	count := max(1, int(math.Round(share*float64(len(present)))))
+	return present[:min(count, len(present))]
 }
 
-func (w *world) crash(fault FaultConfig) {
-	for _, e := range w.some(fault.Share) {
+func (sim *simulation) crashEngines(fault FaultConfig) {
+	for _, e := range sim.drawEngines(fault.Share) {
 		e.crash()
-		w.forget(e.runner.ID)
-		w.clock.after(seconds(fault.ForS), func() { w.addEngine(e.runner.Address, e.runner.DataCentre) })
+		sim.removeInstance(e.runner.ID)
+		sim.clock.after(seconds(fault.ForS), func() { sim.addEngine(e.runner.Address, e.runner.DataCentre) })
 	}
-	w.listRunners()
+	sim.listRunners()
 }
 
-// forget drops a runner's lifetime.
-func (w *world) forget(runner string) {
-	if k := w.keepers[runner]; k != nil {
+// removeInstance removes a runner's instance and tells the other controllers.
+func (sim *simulation) removeInstance(runner string) {
+	if k := sim.controllers[runner]; k != nil {
 		k.generation++
-		delete(w.keepers, runner)
+		delete(sim.controllers, runner)
 	}
-	for _, k := range w.keepers {
+	for _, k := range sim.controllers {
 		k.RunnerRemoved(runner)
 	}
-	delete(w.load, runner)
+	delete(sim.load, runner)
 }
 
-func (w *world) silence(fault FaultConfig) {
-	for _, e := range w.some(fault.Share) {
+func (sim *simulation) silenceEngines(fault FaultConfig) {
+	for _, e := range sim.drawEngines(fault.Share) {
 		e.silent = true
-		w.clock.after(seconds(fault.ForS), func() {
+		sim.clock.after(seconds(fault.ForS), func() {
 			e.silent = false
 			e.start()
 		})
 	}
 }
 
-// lose stops all hosts and starts them again with nothing.
-func (w *world) lose(fault FaultConfig) {
-	w.down = true
-	for _, e := range w.engines {
+// stopHosts stops all hosts and later restarts them without any state.
+func (sim *simulation) stopHosts(fault FaultConfig) {
+	sim.hostsDown = true
+	for _, e := range sim.engines {
 		for _, r := range append(append([]*run(nil), e.running...), e.waiting...) {
 			r.ended(false)
 		}
 		e.running, e.waiting = nil, nil
-		e.settleLeaving()
+		e.finishEvictions()
 	}
-	w.clock.after(seconds(fault.ForS), func() {
-		w.down = false
-		w.startHosts()
-		w.owners = board.New()
-		w.times = map[string]*adapters.LoadTimes{}
-		w.load = map[string]int{}
-		for _, runner := range w.runners {
-			w.forget(runner.ID)
-			w.keep(runner)
+	sim.clock.after(seconds(fault.ForS), func() {
+		sim.hostsDown = false
+		sim.startHosts()
+		sim.ownerBoard = board.New()
+		sim.loadTimes = map[string]*adapters.LoadTimes{}
+		sim.load = map[string]int{}
+		for _, runner := range sim.runners {
+			sim.removeInstance(runner.ID)
+			sim.startController(runner)
 		}
-		w.clock.after(rehomedAfter, w.rehome)
+		sim.clock.after(rehomeDelay, sim.rehome)
 	})
 }
 
-// rehomedAfter is when homes have been told what lies on other runners.
-const rehomedAfter = time.Second
+// rehomeDelay is the time from a restart of all hosts until homes know what other runners hold.
+const rehomeDelay = time.Second
 
-// rehome tells homes what lies on other runners.
-func (w *world) rehome() {
-	if w.policy != Product {
+// rehome tells homes which of their adapters other runners hold.
+func (sim *simulation) rehome() {
+	if sim.policy != Product {
 		return
 	}
-	for _, runner := range w.runners {
-		for key := range w.byID[runner.ID].held {
-			if home := w.order(key.PlacementKey())[0]; home != runner {
-				w.keepers[home.ID].AddReplica(key, runner.ID)
+	for _, runner := range sim.runners {
+		for key := range sim.byID[runner.ID].held {
+			if home := sim.rankRunners(key.PlacementKey())[0]; home != runner {
+				sim.controllers[home.ID].AddReplica(key, runner.ID)
 			}
 		}
 	}
 }
 
-func (w *world) tellSuspects() {
-	for _, h := range w.hosts {
-		for runner, left := range h.board.Suspects(w.clock.now) {
-			w.owners.MergePeerSuspicion(runner, left, w.clock.now)
+func (sim *simulation) shareSuspicions() {
+	for _, h := range sim.hosts {
+		for runner, left := range h.board.Suspects(sim.clock.now) {
+			sim.ownerBoard.MergePeerSuspicion(runner, left, sim.clock.now)
 		}
 	}
-	w.clock.after(suspectsTold, w.tellSuspects)
+	sim.clock.after(suspicionInterval, sim.shareSuspicions)
 }
 
-// way is what a message takes between two data centres.
-func (w *world) way(from, to string) time.Duration {
+// latency returns the one-way latency between two data centres.
+func (sim *simulation) latency(from, to string) time.Duration {
 	if from == to {
-		return millis(w.cfg.LocalMS)
+		return millis(sim.cfg.LocalMS)
 	}
-	return millis(w.cfg.FarMS)
+	return millis(sim.cfg.FarMS)
 }
