--- a/internal/standin/cmd/standins/main.go
+++ b/internal/standin/cmd/standins/main.go
@@ -1,5 +1,5 @@
-// Command standins plays the platform and a few engines in one process, for
-// trying several entry hosts before them on one machine.
+// Command standins runs stand-ins for the platform and a few engines in one process,
+// for trying out several entry hosts on one machine.
 package main
 
 import (
@@ -46,7 +46,7 @@
 		}
 		return standin.Loopback(name)
 	}
-	world, err := standin.NewEnvironment(standin.EnvironmentConfig{
+	env, err := standin.NewEnvironment(standin.EnvironmentConfig{
 		Runners: opts.Runners, Unfenced: opts.Unfenced, Slots: opts.Slots, MaxBatch: opts.MaxBatch,
 		TokenTime: opts.TokenTime, LoadTime: opts.LoadTime, ReportLag: opts.ReportLag, ParallelLoads: opts.Parallel,
 		Base: "base", DataCentre: "local", Service: "dispatch-api",
@@ -54,22 +54,22 @@
 	if err != nil {
 		return err
 	}
-	defer world.Close()
+	defer env.Close()
 	for _, entry := range opts.Entries {
 		parts := strings.SplitN(entry, "=", 3)
 		if len(parts) != 3 {
 			return fmt.Errorf("--entry %q: want ID=DC=HOST:PORT", entry)
 		}
-		world.AddEntry(parts[0], parts[1], parts[2])
+		env.AddEntry(parts[0], parts[1], parts[2])
 	}
-	fmt.Println("platform at", world.Address)
+	fmt.Println("platform at", env.Address)
 	stop := make(chan os.Signal, 1)
 	signal.Notify(stop, os.Interrupt, syscall.SIGTERM)
 	<-stop
-	broken := 0
-	for _, e := range world.Engines {
-		broken += e.Counts().EvictedInUse
+	evictedInUse := 0
+	for _, e := range env.Engines {
+		evictedInUse += e.Counts().EvictedInUse
 	}
-	fmt.Println("evicted in use:", broken)
+	fmt.Println("evicted in use:", evictedInUse)
 	return nil
 }
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -12,7 +12,7 @@
 	"github.com/cherrystage/cherrystage/internal/engine"
 )
 
-// EngineConfig sets how a stand-in engine behaves.
+// EngineConfig configures a stand-in engine.
 type EngineConfig struct {
 	ID          string
 	Slots       int
@@ -27,7 +27,7 @@
 	FailingModels map[string]bool
 }
 
-// Engine plays a model engine. It counts broken promises for the tests.
+// Engine is a stand-in for a model engine. It counts protocol violations for the tests.
 type Engine struct {
 	cfg EngineConfig
 
@@ -41,14 +41,15 @@
 	faults   Faults
 	counts   Counts
 	runs     map[string]int
-	// running requests over time, for the mean fill of the steps that were run.
+	// running counts the running requests and runningAt is when it last changed; busy
+	// and work are what BatchUtilization is computed from.
 	running    int
 	runningAt  time.Time
 	busy, work time.Duration
 }
 
-// BatchUtilization gives the mean share of the batch that was used, over the time in which
-// the engine ran at all.
+// BatchUtilization returns the time during which any request was running, and the mean
+// share of the batch in use during it.
 func (e *Engine) BatchUtilization() (busy time.Duration, fill float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -70,18 +71,19 @@
 	e.runningAt = now
 }
 
-// Faults switches an engine's misbehaviour.
+// Faults are the faults that an engine injects.
 type Faults struct {
-	WrongName    bool // answers under another adapter's name
-	ResetAt      int  // cuts the connection before this piece, when above zero
-	SilentAt     int  // stops writing at this piece until resumed, when above zero
-	Shuffle      bool // sends pieces out of order and twice
-	RefuseNotRun int  // refuses so many requests as not run
-	Fail500      int  // fails so many requests with status 500
+	WrongName    bool // answers with another adapter's name
+	ResetAt      int  // resets the connection before this event, if above zero
+	SilentAt     int  // stops writing at this event until resumed, if above zero
+	Shuffle      bool // sends events out of order and repeats some
+	RefuseNotRun int  // number of requests to refuse as not run
+	Fail500      int  // number of requests to fail with status 500
 	HoldOrder    func(order engine.Order)
 }
 
-// Counts tells what an engine saw.
+// Counts holds an engine's counters. EvictedInUse counts evictions of adapters with running
+// requests, NoSlot loads that found no free slot.
 type Counts struct {
 	Requests, Cancels, Resumes, Loads, Evictions, StaleOrders int
 	EvictedInUse, NoSlot                                      int
@@ -106,14 +108,14 @@
 	report engine.Report
 }
 
-// NewEngine makes an engine with empty slots.
+// NewEngine returns an engine with empty slots.
 func NewEngine(cfg EngineConfig) *Engine {
 	e := &Engine{cfg: cfg, runs: map[string]int{}}
 	e.Restart()
 	return e
 }
 
-// Restart empties the engine as a cold start does.
+// Restart simulates a cold start: the engine has a new boot identifier and empty slots.
 func (e *Engine) Restart() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -130,28 +132,28 @@
 	e.faults = faults
 }
 
-// Counts gives what the engine saw so far.
+// Counts returns the engine's counters.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.counts
 }
 
-// Runs tells how often a caller's request was begun here.
+// Runs returns how often the engine began a caller's request.
 func (e *Engine) Runs(request string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.runs[request]
 }
 
-// ResidentCount gives the number of slots that hold a model.
+// ResidentCount returns the number of slots that hold or are loading a model.
 func (e *Engine) ResidentCount() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.resident)
 }
 
-// Resident tells whether a model is loaded.
+// Resident reports whether a model is loaded.
 func (e *Engine) Resident(model string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -183,19 +185,19 @@
 func (e *Engine) complete(w http.ResponseWriter, r *http.Request) {
 	var req completionRequest
 	if err := json.NewDecoder(r.Body).Decode(&req); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", "not a completion request", true)
+		writeError(w, http.StatusBadRequest, "bad_request", "not a completion request", true)
 		return
 	}
-	if status, code := e.refusal(req.Model); status != 0 {
-		refuse(w, status, code, req.Model, status != http.StatusInternalServerError)
+	if status, code := e.checkRequest(req.Model); status != 0 {
+		writeError(w, status, code, req.Model, status != http.StatusInternalServerError)
 		return
 	}
-	st := e.begin(r, req)
-	defer e.end(st)
-	e.write(w, r, st, 0)
+	st := e.startStream(r, req)
+	defer e.endStream(st)
+	e.writeEvents(w, r, st, 0)
 }
 
-func (e *Engine) refusal(model string) (int, string) {
+func (e *Engine) checkRequest(model string) (int, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.counts.Requests++
@@ -213,7 +215,7 @@
 	return 0, ""
 }
 
-func (e *Engine) begin(r *http.Request, req completionRequest) *stream {
+func (e *Engine) startStream(r *http.Request, req completionRequest) *stream {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	tokens := req.MaxTokens
@@ -234,9 +236,9 @@
 	return st
 }
 
-// end leaves the stream's record, so that it can be resumed, and frees its
-// place in the batch.
-func (e *Engine) end(st *stream) {
+// endStream frees the stream's place in the batch. The stream is kept so that it can be
+// resumed.
+func (e *Engine) endStream(st *stream) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.accountLocked(-1)
@@ -245,14 +247,14 @@
 	}
 }
 
-func (e *Engine) write(w http.ResponseWriter, r *http.Request, st *stream, from int) {
+func (e *Engine) writeEvents(w http.ResponseWriter, r *http.Request, st *stream, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher, _ := w.(http.Flusher)
 	e.mu.Lock()
 	faults := e.faults
 	e.mu.Unlock()
-	for _, position := range order(from, st.tokens, faults.Shuffle) {
-		if !e.waitFor(r, st, position) {
+	for _, position := range eventOrder(from, st.tokens, faults.Shuffle) {
+		if !e.waitUntilDue(r, st, position) {
 			return
 		}
 		if faults.ResetAt > 0 && position == faults.ResetAt && from == 0 {
@@ -262,13 +264,13 @@
 			<-r.Context().Done()
 			return
 		}
-		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", position, e.piece(st, position, faults.WrongName))
+		_, _ = fmt.Fprintf(w, "id: %d\ndata: %s\n\n", position, e.eventData(st, position, faults.WrongName))
 		flusher.Flush()
 	}
 	_, _ = fmt.Fprintf(w, "id: %d\ndata: [DONE]\n\n", st.tokens)
 }
 
-func (e *Engine) waitFor(r *http.Request, st *stream, position int) bool {
+func (e *Engine) waitUntilDue(r *http.Request, st *stream, position int) bool {
 	due := st.started.Add(time.Duration(position+1) * e.cfg.TokenTime)
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
@@ -282,9 +284,9 @@
 	}
 }
 
-// order gives the positions to write; shuffled, every second pair is swapped
-// and its first piece sent twice.
-func order(from, to int, shuffle bool) []int {
+// eventOrder returns the positions of the events to write. With shuffle, the events of each
+// pair are swapped and the later one is sent twice.
+func eventOrder(from, to int, shuffle bool) []int {
 	var positions []int
 	for position := from; position < to; position++ {
 		positions = append(positions, position)
@@ -303,7 +305,7 @@
 	return shuffled
 }
 
-func (e *Engine) piece(st *stream, position int, wrongName bool) string {
+func (e *Engine) eventData(st *stream, position int, wrongName bool) string {
 	model := st.model
 	if wrongName {
 		model = "someone-else@1"
@@ -330,7 +332,7 @@
 	}
 	e.mu.Unlock()
 	if st == nil {
-		refuse(w, http.StatusNotFound, "unknown_stream", id, false)
+		writeError(w, http.StatusNotFound, "unknown_stream", id, false)
 		return
 	}
 	if r.Method == http.MethodDelete {
@@ -338,13 +340,13 @@
 		return
 	}
 	from, _ := strconv.Atoi(r.URL.Query().Get("from"))
-	e.write(w, r, st, from)
+	e.writeEvents(w, r, st, from)
 }
 
 func (e *Engine) order(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
-		refuse(w, http.StatusBadRequest, "bad_request", "not an order", true)
+		writeError(w, http.StatusBadRequest, "bad_request", "not an order", true)
 		return
 	}
 	e.mu.Lock()
@@ -353,18 +355,18 @@
 	if hold != nil {
 		hold(order)
 	}
-	status, code := e.take(order)
+	status, code := e.applyOrder(order)
 	if code == "" && order.Kind == engine.OrderLoad {
 		status, code = e.load(order.Model)
 	}
 	if code != "" {
-		refuse(w, status, code, order.Model, true)
+		writeError(w, status, code, order.Model, true)
 		return
 	}
 	writeJSON(w, http.StatusOK, order)
 }
 
-func (e *Engine) take(order engine.Order) (int, string) {
+func (e *Engine) applyOrder(order engine.Order) (int, string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.cfg.ChecksFence && order.Fence < e.fence {
@@ -415,7 +417,7 @@
 	return http.StatusOK, ""
 }
 
-// report gives the newest report that is at least the lag old.
+// report returns the newest report that is at least ReportLag old, or the oldest one.
 func (e *Engine) report(now time.Time) engine.Report {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -453,7 +455,7 @@
 	return report
 }
 
-func refuse(w http.ResponseWriter, status int, code, message string, notRun bool) {
+func writeError(w http.ResponseWriter, status int, code, message string, notRun bool) {
 	if notRun {
 		w.Header().Set(engine.HeaderNotRun, "true")
 	}
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// Links are the bandwidths of hosts' own links. A piece that goes between two hosts takes
-// its turn on both, behind what went before it. Hosts without a bandwidth send at once.
-// They are safe for concurrent use.
+// Links simulates the bandwidth of each host's network link. Data between two hosts is
+// queued on both links in the order in which it was sent. Hosts without a bandwidth are
+// unlimited. Links is safe for concurrent use.
 type Links struct {
 	now func() time.Time
 
 	mu sync.Mutex
-	// bytesPerSecond of each host's link, the same in each direction.
+	// bytesPerSecond is the bandwidth of each host's link, in each direction.
 	bytesPerSecond map[string]float64
-	// free is when each direction of a link is free again.
+	// free is when each direction of a link becomes idle.
 	free map[direction]time.Time
 }
 
@@ -23,12 +23,12 @@
 	out  bool
 }
 
-// NewLinks makes links without bounds.
+// NewLinks returns links of unlimited bandwidth.
 func NewLinks(now func() time.Time) *Links {
 	return &Links{now: now, bytesPerSecond: map[string]float64{}, free: map[direction]time.Time{}}
 }
 
-// bitsPerByte converts the bandwidths that deployments give.
+// bitsPerByte converts bandwidths, which are given in bits.
 const bitsPerByte = 8
 
 // SetBandwidth sets the bandwidth of a host's link in Mbit/s.
@@ -38,10 +38,11 @@
 	l.bytesPerSecond[host] = mbps * 1e6 / bitsPerByte
 }
 
-// piece is how much of a message is sent at a time, so that connections share a link.
+// piece is the size in bytes into which writes are split, so that connections share a link.
 const piece = 4 << 10
 
-// Reserve reserves the way of some bytes and gives how long they take to arrive.
+// Reserve reserves the links between two hosts for a number of bytes and returns the time
+// until they arrive.
 func (l *Links) Reserve(from, to string, bytes int) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -53,17 +54,18 @@
 	return arrived.Sub(now)
 }
 
-// reserveDirection gives when the bytes have passed one direction of a link; the lock is held.
-func (l *Links) reserveDirection(way direction, now time.Time, bytes int) time.Time {
-	rate, limited := l.bytesPerSecond[way.host]
+// reserveDirection reserves one direction of a link and returns when the bytes have passed
+// it. The caller holds the lock.
+func (l *Links) reserveDirection(dir direction, now time.Time, bytes int) time.Time {
+	rate, limited := l.bytesPerSecond[dir.host]
 	if !limited {
 		return now
 	}
 	begin := now
-	if free := l.free[way]; free.After(begin) {
+	if free := l.free[dir]; free.After(begin) {
 		begin = free
 	}
 	end := begin.Add(time.Duration(float64(bytes) / rate * float64(time.Second)))
-	l.free[way] = end
+	l.free[dir] = end
 	return end
 }
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -9,34 +9,34 @@
 	"time"
 )
 
-// Network is a network in memory between named hosts, for tests in virtual
-// time. Hosts can be cut off from each other, and open connections can be made
-// to go silent while new ones work.
+// Network is an in-memory network between named hosts, for tests in virtual time. Hosts
+// can be partitioned, and open connections can be made to drop all data while new ones
+// work.
 type Network struct {
 	mu        sync.Mutex
 	listeners map[string]*memListener
 	conns     map[*memConn]struct{}
 	cut       map[[2]string]bool
 	closed    bool
-	// Links bound what hosts send and get.
+	// Links limits the bandwidth of hosts.
 	Links *Links
 }
 
-// NewNetwork makes a network without hosts.
+// NewNetwork returns a network without listeners.
 func NewNetwork() *Network {
 	return &Network{listeners: map[string]*memListener{}, conns: map[*memConn]struct{}{}, cut: map[[2]string]bool{}, Links: NewLinks(time.Now)}
 }
 
-// HostNet is the network as one host uses it.
+// HostNet is the network as seen by one host.
 type HostNet struct {
 	network *Network
 	host    string
 }
 
-// Host gives the network as a host uses it.
+// Host returns the network as seen by a host.
 func (n *Network) Host(name string) *HostNet { return &HostNet{network: n, host: name} }
 
-// Listen listens on the host's only address of a port.
+// Listen listens on a port of the host's only address.
 func (h *HostNet) Listen(port string) (net.Listener, error) {
 	h.network.mu.Lock()
 	defer h.network.mu.Unlock()
@@ -80,7 +80,7 @@
 	return host
 }
 
-// add keeps a connection's ends, unless the network is closed.
+// add registers a connection's ends. It returns false if the network is closed.
 func (n *Network) add(conns ...*memConn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -97,8 +97,8 @@
 	return n.cut[[2]string{a, b}] || n.cut[[2]string{b, a}] || n.cut[[2]string{a, "*"}] || n.cut[[2]string{b, "*"}]
 }
 
-// Partition breaks the connections between two hosts and lets none be made; "*"
-// stands for every other host.
+// Partition closes the connections between two hosts and refuses new ones; "*" stands
+// for every other host.
 func (n *Network) Partition(a, b string) {
 	n.mu.Lock()
 	n.cut[[2]string{a, b}] = true
@@ -106,8 +106,8 @@
 	n.each(a, b, func(conn *memConn) { _ = conn.Close() })
 }
 
-// KillHost ends a host's process: its own ends of connections are closed, so that the other
-// ends read their end, and none can be made until Mend(host, "*").
+// KillHost simulates the end of a host's process: its ends of connections are closed, so
+// that the other ends read EOF, and new ones are refused until Heal(host, "*").
 func (n *Network) KillHost(host string) {
 	n.mu.Lock()
 	n.cut[[2]string{host, "*"}] = true
@@ -119,15 +119,15 @@
 	})
 }
 
-// Heal undoes Cut and End.
+// Heal undoes Partition and KillHost: new connections work again.
 func (n *Network) Heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cut, [2]string{a, b})
 }
 
-// Blackhole makes the open connections between two hosts carry nothing any
-// more, without either end noticing. New connections work.
+// Blackhole makes the open connections between two hosts drop all data without either end
+// noticing. New connections work.
 func (n *Network) Blackhole(a, b string) {
 	n.each(a, b, func(conn *memConn) { conn.silence() })
 }
@@ -146,7 +146,7 @@
 	}
 }
 
-// Close breaks every connection and lets none be made any more.
+// Close closes every connection and refuses new ones.
 func (n *Network) Close() {
 	n.mu.Lock()
 	n.closed = true
@@ -202,13 +202,14 @@
 
 	mu     sync.Mutex
 	silent bool
-	// queue is what waits for a link; travelling says that it is being delivered.
-	queue      []travelling
-	travelling bool
+	// queue holds pieces that wait for a link, which deliver sends while delivering is
+	// set.
+	queue      []queuedPiece
+	delivering bool
 }
 
-// travelling is a piece on its way.
-type travelling struct {
+// queuedPiece is data in transit.
+type queuedPiece struct {
 	data    []byte
 	arrives time.Time
 }
@@ -222,7 +223,7 @@
 	c.mu.Lock()
 	c.silent = true
 	c.mu.Unlock()
-	// A write under way waits for a reader that will never come: it ends here.
+	// A pending write would wait forever for a reader: the deadline ends it.
 	_ = c.Conn.SetWriteDeadline(time.Now())
 }
 
@@ -248,7 +249,7 @@
 	if c.isSilent() {
 		return len(data), nil
 	}
-	if c.travel(data) {
+	if c.enqueue(data) {
 		return len(data), nil
 	}
 	n, err := c.Conn.Write(data)
@@ -258,9 +259,9 @@
 	return n, err
 }
 
-// travel queues what has to wait for a link, and says whether it did. The writer goes on:
-// a sender's buffers take what its link does not.
-func (c *memConn) travel(data []byte) bool {
+// enqueue queues data that has to wait for a link and reports whether it did. The writer
+// isn't blocked, as if the sender's socket buffer were unlimited.
+func (c *memConn) enqueue(data []byte) bool {
 	to := c.ends[0]
 	if to == c.owner {
 		to = c.ends[1]
@@ -268,23 +269,24 @@
 	takes := c.network.Links.Reserve(c.owner, to, len(data))
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if takes <= 0 && !c.travelling {
+	if takes <= 0 && !c.delivering {
 		return false
 	}
-	c.queue = append(c.queue, travelling{data: bytes.Clone(data), arrives: time.Now().Add(takes)})
-	if !c.travelling {
-		c.travelling = true
+	c.queue = append(c.queue, queuedPiece{data: bytes.Clone(data), arrives: time.Now().Add(takes)})
+	if !c.delivering {
+		c.delivering = true
 		go c.deliver()
 	}
 	return true
 }
 
-// deliver hands on what has passed the links, in order, until nothing is under way.
+// deliver writes queued pieces in order, each once it has passed the links, until the queue
+// is empty.
 func (c *memConn) deliver() {
 	for {
 		c.mu.Lock()
 		if len(c.queue) == 0 {
-			c.travelling = false
+			c.delivering = false
 			c.mu.Unlock()
 			return
 		}
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -1,7 +1,6 @@
-// Package standin holds small stand-ins for what the project runs beside: the
-// platform (object API, host list, weight store), model engines and plain
-// services, and a network in memory that can be cut. They serve tests, the
-// first tries of a newcomer, and nothing else.
+// Package standin provides small fakes of the project's dependencies: the platform
+// (object API, host list, weight store), model engines and plain services, and an
+// in-memory network with faults. They are meant for tests and local trials only.
 package standin
 
 import (
@@ -24,57 +23,57 @@
 	maxWatchWait = time.Minute
 )
 
-// Platform plays the object API and the host list. Faults are switched by its
-// methods.
+// Platform is a stand-in for the object API and the host list, with methods that inject
+// faults.
 type Platform struct {
-	mu       sync.Mutex
-	version  objectapi.Version
-	objects  map[string]objectapi.Object
-	events   []objectapi.Event
-	changed  chan struct{}
-	hosts    fleet.List
-	down     bool
-	muteWait bool
-	loseNext int
-	calls    int
-	writes   int
-	loadRate float64
+	mu            sync.Mutex
+	version       objectapi.Version
+	objects       map[string]objectapi.Object
+	events        []objectapi.Event
+	changed       chan struct{}
+	hosts         fleet.List
+	down          bool
+	muteWatches   bool
+	dropResponses int
+	calls         int
+	writes        int
+	loadRate      float64
 }
 
-// NewPlatform makes an empty platform.
+// NewPlatform returns an empty platform.
 func NewPlatform() *Platform {
 	return &Platform{objects: map[string]objectapi.Object{}, changed: make(chan struct{})}
 }
 
-// SetDown switches an outage of the object API on or off.
+// SetDown starts or ends an outage of the object API.
 func (p *Platform) SetDown(down bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.down = down
 }
 
-// MuteWatches makes watches wait their time and tell nothing.
+// MuteWatches makes watches wait until their timeout and return no events.
 func (p *Platform) MuteWatches(silent bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.muteWait = silent
+	p.muteWatches = silent
 }
 
-// DropResponses lets the next n writes take effect and loses their answers.
+// DropResponses makes the next n writes take effect but aborts their responses.
 func (p *Platform) DropResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loseNext = n
+	p.dropResponses = n
 }
 
-// Calls gives the calls taken and, of these, the writes.
+// Calls returns the number of calls to the object API and, of these, the writes.
 func (p *Platform) Calls() (calls, writes int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.calls, p.writes
 }
 
-// SetHost adds a host to the list or changes it.
+// SetHost adds a host to the host list or replaces its entry.
 func (p *Platform) SetHost(host fleet.Host) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -83,7 +82,7 @@
 	p.hosts.Version++
 }
 
-// RemoveHost takes a host off the list.
+// RemoveHost removes a host from the host list.
 func (p *Platform) RemoveHost(id string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +122,7 @@
 	}
 }
 
-// SetLoadRate sets the loads a second that the weight store says it allows.
+// SetLoadRate sets the number of loads per second that the weight store allows.
 func (p *Platform) SetLoadRate(perSecond float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -206,8 +205,8 @@
 		p.objects[key] = objectapi.Object{Key: key, Version: p.version, Value: value}
 	}
 	p.recordLocked(objectapi.Event{Key: key, Version: p.version, Deleted: deleted})
-	if p.loseNext > 0 {
-		p.loseNext--
+	if p.dropResponses > 0 {
+		p.dropResponses--
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set("ETag", etag(p.version))
@@ -272,7 +271,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	changes := objectapi.Changes{Version: p.version}
-	if p.muteWait {
+	if p.muteWatches {
 		changes.Version = after
 		return changes, p.changed
 	}
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// WeightStore plays the weight store: it remembers when loads began and slows
-// those beyond the number that it serves at full speed.
+// WeightStore is a stand-in for the weight store: it records when loads began, and slows
+// them down when there are more than it serves at full speed.
 type WeightStore struct {
 	mu       sync.Mutex
 	parallel int
@@ -16,19 +16,19 @@
 	starts   []time.Time
 }
 
-// NewWeightStore makes a store that serves so many loads at full speed at a time.
+// NewWeightStore returns a store that serves up to parallel concurrent loads at full speed.
 func NewWeightStore(parallel int) *WeightStore {
 	return &WeightStore{parallel: parallel, slowdown: 1}
 }
 
-// SetSlowdown makes every load take so many times as long.
+// SetSlowdown multiplies the time that every load takes.
 func (s *WeightStore) SetSlowdown(times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowdown = times
 }
 
-// LoadStarts gives the times at which loads began.
+// LoadStarts returns the times at which loads began.
 func (s *WeightStore) LoadStarts() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -41,30 +41,30 @@
 	s.active++
 	factor := s.slowdown * max(1, (s.active+s.parallel-1)/s.parallel)
 	s.mu.Unlock()
-	// A load goes on when its asker has given up, as on a real engine.
+	// A load continues after its requester gave up, as on a real engine.
 	time.Sleep(duration * time.Duration(factor))
 	s.mu.Lock()
 	s.active--
 	s.mu.Unlock()
 }
 
-// Service plays a plain service that counts what it ran.
+// Service is a stand-in for a plain service; it counts the requests that it ran.
 type Service struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewService makes a plain service.
+// NewService returns a plain service.
 func NewService() *Service { return &Service{runs: map[string]int{}} }
 
-// Runs tells how often a body was run.
+// Runs returns how often a request was run, by its X-Cherrystage-Request header.
 func (s *Service) Runs(request string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[request]
 }
 
-// ServeHTTP implements http.Handler: it answers with the path it was called on.
+// ServeHTTP implements http.Handler: it answers with the request's path and method.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.runs[r.Header.Get("X-Cherrystage-Request")]++
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// EnvironmentConfig sets a small world of stand-ins.
+// EnvironmentConfig configures an Environment.
 type EnvironmentConfig struct {
 	Runners       int
 	Slots         int
@@ -21,13 +21,13 @@
 	ParallelLoads int
 	Base          string
 	DataCentre    string
-	// Unfenced is the number of runners that ignore fencing numbers.
+	// Unfenced is the number of runners that don't check fencing numbers.
 	Unfenced int
 	Service  string
 }
 
-// Environment is a platform with runners and a plain service that listen on
-// loopback.
+// Environment is a stand-in platform with runners and a plain service, each with its own
+// listener.
 type Environment struct {
 	Platform    *Platform
 	WeightStore *WeightStore
@@ -37,77 +37,77 @@
 	servers     []*http.Server
 }
 
-// defaultTokens is the length of a stand-in's answer where none is asked for.
+// defaultTokens is the length of an engine's answer if the request sets none.
 const defaultTokens = 16
 
-// Listen opens a listener for a stand-in.
+// Listen opens the listener of a stand-in, by its name.
 type Listen func(name string) (net.Listener, error)
 
-// Loopback listens on a free port of this machine.
+// Loopback listens on a free port of the loopback interface.
 func Loopback(string) (net.Listener, error) { return net.Listen("tcp", "127.0.0.1:0") }
 
-// NewEnvironment starts a world. listen opens one listener for each part.
+// NewEnvironment starts the stand-ins; listen opens one listener for each.
 func NewEnvironment(cfg EnvironmentConfig, listen Listen) (*Environment, error) {
-	w := &Environment{Platform: NewPlatform(), WeightStore: NewWeightStore(max(1, cfg.ParallelLoads)), Service: NewService()}
-	address, err := w.serve("platform", w.Platform, listen)
+	env := &Environment{Platform: NewPlatform(), WeightStore: NewWeightStore(max(1, cfg.ParallelLoads)), Service: NewService()}
+	address, err := env.serve("platform", env.Platform, listen)
 	if err != nil {
 		return nil, err
 	}
-	w.Address = address
+	env.Address = address
 	for i := range cfg.Runners {
-		if err := w.addRunner(cfg, i, listen); err != nil {
+		if err := env.addRunner(cfg, i, listen); err != nil {
 			return nil, err
 		}
 	}
 	if cfg.Service == "" {
-		return w, nil
+		return env, nil
 	}
-	address, err = w.serve(cfg.Service, w.Service, listen)
+	address, err = env.serve(cfg.Service, env.Service, listen)
 	if err != nil {
 		return nil, err
 	}
-	w.Platform.SetHost(fleet.Host{ID: cfg.Service + "-1", Role: fleet.RoleService, State: fleet.StateLive, DataCentre: cfg.DataCentre, Address: address, Service: cfg.Service})
-	return w, nil
+	env.Platform.SetHost(fleet.Host{ID: cfg.Service + "-1", Role: fleet.RoleService, State: fleet.StateLive, DataCentre: cfg.DataCentre, Address: address, Service: cfg.Service})
+	return env, nil
 }
 
-func (w *Environment) addRunner(cfg EnvironmentConfig, index int, listen Listen) error {
+func (env *Environment) addRunner(cfg EnvironmentConfig, index int, listen Listen) error {
 	id := fmt.Sprintf("runner-%d", index+1)
 	fenced := index >= cfg.Unfenced
 	e := NewEngine(EngineConfig{
 		ID: id, Slots: cfg.Slots, MaxBatch: cfg.MaxBatch, TokenTime: cfg.TokenTime, LoadTime: cfg.LoadTime,
-		ReportLag: cfg.ReportLag, ChecksFence: fenced, Tokens: defaultTokens, WeightStore: w.WeightStore, FailingModels: map[string]bool{},
+		ReportLag: cfg.ReportLag, ChecksFence: fenced, Tokens: defaultTokens, WeightStore: env.WeightStore, FailingModels: map[string]bool{},
 	})
-	address, err := w.serve(id, e, listen)
+	address, err := env.serve(id, e, listen)
 	if err != nil {
 		return err
 	}
-	w.Engines = append(w.Engines, e)
-	w.Platform.SetHost(fleet.Host{
+	env.Engines = append(env.Engines, e)
+	env.Platform.SetHost(fleet.Host{
 		ID: id, Role: fleet.RoleRunner, State: fleet.StateLive, DataCentre: cfg.DataCentre,
 		Address: address, Base: cfg.Base, ChecksFence: fenced,
 	})
 	return nil
 }
 
-func (w *Environment) serve(name string, handler http.Handler, listen Listen) (string, error) {
+func (env *Environment) serve(name string, handler http.Handler, listen Listen) (string, error) {
 	listener, err := listen(name)
 	if err != nil {
 		return "", errors.Wrap(err, name)
 	}
 	server := &http.Server{Handler: handler, ReadHeaderTimeout: time.Minute}
-	w.servers = append(w.servers, server)
+	env.servers = append(env.servers, server)
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
 }
 
-// AddEntry lists an entry host.
-func (w *Environment) AddEntry(id, dataCentre, peerAddress string) {
-	w.Platform.SetHost(fleet.Host{ID: id, Role: fleet.RoleEntry, State: fleet.StateLive, DataCentre: dataCentre, Address: peerAddress})
+// AddEntry adds an entry host to the host list.
+func (env *Environment) AddEntry(id, dataCentre, peerAddress string) {
+	env.Platform.SetHost(fleet.Host{ID: id, Role: fleet.RoleEntry, State: fleet.StateLive, DataCentre: dataCentre, Address: peerAddress})
 }
 
-// Engine gives a runner's engine by its identifier.
-func (w *Environment) Engine(id string) *Engine {
-	for _, e := range w.Engines {
+// Engine returns a runner's engine by its identifier, or nil.
+func (env *Environment) Engine(id string) *Engine {
+	for _, e := range env.Engines {
 		if e.cfg.ID == id {
 			return e
 		}
@@ -115,9 +115,9 @@
 	return nil
 }
 
-// Close ends the world.
-func (w *Environment) Close() {
-	for _, server := range w.servers {
+// Close stops all servers.
+func (env *Environment) Close() {
+	for _, server := range env.servers {
 		_ = server.Close()
 	}
 }
