--- a/internal/measure/chaos.sh
+++ b/internal/measure/chaos.sh
@@ -1,8 +1,8 @@
 #!/usr/bin/env bash
-# Eight entry hosts as processes before stand-ins, half of whose engines ignore
-# fencing numbers. While requests go on, one host is killed, one is paused for
-# longer than a lease, and both come back. At the end the stand-ins say how often
-# an adapter in use was evicted. Takes about a minute and a half; loopback only.
+# Runs eight entry host processes with stand-ins; half of the engines don't check
+# fencing numbers. Under load, one host is killed and two are paused, at least one of
+# them for longer than a lease; all come back. At the end the stand-ins print how often
+# an adapter in use was evicted. Takes about a minute and a half; uses loopback only.
 set -euo pipefail
 cd "$(dirname "$0")/../.."
 work=$(mktemp -d)
@@ -45,7 +45,7 @@
 "$work/cherryctl" apply "$work/inventory.json" > /dev/null
 "$work/cherryctl" wait 1
 
-ask() { # client number: asks for ever new adapters until the time is up
+ask() { # client number: requests changing adapters for 60 seconds
   local end=$((SECONDS + 60)) n=0 ok=0 failed=0
   while [ "$SECONDS" -lt "$end" ]; do
     n=$((n + 1))
@@ -69,14 +69,14 @@
 sleep 16
 kill -CONT "${pids[e3]}"
 start 2
-echo "e3 goes on, e2 started again"
+echo "e3 resumed, e2 restarted"
 sleep 12
 kill -STOP "${pids[e5]}"
 sleep 9
 kill -CONT "${pids[e5]}"
 for c in "${clients[@]}"; do wait "$c"; done
 "$work/cherryctl" status | head -24
-cat "$work"/client* | awk '{ok += $1; failed += $2} END {print ok " whole answers, " failed " not"}'
+cat "$work"/client* | awk '{ok += $1; failed += $2} END {print ok " complete answers, " failed " failed"}'
 kill -TERM "${pids[standins]}"
 sleep 1
 cat "$work/standins.log"
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -1,6 +1,5 @@
-// Command measure asks running processes for the figures in
-// docs/MEASUREMENTS.md. It sends to loopback only, and a bounded number of
-// requests.
+// Command measure takes the measurements in docs/MEASUREMENTS.md from running
+// processes. It sends a bounded number of requests, to loopback addresses only.
 package main
 
 import (
@@ -62,58 +61,58 @@
 	}
 	switch {
 	case opts.Changes > 0:
-		return changes(opts)
+		return measureChanges(opts)
 	case opts.Streams > 0:
-		return streams(opts)
+		return measureStreams(opts)
 	default:
-		return latency(opts)
+		return measureLatency(opts)
 	}
 }
 
-// latency compares the time to the first byte through the entry host with the
-// engine asked directly, in turn, in one run.
-func latency(opts options) error {
-	through := opts.target(opts.Entry, opts.Model)
-	direct := opts.target(opts.Engine, opts.Model+"@"+opts.Version)
+// measureLatency compares the time to the first byte through the entry host with that of
+// the engine called directly, one run after the other.
+func measureLatency(opts options) error {
+	through := opts.endpoint(opts.Entry, opts.Model)
+	direct := opts.endpoint(opts.Engine, opts.Model+"@"+opts.Version)
 	if _, err := through.ask(); err != nil {
 		return err
 	}
 	before := cpuSeconds(opts.PID)
-	throughTimes, err := through.many(opts.Requests, opts.Parallel)
+	throughTimes, err := through.askAll(opts.Requests, opts.Parallel)
 	if err != nil {
 		return err
 	}
 	cpu := cpuSeconds(opts.PID) - before
-	directTimes, err := direct.many(opts.Requests, opts.Parallel)
+	directTimes, err := direct.askAll(opts.Requests, opts.Parallel)
 	if err != nil {
 		return err
 	}
 	fmt.Printf("first byte through the host: p50 %s p99 %s; direct: p50 %s p99 %s; added p50 %s p99 %s\n",
-		at(throughTimes, 0.5), at(throughTimes, 0.99), at(directTimes, 0.5), at(directTimes, 0.99),
-		at(throughTimes, 0.5)-at(directTimes, 0.5), at(throughTimes, 0.99)-at(directTimes, 0.99))
+		percentile(throughTimes, 0.5), percentile(throughTimes, 0.99), percentile(directTimes, 0.5), percentile(directTimes, 0.99),
+		percentile(throughTimes, 0.5)-percentile(directTimes, 0.5), percentile(throughTimes, 0.99)-percentile(directTimes, 0.99))
 	fmt.Printf("processor time: %.0f µs a request of %d pieces\n", cpu/float64(opts.Requests)*1e6, opts.Pieces)
 	return nil
 }
 
-func at(times []time.Duration, q float64) time.Duration {
+func percentile(times []time.Duration, q float64) time.Duration {
 	return times[min(len(times)-1, int(q*float64(len(times))))].Round(time.Microsecond)
 }
 
-// target is where requests go.
-type target struct {
+// endpoint is an address that requests are sent to.
+type endpoint struct {
 	url, key, body string
 	client         *http.Client
 }
 
-func (o options) target(address, model string) target {
-	return target{
+func (o options) endpoint(address, model string) endpoint {
+	return endpoint{
 		url: "http://" + address + "/v1/completions", key: o.Key,
 		body:   fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":%d}`, model, o.Pieces),
 		client: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}},
 	}
 }
 
-func (t target) open() (*http.Response, error) {
+func (t endpoint) open() (*http.Response, error) {
 	req, err := http.NewRequestWithContext(context.Background(), http.MethodPost, t.url, bytes.NewReader([]byte(t.body)))
 	if err != nil {
 		return nil, errors.Wrap(err, "request")
@@ -127,8 +126,8 @@
 	return resp, errors.Wrap(err, t.url)
 }
 
-// ask sends one request and gives the time to its first byte.
-func (t target) ask() (time.Duration, error) {
+// ask sends one request and returns the time to its first byte.
+func (t endpoint) ask() (time.Duration, error) {
 	sent := time.Now()
 	resp, err := t.open()
 	if err != nil {
@@ -144,7 +143,7 @@
 	return first, errors.Wrap(err, "answer")
 }
 
-func (t target) many(count, parallel int) ([]time.Duration, error) {
+func (t endpoint) askAll(count, parallel int) ([]time.Duration, error) {
 	var mu sync.Mutex
 	var times []time.Duration
 	var failed error
@@ -167,7 +166,7 @@
 	return times, failed
 }
 
-// cpuSeconds gives the processor time that a process has used.
+// cpuSeconds returns the processor time that a process has used.
 func cpuSeconds(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -179,7 +178,7 @@
 	return (user + system) / ticksPerSecond
 }
 
-// residentKB gives a process's resident memory.
+// residentKB returns a process's resident memory.
 func residentKB(pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -194,11 +193,11 @@
 	return 0
 }
 
-// streams opens streams and gives the memory of each in the daemon, and the
-// processor time of its pieces.
-func streams(opts options) error {
-	t := opts.target(opts.Entry, opts.Model)
-	if _, err := opts.target(opts.Entry, opts.Model).ask(); err != nil {
+// measureStreams opens streams and reports the daemon's memory per stream and the
+// processor time per event.
+func measureStreams(opts options) error {
+	t := opts.endpoint(opts.Entry, opts.Model)
+	if _, err := opts.endpoint(opts.Entry, opts.Model).ask(); err != nil {
 		return err
 	}
 	before, cpuBefore, began := residentKB(opts.PID), cpuSeconds(opts.PID), time.Now()
@@ -238,9 +237,9 @@
 	return nil
 }
 
-// changes makes changes through the first host and times, for each, until it
-// is in force on the last host.
-func changes(opts options) error {
+// measureChanges makes changes through the first host and measures, for each, the time
+// until it is in force on all hosts.
+func measureChanges(opts options) error {
 	var clients []*adminclient.Client
 	for _, address := range opts.Admins {
 		clients = append(clients, adminclient.New("http://"+address, opts.AdminKey, nil))
@@ -272,6 +271,6 @@
 		times = append(times, time.Since(accepted))
 	}
 	slices.Sort(times)
-	fmt.Printf("accepted until in force on %d hosts: p50 %s p99 %s most %s\n", len(clients), at(times, 0.5), at(times, 0.99), times[len(times)-1].Round(time.Microsecond))
+	fmt.Printf("accepted until in force on %d hosts: p50 %s p99 %s most %s\n", len(clients), percentile(times, 0.5), percentile(times, 0.99), times[len(times)-1].Round(time.Microsecond))
 	return nil
 }
