--- a/internal/safeguards/main.go
+++ b/internal/safeguards/main.go
@@ -1,7 +1,7 @@
-// Command safeguards shows that the failure tests can fail: for each safeguard
-// it writes a copy of the source in which the safeguard is taken out, and an
-// overlay file for the go tool. The script .ci/safeguards runs the named test
-// against each and wants it to fail.
+// Command safeguards supports mutation tests of the project's safeguards: for each
+// safeguard it writes a copy of the source without it, and an overlay file for the go
+// tool. The script .ci/safeguards runs the named test against each overlay and expects
+// it to fail.
 package main
 
 import (
@@ -15,14 +15,13 @@
 )
 
 //go:embed safeguards.json
-var list []byte
+var safeguardsJSON []byte
 
-// safeguard is one safeguard and the test that proves it.
+// safeguard describes one safeguard and the test that covers it.
 type safeguard struct {
 	Name string `json:"name"`
 	File string `json:"file"`
-	// Old is the text of the safeguard, which stands once in the file; New
-	// replaces it.
+	// Old is the text of the safeguard, which must occur once in the file; New replaces it.
 	Old     string `json:"old"`
 	New     string `json:"new"`
 	Package string `json:"package"`
@@ -34,43 +33,43 @@
 		fmt.Fprintln(os.Stderr, "usage: safeguards DIRECTORY")
 		os.Exit(2)
 	}
-	if err := write(os.Args[1]); err != nil {
+	if err := writeOverlays(os.Args[1]); err != nil {
 		fmt.Fprintln(os.Stderr, "safeguards:", err)
 		os.Exit(1)
 	}
 }
 
-// write prints a line for each safeguard: its name, its overlay file, the
-// package and the test.
-func write(directory string) error {
-	var guards []safeguard
-	if err := json.Unmarshal(list, &guards); err != nil {
+// writeOverlays writes the files of all safeguards and prints a line for each: its name,
+// its overlay file, the package and the test.
+func writeOverlays(directory string) error {
+	var safeguards []safeguard
+	if err := json.Unmarshal(safeguardsJSON, &safeguards); err != nil {
 		return err
 	}
-	for i, guard := range guards {
-		overlay, err := writeOne(directory, i, guard)
+	for i, entry := range safeguards {
+		overlay, err := writeOverlay(directory, i, entry)
 		if err != nil {
-			return fmt.Errorf("%s: %w", guard.Name, err)
+			return fmt.Errorf("%s: %w", entry.Name, err)
 		}
-		fmt.Printf("%s\t%s\t%s\t%s\n", guard.Name, overlay, guard.Package, guard.Test)
+		fmt.Printf("%s\t%s\t%s\t%s\n", entry.Name, overlay, entry.Package, entry.Test)
 	}
 	return nil
 }
 
-func writeOne(directory string, index int, guard safeguard) (string, error) {
-	source, err := os.ReadFile(guard.File)
+func writeOverlay(directory string, index int, entry safeguard) (string, error) {
+	source, err := os.ReadFile(entry.File)
 	if err != nil {
 		return "", err
 	}
-	if strings.Count(string(source), guard.Old) != 1 {
-		return "", fmt.Errorf("the safeguard's text does not stand once in %s", guard.File)
+	if strings.Count(string(source), entry.Old) != 1 {
+		return "", fmt.Errorf("the safeguard's text does not occur exactly once in %s", entry.File)
 	}
 	changed := filepath.Join(directory, fmt.Sprintf("%d.go", index))
-	text := strings.Replace(string(source), guard.Old, guard.New, 1)
+	text := strings.Replace(string(source), entry.Old, entry.New, 1)
 	if err := os.WriteFile(changed, []byte(text), 0o600); err != nil {
 		return "", err
 	}
-	original, err := filepath.Abs(guard.File)
+	original, err := filepath.Abs(entry.File)
 	if err != nil {
 		return "", err
 	}
