--- a/internal/docs/links_test.go
+++ b/internal/docs/links_test.go
@@ -1,4 +1,4 @@
-// Package docs checks the documentation.
+// Package docs tests the documentation: its links and the names of tests in it.
 package docs
 
 import (
@@ -38,7 +38,7 @@
 
 var testName = regexp.MustCompile("`(Test[A-Za-z0-9]+|Fuzz[A-Za-z0-9]+)`")
 
-func TestEveryTestThatPromisesNameExists(t *testing.T) {
+func TestPromisesNameExistingTests(t *testing.T) {
 	text, err := os.ReadFile("../../docs/PROMISES.md")
 	must.NoError(t, err)
 	var sources strings.Builder
