--- a/spec/era_test.go
+++ b/spec/era_test.go
@@ -9,14 +9,14 @@
 // The store is restored from a backup, up to twice, while the runner's owner is partitioned and
 // reconnected and a process restarts: no two hosts order the runner within the gap, and no
 // token is lower than one before.
-func TestNoTwoHostsOrderThroughADrill(t *testing.T) {
+func TestNoTwoHostsOrderAcrossARestore(t *testing.T) {
 	states, broken, complete := ExploreEra(EraProtocol(), 2*limit(t))
 	t.Logf("%d distinct states, every one within the bounds: %t", states, complete)
 	must.SliceEmpty(t, broken, must.Sprintf("%+v", broken))
 }
 
 // With any safeguard switched off, the exploration finds orders that violate the invariant.
-func TestEachSafeguardOfADrillIsNeeded(t *testing.T) {
+func TestEachEraSafeguardIsNeeded(t *testing.T) {
 	for name, off := range map[string]func(g *EraSafeguards){
 		"tokens by era":   func(g *EraSafeguards) { g.TokensByEra = false },
 		"wait":            func(g *EraSafeguards) { g.WaitUntilSettled = false },
