--- a/cmd/cherrystaged/platform.go
+++ b/cmd/cherrystaged/platform.go
@@ -78,7 +78,7 @@
 	out := logging.NewWriter(os.Stdout)
 	defer out.Close(logPatience)
 	log := hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: true, Output: out}).With("host", placed.Host)
-	log.Info("starting", "version", version, "data_centre", placed.DataCentre, "front", placed.Front, "store", placed.Store)
+	log.Info("starting", "version", version, "data_centre", placed.DataCentre, "front", placed.FrontAddress, "store", placed.StoreAddress)
 	if err := runEntry(entryConfig(placed, cfg.PeerKey), placed, out, log); err != nil {
 		log.Error("ended", "error", err.Error())
 		return exitFailure
@@ -89,7 +89,7 @@
 
 func runEntry(cfg entry.Config, placed platform.Settings, out *logging.Writer, log hclog.Logger) error {
 	e := entry.New(cfg, entry.Platform{
-		Store:       platform.NewStore(placed.Store, probedDialer.DialContext),
+		Store:       platform.NewStore(placed.StoreAddress, probedDialer.DialContext),
 		Decoder:     platform.Records{},
 		Dialect:     platform.Headers{},
 		Engines:     platform.NewEngines(probedDialer.DialContext),
@@ -127,11 +127,11 @@
 	return entry.Config{
 		Host:          placed.Host,
 		DataCentre:    placed.DataCentre,
-		PeerAddress:   placed.Peers,
+		PeerAddress:   placed.PeerAddress,
 		Seeds:         placed.Seeds,
 		PeerKey:       []byte(peerKey),
 		OrderGap:      placed.Bounds.OrderLease,
-		ShutdownGrace: placed.Bounds.Grace,
+		ShutdownGrace: placed.Bounds.ShutdownGrace,
 		RetryLimit: retrybudget.Limit{
 			Ratio:  placed.Bounds.RetryRatio,
 			Slack:  placed.Bounds.RetrySlack,
@@ -150,7 +150,7 @@
 
 func listenAll(placed platform.Settings) (platformListeners, error) {
 	var l platformListeners
-	host, _, err := net.SplitHostPort(placed.Peers)
+	host, _, err := net.SplitHostPort(placed.PeerAddress)
 	if err != nil {
 		return l, errors.Wrap(err, "peers' address")
 	}
@@ -158,9 +158,9 @@
 		what, address string
 		into          *net.Listener
 	}{
-		{"front", placed.Front, &l.front},
-		{"readiness", placed.Ready, &l.ready},
-		{"peers", placed.Peers, &l.peers},
+		{"front", placed.FrontAddress, &l.front},
+		{"readiness", placed.ReadinessAddress, &l.ready},
+		{"peers", placed.PeerAddress, &l.peers},
 		{"metrics", net.JoinHostPort(host, metricsPort), &l.metrics},
 	} {
 		listener, err := net.Listen("tcp", want.address)
@@ -251,6 +251,6 @@
 		log.Error("settings not reloaded; the ones before stay in force", "error", err.Error())
 		return
 	}
-	e.SetShutdownGrace(placed.Bounds.Grace)
-	log.Info("settings reloaded", "grace_ms", placed.Bounds.Grace.Milliseconds())
+	e.SetShutdownGrace(placed.Bounds.ShutdownGrace)
+	log.Info("settings reloaded", "grace_ms", placed.Bounds.ShutdownGrace.Milliseconds())
 }
