--- a/cmd/cherrystaged/platform.go
+++ b/cmd/cherrystaged/platform.go
@@ -76,7 +76,7 @@
 	out := logging.NewWriter(os.Stdout)
 	defer out.Close(logFlushTimeout)
 	log := hclog.New(&hclog.LoggerOptions{Level: hclog.LevelFromString(cfg.LogLevel), JSONFormat: true, Output: out}).With("host", platformSettings.Host)
-	log.Info("starting", "version", version, "data_centre", platformSettings.DataCentre, "front", platformSettings.Front, "store", platformSettings.Store)
+	log.Info("starting", "version", version, "data_centre", platformSettings.DataCentre, "front", platformSettings.FrontAddress, "store", platformSettings.StoreAddress)
 	if err := runEntry(entryConfig(platformSettings, cfg.PeerKey), platformSettings, out, log); err != nil {
 		log.Error("ended", "error", err.Error())
 		return exitFailure
@@ -87,7 +87,7 @@
 
 func runEntry(cfg entry.Config, platformSettings platform.Settings, out *logging.Writer, log hclog.Logger) error {
 	e := entry.New(cfg, entry.Platform{
-		Store:       platform.NewStore(platformSettings.Store, platformDialer.DialContext),
+		Store:       platform.NewStore(platformSettings.StoreAddress, platformDialer.DialContext),
 		Decoder:     platform.Records{},
 		Dialect:     platform.Headers{},
 		Engines:     platform.NewEngines(platformDialer.DialContext),
@@ -125,11 +125,11 @@
 	return entry.Config{
 		Host:          platformSettings.Host,
 		DataCentre:    platformSettings.DataCentre,
-		PeerAddress:   platformSettings.Peers,
+		PeerAddress:   platformSettings.PeerAddress,
 		Seeds:         platformSettings.Seeds,
 		PeerKey:       []byte(peerKey),
 		OrderGap:      platformSettings.Bounds.OrderLease,
-		ShutdownGrace: platformSettings.Bounds.Grace,
+		ShutdownGrace: platformSettings.Bounds.ShutdownGrace,
 		RetryLimit: retrybudget.Limit{
 			Ratio:  platformSettings.Bounds.RetryRatio,
 			Slack:  platformSettings.Bounds.RetrySlack,
@@ -148,7 +148,7 @@
 
 func listenPlatform(platformSettings platform.Settings) (platformListeners, error) {
 	var listeners platformListeners
-	host, _, err := net.SplitHostPort(platformSettings.Peers)
+	host, _, err := net.SplitHostPort(platformSettings.PeerAddress)
 	if err != nil {
 		return listeners, errors.Wrap(err, "peer address")
 	}
@@ -156,9 +156,9 @@
 		name, address string
 		destination   *net.Listener
 	}{
-		{"front", platformSettings.Front, &listeners.front},
-		{"readiness", platformSettings.Ready, &listeners.ready},
-		{"peers", platformSettings.Peers, &listeners.peers},
+		{"front", platformSettings.FrontAddress, &listeners.front},
+		{"readiness", platformSettings.ReadinessAddress, &listeners.ready},
+		{"peers", platformSettings.PeerAddress, &listeners.peers},
 		{"metrics", net.JoinHostPort(host, metricsPort), &listeners.metrics},
 	} {
 		listener, err := net.Listen("tcp", endpoint.address)
@@ -249,6 +249,6 @@
 		log.Error("settings not reloaded; the previous settings remain in force", "error", err.Error())
 		return
 	}
-	e.SetShutdownGrace(platformSettings.Bounds.Grace)
-	log.Info("settings reloaded", "grace_ms", platformSettings.Bounds.Grace.Milliseconds())
+	e.SetShutdownGrace(platformSettings.Bounds.ShutdownGrace)
+	log.Info("settings reloaded", "grace_ms", platformSettings.Bounds.ShutdownGrace.Milliseconds())
 }
