--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -106,7 +106,7 @@
 	if old != nil {
 		old.stop()
 	}
-	c.deps.Holder.Learn(host.ID, record.Fence)
+	c.deps.Holder.ObserveFence(host.ID, record.Fence)
 	c.deps.Log.Info("runner taken over", "runner", host.ID, "fence", record.Fence, "intents", len(record.Intents))
 	go c.runRunner(runCtx, m)
 }
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -227,7 +227,7 @@
 	}
 	var changed []residency.View
 	for _, view := range views {
-		if !view.Same(sent[view.Runner]) {
+		if !view.EquivalentForPeers(sent[view.Runner]) {
 			changed = append(changed, view)
 			sent[view.Runner] = view
 		}
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -40,7 +40,7 @@
 	f := figures{
 		Figures: n.metrics.Figures(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
 		Open: n.streams.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.budget.Denied(),
-		PinsHeld: n.holder.Count(), RunnersOwned: len(n.controller.Owned()),
+		PinsHeld: n.holder.PinCount(), RunnersOwned: len(n.controller.Owned()),
 		LeaseSeconds: max(0, n.controller.Lease().Sub(now).Seconds()), LoadsWanted: n.controller.Wanted(),
 		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.Calls(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
 		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -81,7 +81,7 @@
 func (n *Node) seen(views []residency.View) {
 	for _, view := range views {
 		if n.table.Update(view) {
-			n.holder.Learn(view.Runner, view.Fence)
+			n.holder.ObserveFence(view.Runner, view.Fence)
 		}
 	}
 }
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -127,9 +127,9 @@
 	}
 }
 
-// Learn notes the fencing number of a runner's owner, heard from a peer, so
+// ObserveFence notes the fencing number of a runner's owner, heard from a peer, so
 // that a grant of an earlier owner is refused.
-func (h *Holder) Learn(runner string, fence uint64) {
+func (h *Holder) ObserveFence(runner string, fence uint64) {
 	s := h.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -270,8 +270,8 @@
 	return returns
 }
 
-// Count gives the number of pins held.
-func (h *Holder) Count() int {
+// PinCount gives the number of pins held.
+func (h *Holder) PinCount() int {
 	count := 0
 	for i := range h.shards {
 		s := &h.shards[i]
--- a/internal/residency/machine_test.go
+++ b/internal/residency/machine_test.go
@@ -327,7 +327,7 @@
 	m.takeOver()
 	grant, err := m.owner.Grant(holderName(0), "1", "a@1", m.now)
 	must.NoError(t, err)
-	m.holders[0].Learn("r", m.record.Fence)
+	m.holders[0].ObserveFence("r", m.record.Fence)
 	for _, ret := range m.holders[0].IdleSince(m.now.Add(time.Hour)) {
 		m.owner.Returned(holderName(0), ret, m.now)
 	}
--- a/internal/residency/runner.go
+++ b/internal/residency/runner.go
@@ -18,8 +18,8 @@
 	SlotResident  SlotState = "resident"
 	SlotRecalling SlotState = "recalling"
 	SlotEvicting  SlotState = "evicting"
-	// SlotWanted is the state of a model that is to be loaded and has no slot yet.
-	SlotWanted SlotState = "wanted"
+	// SlotPending is the state of a model that is to be loaded and has no slot yet.
+	SlotPending SlotState = "wanted"
 )
 
 // Refusals of a pin.
--- a/internal/residency/slots.go
+++ b/internal/residency/slots.go
@@ -280,8 +280,8 @@
 	return (v.Running + v.Queued) * loadSteps / v.MaxBatch
 }
 
-// Same says whether two views differ in nothing that a peer must be told.
-func (v View) Same(other View) bool {
+// EquivalentForPeers says whether two views differ in nothing that a peer must be told.
+func (v View) EquivalentForPeers(other View) bool {
 	if v.Runner != other.Runner || v.Owner != other.Owner || v.Fence != other.Fence || v.Boot != other.Boot ||
 		v.Slots != other.Slots || v.loadStep() != other.loadStep() ||
 		(v.Evictable == 0) != (other.Evictable == 0) {
--- a/internal/residency/view_test.go
+++ b/internal/residency/view_test.go
@@ -32,7 +32,7 @@
 		t.Run(row.name, func(t *testing.T) {
 			changed := base
 			row.change(&changed)
-			must.Eq(t, row.same, changed.Same(base))
+			must.Eq(t, row.same, changed.EquivalentForPeers(base))
 		})
 	}
 }
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -87,7 +87,7 @@
 			if best == nil || better(candidate.Runner, wait, best.Runner, bestWait, weights) {
 				best, bestWait = candidate, wait
 			}
-		case residency.SlotLoading, residency.SlotWanted:
+		case residency.SlotLoading, residency.SlotPending:
 			if joining == nil || candidate.Occupancy < joining.Occupancy {
 				joining = candidate
 			}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -36,7 +36,7 @@
 		{"the emptier for short stalls", []Located{located("r1", residency.SlotResident, 5), located("r2", residency.SlotResident, 2)}, PresetStalls, ActionSend, "r2", false},
 		{"the fuller for full batches", []Located{located("r1", residency.SlotResident, 5), located("r2", residency.SlotResident, 2)}, PresetBatches, ActionSend, "r1", false},
 		{"not full before queued, also for full batches", []Located{located("r1", residency.SlotResident, 9), located("r2", residency.SlotResident, 2)}, PresetBatches, ActionSend, "r2", false},
-		{"join a load", []Located{located("r1", residency.SlotWanted, 0)}, PresetStalls, ActionJoin, "r1", false},
+		{"join a load", []Located{located("r1", residency.SlotPending, 0)}, PresetStalls, ActionJoin, "r1", false},
 		{"a busy copy is worth another", []Located{located("r1", residency.SlotResident, 20)}, PresetStalls, ActionSend, "r1", true},
 		{"another copy is on its way", []Located{located("r1", residency.SlotResident, 20), located("r2", residency.SlotLoading, 0)}, PresetStalls, ActionSend, "r1", false},
 		{"evicting does not count", []Located{located("r1", residency.SlotEvicting, 0)}, PresetStalls, ActionNone, "", false},
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -255,7 +255,7 @@
 		}
 	}
 	if slices.Contains(info.view.Wanted, model) {
-		return Located{Runner: info.snapshot(), State: residency.SlotWanted}, true
+		return Located{Runner: info.snapshot(), State: residency.SlotPending}, true
 	}
 	return Located{}, false
 }
