--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -52,10 +52,10 @@
 	DataCentre     string
 	LeaseLife      time.Duration
 	ReportInterval time.Duration
-	// OrderLife is the longest time after which an order that was sent can
+	// MaxOrderDelay is the longest time after which an order that was sent can
 	// still take effect.
-	OrderLife time.Duration
-	Parallel  int
+	MaxOrderDelay time.Duration
+	LoadWorkers  int
 }
 
 // Deps are what the controller works with.
@@ -155,8 +155,8 @@
 	return ids
 }
 
-// Wanted gives the number of loads that callers wait for on owned runners.
-func (c *Controller) Wanted() int {
+// AwaitedLoads gives the number of loads that callers wait for on owned runners.
+func (c *Controller) AwaitedLoads() int {
 	c.mu.Lock()
 	all := make([]*managed, 0, len(c.managed))
 	for _, m := range c.managed {
@@ -212,5 +212,5 @@
 	}
 }
 
-// Lease tells until when nobody can have broken this node's lease.
-func (c *Controller) Lease() time.Time { return c.lease.ValidUntil() }
+// LeaseValidUntil tells until when nobody can have broken this node's lease.
+func (c *Controller) LeaseValidUntil() time.Time { return c.lease.ValidUntil() }
--- a/internal/control/evict.go
+++ b/internal/control/evict.go
@@ -168,7 +168,7 @@
 	defer m.mu.Unlock()
 	next := m.record.WithoutIntents(func(old residency.Intent) bool {
 		since, over := m.over[old]
-		return over && time.Since(since) > c.cfg.OrderLife
+		return over && time.Since(since) > c.cfg.MaxOrderDelay
 	}).WithIntent(intent)
 	version, err := c.writeRecord(ctx, next, m.version)
 	if err != nil {
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -225,7 +225,7 @@
 		m.runner.LoadFailed(model)
 		c.loseIfStale(m, err)
 	default:
-		m.runner.LoadUnknown(model, now.Add(c.cfg.OrderLife))
+		m.runner.LoadUnknown(model, now.Add(c.cfg.MaxOrderDelay))
 	}
 	if err != nil {
 		c.deps.Log.Warn("load failed", "runner", m.host.ID, "model", model, "error", err)
--- a/internal/control/nodelease.go
+++ b/internal/control/nodelease.go
@@ -111,9 +111,9 @@
 	return record, object.Version, errors.Wrap(err, "decode lease")
 }
 
-// Ended says whether the lease of a process has ended as a fact in the object
+// LeaseEnded says whether the lease of a process has ended as a fact in the object
 // API: broken, released, or replaced by a later process of its host.
-func (c *Controller) Ended(ctx context.Context, host, incarnation string) bool {
+func (c *Controller) LeaseEnded(ctx context.Context, host, incarnation string) bool {
 	record, _, err := c.readLease(ctx, host)
 	return err == nil && !record.HeldBy(incarnation)
 }
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -67,7 +67,7 @@
 		return
 	}
 	self := c.cfg.Self
-	ended := record.Owner != "" && c.Ended(ctx, record.Owner, record.Incarnation)
+	ended := record.Owner != "" && c.LeaseEnded(ctx, record.Owner, record.Incarnation)
 	next, err := record.Take(self.Host, self.Incarnation, ended)
 	if err != nil {
 		c.watchOwner(ctx, record.Owner)
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -20,7 +20,7 @@
 	defer close(m.done)
 	var wg sync.WaitGroup
 	wg.Go(func() { c.readReports(ctx, m) })
-	for range c.cfg.Parallel {
+	for range c.cfg.LoadWorkers {
 		wg.Go(func() { c.loadWanted(ctx, m) })
 	}
 	wg.Wait()
@@ -177,7 +177,7 @@
 	}
 	over := make(map[residency.Intent]bool, len(m.over))
 	for intent, since := range m.over {
-		over[intent] = now.Sub(since) > c.cfg.OrderLife
+		over[intent] = now.Sub(since) > c.cfg.MaxOrderDelay
 	}
 	m.mu.Unlock()
 	m.runner.SettleDoubts(func(intent residency.Intent) bool { return over[intent] })
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -41,7 +41,7 @@
 		Figures: n.metrics.Figures(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
 		Open: n.streams.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.budget.Denied(),
 		PinsHeld: n.holder.PinCount(), RunnersOwned: len(n.controller.Owned()),
-		LeaseSeconds: max(0, n.controller.Lease().Sub(now).Seconds()), LoadsWanted: n.controller.Wanted(),
+		LeaseSeconds: max(0, n.controller.LeaseValidUntil().Sub(now).Seconds()), LoadsWanted: n.controller.AwaitedLoads(),
 		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.Calls(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
 		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
 		UptimeSeconds: now.Sub(n.started).Seconds(),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -163,7 +163,7 @@
 	n.loads = loading.NewService(n.cfg.Host, queue, n.allowance, n.members, n.pool, t.OrderTimeout, n.log.Named("loading"))
 	n.controller = control.New(control.Config{
 		Self: n.self, DataCentre: n.cfg.DataCentre, LeaseLife: t.LeaseLife, ReportInterval: t.ReportInterval,
-		OrderLife: orderLives * t.OrderTimeout, Parallel: n.cfg.Loads.Parallel,
+		MaxOrderDelay: orderLives * t.OrderTimeout, LoadWorkers: n.cfg.Loads.Parallel,
 	}, control.Deps{
 		Engines: n.engines, Objects: n.objects, Loads: n.loads, Demand: n.demand, Peers: n.pool,
 		Hosts: n.hosts, Members: n.members, Holder: n.holder, Publish: n.publish, Log: n.log.Named("control"),
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -74,7 +74,7 @@
 		member, _ := n.members.Get(owner.Host)
 		return member.Incarnation != owner.Incarnation
 	}
-	return n.controller.Ended(ctx, owner.Host, owner.Incarnation)
+	return n.controller.LeaseEnded(ctx, owner.Host, owner.Incarnation)
 }
 
 // releaseShares gives this host's shares back at a planned stop.
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -23,7 +23,7 @@
 	return fleet.Member{
 		Host: n.cfg.Host, Incarnation: n.self.Incarnation, Address: n.cfg.AdvertisedPeer(),
 		DataCentre: n.cfg.DataCentre, Region: n.cfg.Region, Leaving: leaving, Ready: n.started.Before(time.Now()),
-		Revision: uint64(revision), LoadWaitMS: n.loads.Expected().Milliseconds(), WaitingLoads: n.controller.Wanted(),
+		Revision: uint64(revision), LoadWaitMS: n.loads.Expected().Milliseconds(), WaitingLoads: n.controller.AwaitedLoads(),
 	}
 }
 
@@ -113,7 +113,7 @@
 	snapshot := n.follower.Snapshot()
 	status := adminapi.Status{
 		Host: n.cfg.Host, Now: now.UTC(), Revision: snapshot.Revision(), Adapters: snapshot.Len(),
-		LeaseValid: now.Before(n.controller.Lease()), Services: n.hosts.ByRole(fleet.RoleService),
+		LeaseValid: now.Before(n.controller.LeaseValidUntil()), Services: n.hosts.ByRole(fleet.RoleService),
 		Loads: n.loads.View(), Requests: n.metrics.Figures(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(),
 	}
 	for _, member := range n.members.All() {
