--- a/internal/loading/loading_test.go
+++ b/internal/loading/loading_test.go
@@ -17,7 +17,7 @@
 	var all []*Allowance
 	for range hosts {
 		a := NewAllowance(perSecond, hosts, now)
-		a.SetOwn(1, true, now)
+		a.SetOwnShares(1, true, now)
 		all = append(all, a)
 	}
 	loads := 0
@@ -52,7 +52,7 @@
 func TestWaitingCallersGoBeforeForeseenNeeds(t *testing.T) {
 	now := time.Unix(0, 0)
 	a := NewAllowance(1000, 1, now)
-	a.SetOwn(1, true, now)
+	a.SetOwnShares(1, true, now)
 	q := NewQueue(1, a, time.Second)
 	foreseen := q.Join(Ask{Model: "f", Class: ClassForeseen, Value: 9, Since: now})
 	low := q.Join(Ask{Model: "l", Class: ClassWaiting, Since: now})
@@ -75,7 +75,7 @@
 	// longer and longer, while other models go on loading.
 	now := time.Unix(0, 0)
 	a := NewAllowance(1000, 1, now)
-	a.SetOwn(1, true, now)
+	a.SetOwnShares(1, true, now)
 	q := NewQueue(1, a, time.Second)
 	tries := 0
 	for range 600 {
@@ -99,7 +99,7 @@
 func TestPermitThatIsNotGivenBackRunsOut(t *testing.T) {
 	now := time.Unix(0, 0)
 	a := NewAllowance(1000, 1, now)
-	a.SetOwn(1, true, now)
+	a.SetOwnShares(1, true, now)
 	q := NewQueue(1, a, time.Second)
 	now = now.Add(time.Second)
 	must.True(t, q.Permit(q.Join(Ask{Model: "a", Class: ClassWaiting}), now, 10*time.Second))
--- a/internal/loading/service.go
+++ b/internal/loading/service.go
@@ -245,9 +245,9 @@
 	s.allowance.Borrowed(member.Host, result.Shares, asked, loanLife, time.Now())
 }
 
-// Expected gives the likely time until a load asked for now would be done, if
+// ExpectedLoadTime gives the likely time until a load asked for now would be done, if
 // this host orders loads for all: after all that the members say they want.
-func (s *Service) Expected() time.Duration {
+func (s *Service) ExpectedLoadTime() time.Duration {
 	wanted := 0
 	for _, member := range s.members.All() {
 		wanted += member.WaitingLoads
--- a/internal/loading/shares.go
+++ b/internal/loading/shares.go
@@ -68,8 +68,8 @@
 	return next, changed
 }
 
-// Settled says whether every share belongs to one of the hosts.
-func (c Claims) Settled(hosts []string) bool {
+// AllOwnedBy says whether every share belongs to one of the hosts.
+func (c Claims) AllOwnedBy(hosts []string) bool {
 	for _, share := range c.Shares {
 		if !slices.Contains(hosts, share.Host) {
 			return false
@@ -124,10 +124,10 @@
 	return a
 }
 
-// SetOwn sets the number of shares that belong to this host. Shares that had
+// SetOwnShares sets the number of shares that belong to this host. Shares that had
 // an owner before count only after a loan's life: whoever borrowed them from
 // that owner may use them until then. unused says that none had one.
-func (a *Allowance) SetOwn(shares int, unused bool, now time.Time) {
+func (a *Allowance) SetOwnShares(shares int, unused bool, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.settle(now)
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -58,8 +58,8 @@
 		return
 	}
 	own := next.Count(n.shareOwner())
-	n.allowance.SetOwn(own, version == 0, time.Now())
-	if !changed && next.Settled(members) {
+	n.allowance.SetOwnShares(own, version == 0, time.Now())
+	if !changed && next.AllOwnedBy(members) {
 		n.claimed = shareClaims{members: members, readAt: time.Now()}
 	}
 }
@@ -79,7 +79,7 @@
 
 // releaseShares gives this host's shares back at a planned stop.
 func (n *Node) releaseShares(ctx context.Context) {
-	n.allowance.SetOwn(0, true, time.Now())
+	n.allowance.SetOwnShares(0, true, time.Now())
 	claims, version, err := n.readShares(ctx)
 	if err != nil {
 		return
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -23,7 +23,7 @@
 	return fleet.Member{
 		Host: n.cfg.Host, Incarnation: n.self.Incarnation, Address: n.cfg.AdvertisedPeer(),
 		DataCentre: n.cfg.DataCentre, Region: n.cfg.Region, Leaving: leaving, Ready: n.started.Before(time.Now()),
-		Revision: uint64(revision), LoadWaitMS: n.loads.Expected().Milliseconds(), WaitingLoads: n.controller.AwaitedLoads(),
+		Revision: uint64(revision), LoadWaitMS: n.loads.ExpectedLoadTime().Milliseconds(), WaitingLoads: n.controller.AwaitedLoads(),
 	}
 }
 
