--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -88,7 +88,7 @@
 	Snapshot() *inventory.Snapshot
 	Accepted(change configlog.Change)
 	Status() Status
-	Explain(ctx context.Context, request string) (dispatch.Story, bool)
+	Explain(ctx context.Context, request string) (dispatch.TraceReport, bool)
 	Drain(ctx context.Context, host string) error
 }
 
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -36,8 +36,8 @@
 func (f *fake) Snapshot() *inventory.Snapshot                          { return sample() }
 func (f *fake) Accepted(configlog.Change)                              { f.accepted++ }
 func (f *fake) Status() Status                                         { return Status{Host: "e1"} }
-func (f *fake) Explain(context.Context, string) (dispatch.Story, bool) {
-	return dispatch.Story{}, f.err == nil
+func (f *fake) Explain(context.Context, string) (dispatch.TraceReport, bool) {
+	return dispatch.TraceReport{}, f.err == nil
 }
 func (f *fake) Drain(context.Context, string) error { return f.err }
 
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -17,14 +17,14 @@
 	Revision inventory.Revision `json:"revision"`
 	Adapters int                `json:"adapters"`
 	// LeaseValid says that this host's lease holds, so the object API answers it.
-	LeaseValid bool             `json:"lease_valid"`
-	Hosts      []HostStatus     `json:"hosts"`
-	Runners    []RunnerStatus   `json:"runners"`
-	Services   []fleet.Host     `json:"services,omitempty"`
-	Loads      loading.View     `json:"loads"`
-	Requests   dispatch.Figures `json:"requests"`
-	InUse      int              `json:"in_use"`
-	Waiting    int              `json:"waiting"`
+	LeaseValid bool                     `json:"lease_valid"`
+	Hosts      []HostStatus             `json:"hosts"`
+	Runners    []RunnerStatus           `json:"runners"`
+	Services   []fleet.Host             `json:"services,omitempty"`
+	Loads      loading.View             `json:"loads"`
+	Requests   dispatch.MetricsSnapshot `json:"requests"`
+	InUse      int                      `json:"in_use"`
+	Waiting    int                      `json:"waiting"`
 }
 
 // HostStatus is one entry host.
--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -69,8 +69,8 @@
 }
 
 // Explain reads why a request went where it went.
-func (c *Client) Explain(ctx context.Context, request string) (dispatch.Story, error) {
-	var result dispatch.Story
+func (c *Client) Explain(ctx context.Context, request string) (dispatch.TraceReport, error) {
+	var result dispatch.TraceReport
 	return result, c.call(ctx, http.MethodGet, "/v1/requests/"+url.PathEscape(request), nil, &result)
 }
 
--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -163,7 +163,7 @@
 func (a *API) whole(c echo.Context, req dispatch.Request) error {
 	g := &gather{}
 	g.reset()
-	req.Restart = g.reset
+	req.DiscardPieces = g.reset
 	if refusal := a.dispatcher.Complete(c.Request().Context(), req, g.add); refusal != nil {
 		return refusal
 	}
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -176,9 +176,9 @@
 	c.Response().Header().Set(HeaderRequestID, id)
 	return dispatch.Request{
 		ID: id, Caller: caller.Name, Weight: caller.Weight, Priority: treatment.Priority,
-		Path:       c.Request().URL.Path,
-		Idempotent: !treatment.NonIdempotent && header.Get(HeaderIdempotent) != "false",
-		Key:        key,
+		Path:           c.Request().URL.Path,
+		Idempotent:     !treatment.NonIdempotent && header.Get(HeaderIdempotent) != "false",
+		IdempotencyKey: key,
 	}, nil
 }
 
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -163,7 +163,7 @@
 	e := exchange{path: "/services/dispatch-api/tugs/7", header: http.Header{HeaderIdempotencyKey: {"k"}}}
 	e.send(t)
 	must.False(t, e.dispatcher.last.Idempotent)
-	must.Eq(t, "k", e.dispatcher.last.Key)
+	must.Eq(t, "k", e.dispatcher.last.IdempotencyKey)
 	must.Eq(t, 5, e.dispatcher.last.Priority)
 	e = exchange{path: "/services/dispatch-api/berths"}
 	e.send(t)
--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -55,7 +55,7 @@
 	// MaxOrderDelay is the longest time after which an order that was sent can
 	// still take effect.
 	MaxOrderDelay time.Duration
-	LoadWorkers  int
+	LoadWorkers   int
 }
 
 // Deps are what the controller works with.
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -12,9 +12,9 @@
 	budgetMost    = 100
 )
 
-// Budget bounds second tries to a share of first tries, over the whole host:
+// RetryBudget bounds second tries to a share of first tries, over the whole host:
 // a failing target is not beaten further by everybody's retries.
-type Budget struct {
+type RetryBudget struct {
 	share float64
 
 	mu     sync.Mutex
@@ -22,20 +22,20 @@
 	denied int64
 }
 
-// NewBudget makes a budget; share is the second tries allowed for each first.
-func NewBudget(share float64) *Budget {
-	return &Budget{share: share, tokens: budgetReserve}
+// NewRetryBudget makes a budget; share is the second tries allowed for each first.
+func NewRetryBudget(share float64) *RetryBudget {
+	return &RetryBudget{share: share, tokens: budgetReserve}
 }
 
 // First counts a first try.
-func (b *Budget) First() {
+func (b *RetryBudget) First() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(budgetMost, b.tokens+b.share)
 }
 
 // Retry takes one second try, if the budget allows it.
-func (b *Budget) Retry() bool {
+func (b *RetryBudget) Retry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -47,7 +47,7 @@
 }
 
 // Denied gives the second tries that were not made.
-func (b *Budget) Denied() int64 {
+func (b *RetryBudget) Denied() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.denied
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -67,7 +67,7 @@
 	Holder   *residency.Holder
 	Claims   *claims.Store
 	Gate     *Gate
-	Budget   *Budget
+	Budget   *RetryBudget
 	Breakers *Breakers
 	Placer   *Placer
 	Demand   Demand
@@ -98,13 +98,13 @@
 // away: a heartbeat to learn of it and a conditional update.
 const successorTime = time.Second
 
-// HandedOver says that this host has given its runners away. Requests that wait
+// HandoverDone says that this host has given its runners away. Requests that wait
 // for a load go on with the successors; where there are none by then, they are
 // refused.
 //
 // Without it, requests that waited on the only host of a deployment when it was
 // told to stop got no answer until their limit of half a minute passed.
-func (d *Dispatcher) HandedOver() { time.AfterFunc(successorTime, d.stop) }
+func (d *Dispatcher) HandoverDone() { time.AfterFunc(successorTime, d.stop) }
 
 // Request is an admitted caller's request.
 type Request struct {
@@ -121,11 +121,11 @@
 	Body    []byte
 	// Idempotent requests may be tried again after MayHaveRun.
 	Idempotent bool
-	// Key is the caller's idempotency key, or empty.
-	Key string
-	// Restart, where given, drops the pieces passed on so far: the caller has
+	// IdempotencyKey is the caller's idempotency key, or empty.
+	IdempotencyKey string
+	// DiscardPieces, where given, drops the pieces passed on so far: the caller has
 	// seen none of them, so an idempotent request may begin anew.
-	Restart func()
+	DiscardPieces func()
 }
 
 // maxAttempts bounds the tries of one request.
@@ -170,11 +170,11 @@
 
 // claim takes the idempotency key of a request that may run only once.
 func (d *Dispatcher) claim(ctx context.Context, req Request, trace *Trace) (*claims.Claim, *Refusal) {
-	if req.Idempotent || req.Key == "" {
+	if req.Idempotent || req.IdempotencyKey == "" {
 		return nil, nil
 	}
 	nonce := d.ids.next(d.cfg.Self.Incarnation)
-	claim, err := d.deps.Claims.Begin(ctx, req.Caller, req.Key, req.ID, nonce, time.Now())
+	claim, err := d.deps.Claims.Begin(ctx, req.Caller, req.IdempotencyKey, req.ID, nonce, time.Now())
 	if err != nil {
 		trace.Note("idempotency key not claimed: "+err.Error(), time.Now())
 		return nil, claimRefusal(err)
@@ -235,7 +235,7 @@
 			return nil
 		}
 		state.note(failure)
-		if req.Restart != nil {
+		if req.DiscardPieces != nil {
 			failure.Delivered = 0
 		}
 		if !failure.MayRetry(req.Idempotent) || attempt == maxAttempts {
@@ -249,8 +249,8 @@
 		}
 		state.avoided[spot.runner.ID] = failure.Code != engine.CodeNotLoaded
 		d.deps.Metrics.Retried()
-		if req.Restart != nil {
-			req.Restart()
+		if req.DiscardPieces != nil {
+			req.DiscardPieces()
 		}
 	}
 }
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -13,7 +13,7 @@
 func TestBudgetBoundsSecondTries(t *testing.T) {
 	// A target fails every request. Second tries stay a fifth of the first
 	// ones, with a few to spare, so the target is not beaten further.
-	budget := NewBudget(0.2)
+	budget := NewRetryBudget(0.2)
 	retries := 0
 	for range 1000 {
 		budget.First()
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -87,8 +87,8 @@
 // FirstPiece records the time from sending to the first piece.
 func (m *Metrics) FirstPiece(d time.Duration) { m.first.record(d) }
 
-// Figures are the metrics as they are shown.
-type Figures struct {
+// MetricsSnapshot are the metrics as they are shown.
+type MetricsSnapshot struct {
 	Ran        int64     `json:"requests_ran"`
 	NotRun     int64     `json:"requests_not_run"`
 	MayHaveRun int64     `json:"requests_may_have_run"`
@@ -99,9 +99,9 @@
 	First      Quantiles `json:"time_to_first_piece"`
 }
 
-// Figures gives the metrics.
-func (m *Metrics) Figures() Figures {
-	return Figures{
+// Snapshot gives the metrics.
+func (m *Metrics) Snapshot() MetricsSnapshot {
+	return MetricsSnapshot{
 		Ran: m.ran.Load(), NotRun: m.notRun.Load(), MayHaveRun: m.mayHaveRun.Load(),
 		Retries: m.retries.Load(), Stalls: m.stalls.Load(),
 		Queue: m.queue.quantiles(), Stall: m.stall.quantiles(), First: m.first.quantiles(),
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -21,10 +21,10 @@
 	placeLimit  = 4096
 )
 
-// Home gives the member that keeps a model's demand and chooses where it is
+// HomeHost gives the member that keeps a model's demand and chooses where it is
 // loaded; all versions of an adapter have one home. It is a hint, not a lease: two homes for a moment cost one extra
 // load, and nothing that must hold depends on it.
-func Home(model string, candidates []string) string {
+func HomeHost(model string, candidates []string) string {
 	adapter, _ := inventory.SplitModel(model)
 	return fleet.First("home/"+adapter, candidates)
 }
@@ -75,7 +75,7 @@
 // Place chooses the runner on which a model is to be loaded.
 func (p *Placer) Place(ctx context.Context, model, base string, avoid map[string]bool, times routing.Times) (routing.Runner, bool) {
 	params := placeParams{Model: model, Base: base, Avoid: avoid, LoadMS: times.Load.Milliseconds()}
-	home := Home(model, p.members.Candidates("", time.Now()))
+	home := HomeHost(model, p.members.Candidates("", time.Now()))
 	runner := ""
 	if home != "" && home != p.self {
 		runner = p.placeThere(ctx, home, params)
@@ -148,14 +148,14 @@
 	p.recent[model] = placement{runner: runner, at: now}
 }
 
-// PlaceAhead chooses the runner for a load that nobody waits for.
-func (d *Dispatcher) PlaceAhead(ctx context.Context, model, base string) (routing.Runner, bool) {
+// PlacePrefetch chooses the runner for a load that nobody waits for.
+func (d *Dispatcher) PlacePrefetch(ctx context.Context, model, base string) (routing.Runner, bool) {
 	return d.deps.Placer.Place(ctx, model, base, nil, d.times(time.Now()))
 }
 
-// LoadWait gives the time until a load asked for now would be done, as the
+// ExpectedLoadTime gives the time until a load asked for now would be done, as the
 // member that orders loads last told.
-func (p *Placer) LoadWait(now time.Time) time.Duration {
+func (p *Placer) ExpectedLoadTime(now time.Time) time.Duration {
 	host := fleet.First("loading/order", p.members.Candidates("", now))
 	if member, ok := p.members.Get(host); ok && member.LoadWaitMS > 0 {
 		return time.Duration(member.LoadWaitMS) * time.Millisecond
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -87,7 +87,7 @@
 
 // times gives the measured times that expected waits are made from.
 func (d *Dispatcher) times(now time.Time) routing.Times {
-	return routing.Times{Service: d.deps.Gate.Service(), Load: d.deps.Placer.LoadWait(now)}
+	return routing.Times{Service: d.deps.Gate.Service(), Load: d.deps.Placer.ExpectedLoadTime(now)}
 }
 
 // follow carries a decision out. It reports true once a use is taken; false
@@ -267,8 +267,8 @@
 	}()
 }
 
-// GiveBackIdle returns the pins that have not been used since a time.
-func (d *Dispatcher) GiveBackIdle(ctx context.Context, since time.Time) {
+// ReturnIdlePins returns the pins that have not been used since a time.
+func (d *Dispatcher) ReturnIdlePins(ctx context.Context, since time.Time) {
 	for _, ret := range d.deps.Holder.IdleSince(since) {
 		d.giveBack(ctx, ret.Pin.Runner, ret)
 	}
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -39,8 +39,8 @@
 	Text    string  `json:"text"`
 }
 
-// Story is a trace as operators read it.
-type Story struct {
+// TraceReport is a trace as operators read it.
+type TraceReport struct {
 	ID      string    `json:"id"`
 	Caller  string    `json:"caller"`
 	Model   string    `json:"model"`
@@ -72,12 +72,12 @@
 }
 
 // Find gives a request's story.
-func (t *Traces) Find(id string) (Story, bool) {
+func (t *Traces) Find(id string) (TraceReport, bool) {
 	t.mu.Lock()
 	trace := t.byID[id]
 	t.mu.Unlock()
 	if trace == nil {
-		return Story{}, false
+		return TraceReport{}, false
 	}
 	return trace.story(), true
 }
@@ -121,10 +121,10 @@
 	}
 }
 
-func (t *Trace) story() Story {
+func (t *Trace) story() TraceReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	story := Story{
+	story := TraceReport{
 		ID: t.id, Caller: t.caller, Model: t.model, Began: t.began, Runner: t.runner,
 		Verdict: t.verdict, Refusal: t.refusal, Notes: append([]Note(nil), t.notes...),
 	}
--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -48,7 +48,7 @@
 // Count counts one request. At the model's home it goes into the estimate;
 // elsewhere it waits for the next heartbeat to the home.
 func (k *demandKeeper) Count(model string, now time.Time) {
-	home := dispatch.Home(model, k.node.candidates(now))
+	home := dispatch.HomeHost(model, k.node.candidates(now))
 	if home == "" || home == k.node.cfg.Host {
 		k.estimator.Add(model, 1, now)
 		return
@@ -119,7 +119,7 @@
 			continue
 		}
 		for _, slot := range view.Models {
-			if dispatch.Home(slot.Model, candidates) == k.node.cfg.Host {
+			if dispatch.HomeHost(slot.Model, candidates) == k.node.cfg.Host {
 				rates = append(rates, demand.Count{Model: slot.Model, N: k.estimator.PerSecond(slot.Model, now)})
 			}
 		}
--- a/internal/node/foresight.go
+++ b/internal/node/foresight.go
@@ -147,7 +147,7 @@
 
 // prefetch asks for a load of a model that is nowhere; it reports whether it did.
 func (n *Node) prefetch(ctx context.Context, forecast demand.Forecast, now time.Time) bool {
-	if dispatch.Home(forecast.Model, n.candidates(now)) != n.cfg.Host || len(n.table.RunnersWith(forecast.Model)) > 0 {
+	if dispatch.HomeHost(forecast.Model, n.candidates(now)) != n.cfg.Host || len(n.table.RunnersWith(forecast.Model)) > 0 {
 		return false
 	}
 	name, _ := inventory.SplitModel(forecast.Model)
@@ -155,7 +155,7 @@
 	if !ok {
 		return false
 	}
-	runner, ok := n.dispatcher.PlaceAhead(ctx, forecast.Model, adapter.Base)
+	runner, ok := n.dispatcher.PlacePrefetch(ctx, forecast.Model, adapter.Base)
 	if !ok {
 		return false
 	}
@@ -203,7 +203,7 @@
 	now := time.Now()
 	candidates := n.candidates(now)
 	saved = slices.DeleteFunc(saved, func(item demand.SavedEstimate) bool {
-		return dispatch.Home(item.Model, candidates) != n.cfg.Host
+		return dispatch.HomeHost(item.Model, candidates) != n.cfg.Host
 	})
 	n.demand.estimator.Restore(saved, now)
 	return object.Version
@@ -236,7 +236,7 @@
 	candidates := n.candidates(now)
 	byHome := map[string][]demand.SavedEstimate{}
 	for _, item := range n.demand.estimator.Save(now, demandSaved) {
-		if home := dispatch.Home(item.Model, candidates); home != "" && home != n.cfg.Host {
+		if home := dispatch.HomeHost(item.Model, candidates); home != "" && home != n.cfg.Host {
 			byHome[home] = append(byHome[home], item)
 		}
 	}
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -42,7 +42,7 @@
 func (c *cluster) stalls() int64 {
 	var stalls int64
 	for _, node := range c.nodes {
-		stalls += node.metrics.Figures().Stalls
+		stalls += node.metrics.Snapshot().Stalls
 	}
 	return stalls
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,7 +10,7 @@
 // figures are this host's metrics. docs/operators/metrics.md lists them with
 // their units.
 type figures struct {
-	dispatch.Figures
+	dispatch.MetricsSnapshot
 	Revision        uint64  `json:"revision"`
 	Adapters        int     `json:"adapters"`
 	Open            int     `json:"requests_open"`
@@ -38,7 +38,7 @@
 	now := time.Now()
 	snapshot := n.follower.Snapshot()
 	f := figures{
-		Figures: n.metrics.Figures(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
+		MetricsSnapshot: n.metrics.Snapshot(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
 		Open: n.streams.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.budget.Denied(),
 		PinsHeld: n.holder.PinCount(), RunnersOwned: len(n.controller.Owned()),
 		LeaseSeconds: max(0, n.controller.LeaseValidUntil().Sub(now).Seconds()), LoadsWanted: n.controller.AwaitedLoads(),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -78,7 +78,7 @@
 	gate       *dispatch.Gate
 	metrics    *dispatch.Metrics
 	traces     *dispatch.Traces
-	budget     *dispatch.Budget
+	budget     *dispatch.RetryBudget
 	streams    *streams
 	placer     *dispatch.Placer
 
@@ -153,7 +153,7 @@
 	n.gate = dispatch.NewGate(l.MaxStreams, l.MaxQueue, l.MaxWait, usualService)
 	n.metrics = &dispatch.Metrics{}
 	n.traces = dispatch.NewTraces()
-	n.budget = dispatch.NewBudget(l.RetryBudget)
+	n.budget = dispatch.NewRetryBudget(l.RetryBudget)
 	n.streams = newStreams(l.MaxStreams + l.MaxQueue)
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -51,7 +51,7 @@
 	wg.Go(func() { timing.Every(ctx, foresightInterval, func() { n.inheritDemand(ctx) }) })
 	wg.Go(func() { timing.Every(ctx, shareInterval, func() { n.claimShares(ctx) }) })
 	wg.Go(func() {
-		timing.Every(ctx, idleInterval, func() { n.dispatcher.GiveBackIdle(ctx, time.Now().Add(-pinIdle)) })
+		timing.Every(ctx, idleInterval, func() { n.dispatcher.ReturnIdlePins(ctx, time.Now().Add(-pinIdle)) })
 	})
 	wg.Go(func() { timing.Every(ctx, sweepInterval, func() { n.sweepClaims(ctx) }) })
 	wg.Wait()
@@ -182,7 +182,7 @@
 	n.releaseShares(ctx)
 	n.handDemand(ctx)
 	n.announce()
-	n.dispatcher.HandedOver()
+	n.dispatcher.HandoverDone()
 }
 
 // Shutdown ends this host's service without cutting a request off: it is not
@@ -225,7 +225,7 @@
 // farewell gives all unused pins back: left out, they would block evictions for
 // as long as the platform lists this host.
 func (n *Node) farewell() {
-	n.dispatcher.GiveBackIdle(n.context(), time.Now().Add(time.Hour))
+	n.dispatcher.ReturnIdlePins(n.context(), time.Now().Add(time.Hour))
 	timing.Sleep(n.context(), farewellTime)
 }
 
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -114,7 +114,7 @@
 	status := adminapi.Status{
 		Host: n.cfg.Host, Now: now.UTC(), Revision: snapshot.Revision(), Adapters: snapshot.Len(),
 		LeaseValid: now.Before(n.controller.LeaseValidUntil()), Services: n.hosts.ByRole(fleet.RoleService),
-		Loads: n.loads.View(), Requests: n.metrics.Figures(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(),
+		Loads: n.loads.View(), Requests: n.metrics.Snapshot(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(),
 	}
 	for _, member := range n.members.All() {
 		host, _ := n.hosts.Host(member.Host)
@@ -140,8 +140,8 @@
 }
 
 type explainResult struct {
-	Found bool           `json:"found"`
-	Story dispatch.Story `json:"story"`
+	Found bool                 `json:"found"`
+	Story dispatch.TraceReport `json:"story"`
 }
 
 func (n *Node) registerOwn(mux *peer.Mux) {
@@ -160,7 +160,7 @@
 }
 
 // Explain gives the story of a request, from whichever host served it.
-func (n *Node) Explain(ctx context.Context, request string) (dispatch.Story, bool) {
+func (n *Node) Explain(ctx context.Context, request string) (dispatch.TraceReport, bool) {
 	if story, ok := n.traces.Find(request); ok {
 		return story, true
 	}
@@ -174,7 +174,7 @@
 			return result.Story, true
 		}
 	}
-	return dispatch.Story{}, false
+	return dispatch.TraceReport{}, false
 }
 
 func (n *Node) call(ctx context.Context, address, method string, params, result any) error {
