--- a/internal/control/evict.go
+++ b/internal/control/evict.go
@@ -37,28 +37,28 @@
 const foreseenMargin = 0.5
 
 // victimsFor gives the models that may be evicted for a load.
-func (c *Controller) victimsFor(m *managed, ask loading.Ask, now time.Time) []residency.Candidate {
+func (c *Controller) victimsFor(m *managed, ask loading.Ask, now time.Time) []residency.EvictionCandidate {
 	candidates := c.victims(m, now)
 	if ask.Class == loading.ClassWaiting {
 		return candidates
 	}
-	return slices.DeleteFunc(candidates, func(candidate residency.Candidate) bool {
+	return slices.DeleteFunc(candidates, func(candidate residency.EvictionCandidate) bool {
 		return !candidate.InDoubt && c.deps.Demand.PerSecond(candidate.Model, now) > foreseenMargin*ask.Value
 	})
 }
 
 // victims orders the models that could be evicted: in doubt and useless
 // first, then by the expected uses that their eviction would cost.
-func (c *Controller) victims(m *managed, now time.Time) []residency.Candidate {
+func (c *Controller) victims(m *managed, now time.Time) []residency.EvictionCandidate {
 	wanted := m.wantedModels()
-	candidates := slices.DeleteFunc(m.runner.Candidates(), func(candidate residency.Candidate) bool {
+	candidates := slices.DeleteFunc(m.runner.EvictionCandidates(), func(candidate residency.EvictionCandidate) bool {
 		return candidate.Running > 0 || wanted[candidate.Model]
 	})
 	value := make(map[string]float64, len(candidates))
 	for _, candidate := range candidates {
 		value[candidate.Model] = c.deps.Demand.PerSecond(candidate.Model, now)
 	}
-	slices.SortFunc(candidates, func(a, b residency.Candidate) int {
+	slices.SortFunc(candidates, func(a, b residency.EvictionCandidate) int {
 		if a.InDoubt != b.InDoubt {
 			if a.InDoubt {
 				return -1
@@ -90,7 +90,7 @@
 	return err
 }
 
-func (c *Controller) recall(ctx context.Context, m *managed, pinned []residency.PinnedBy) {
+func (c *Controller) recall(ctx context.Context, m *managed, pinned []residency.HolderPin) {
 	var wg sync.WaitGroup
 	for _, out := range pinned {
 		wg.Go(func() { c.recallOne(ctx, m, out) })
@@ -98,7 +98,7 @@
 	wg.Wait()
 }
 
-func (c *Controller) recallOne(ctx context.Context, m *managed, out residency.PinnedBy) {
+func (c *Controller) recallOne(ctx context.Context, m *managed, out residency.HolderPin) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var result recallResult
@@ -111,7 +111,7 @@
 		}
 	}
 	if result.Returned {
-		m.runner.Returned(out.Holder, result.Return, time.Now())
+		m.runner.AcceptReturn(out.Holder, result.Return, time.Now())
 	}
 }
 
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -186,7 +186,7 @@
 	if _, present := m.runner.State(ask.Model); present {
 		return false, nil
 	}
-	if m.runner.Free() <= 0 && len(c.victimsFor(m, ask, time.Now())) == 0 {
+	if m.runner.FreeSlots() <= 0 && len(c.victimsFor(m, ask, time.Now())) == 0 {
 		// A caller waits for room; a foreseen need is dropped and may come again.
 		return ask.Class == loading.ClassWaiting, errNoVictim
 	}
@@ -220,7 +220,7 @@
 	}
 	switch {
 	case err == nil:
-		m.runner.Loaded(model, now)
+		m.runner.LoadSucceeded(model, now)
 	case verdict.Of(err) == verdict.NotRun:
 		m.runner.LoadFailed(model)
 		c.loseIfStale(m, err)
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -68,7 +68,7 @@
 	}
 	self := c.cfg.Self
 	ended := record.Owner != "" && c.LeaseEnded(ctx, record.Owner, record.Incarnation)
-	next, err := record.Take(self.Host, self.Incarnation, ended)
+	next, err := record.TakeOver(self.Host, self.Incarnation, ended)
 	if err != nil {
 		c.watchOwner(ctx, record.Owner)
 		return
@@ -134,7 +134,7 @@
 // release gives a runner to its next owner: no order is begun any more, and
 // the record is freed once those under way have ended.
 func (c *Controller) release(ctx context.Context, m *managed) {
-	m.runner.Lose()
+	m.runner.EndOwnership()
 	m.stop()
 	<-m.done
 	m.mu.Lock()
@@ -153,7 +153,7 @@
 	m := c.managed[id]
 	delete(c.managed, id)
 	c.mu.Unlock()
-	m.runner.Lose()
+	m.runner.EndOwnership()
 	m.stop()
 }
 
@@ -161,7 +161,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, m := range c.managed {
-		m.runner.Lose()
+		m.runner.EndOwnership()
 		m.stop()
 	}
 }
--- a/internal/control/pins.go
+++ b/internal/control/pins.go
@@ -51,8 +51,8 @@
 }
 
 type recallResult struct {
-	Returned bool             `json:"returned"`
-	Return   residency.Return `json:"return"`
+	Returned bool                `json:"returned"`
+	Return   residency.PinReturn `json:"return"`
 }
 
 type listParams struct {
@@ -71,7 +71,7 @@
 
 // ReturnParams gives pins back to their owner.
 type ReturnParams struct {
-	Returns []residency.Return `json:"returns"`
+	Returns []residency.PinReturn `json:"returns"`
 }
 
 // MissingParams tells an owner that an engine has said it lacks a model.
@@ -133,7 +133,7 @@
 		if refusal := refusalOf(err); refusal != "" {
 			return AcquireResult{Refusal: refusal}, nil
 		}
-		if errors.Is(err, residency.ErrClosing) {
+		if errors.Is(err, residency.ErrEvicting) {
 			// Somebody wants the model after all: a recall is called off.
 			m.runner.CancelRecall(p.Model)
 		}
@@ -178,10 +178,10 @@
 }
 
 // TakeBack takes pins back from a holder.
-func (c *Controller) TakeBack(holder string, returns []residency.Return) {
+func (c *Controller) TakeBack(holder string, returns []residency.PinReturn) {
 	for _, ret := range returns {
 		if m := c.find(ret.Pin.Runner); m != nil {
-			m.runner.Returned(holder, ret, time.Now())
+			m.runner.AcceptReturn(holder, ret, time.Now())
 		}
 	}
 }
@@ -189,13 +189,13 @@
 // Missing notes that an engine has said it lacks a model.
 func (c *Controller) Missing(p MissingParams) {
 	if m := c.find(p.Runner); m != nil {
-		m.runner.Missing(p.Model, time.Now())
+		m.runner.ModelMissing(p.Model, time.Now())
 		c.notify(m)
 	}
 }
 
 func (c *Controller) listPins(p listParams) listResult {
-	pins, complete := c.deps.Holder.List(p.Runner, p.Fence)
+	pins, complete := c.deps.Holder.ListPins(p.Runner, p.Fence)
 	result := listResult{Incarnation: c.cfg.Self.Incarnation, Pins: pins, Complete: complete}
 	c.mu.Lock()
 	m := c.managed[p.Runner]
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -38,8 +38,8 @@
 			fenced = err == nil
 		}
 		if err == nil {
-			m.runner.Observe(report, asked)
-			m.runner.Open()
+			m.runner.ApplyReport(report, asked)
+			m.runner.EnableGrants()
 			c.hearHolders(ctx, m)
 			c.settleDoubts(m, time.Now())
 			c.notify(m)
@@ -81,7 +81,7 @@
 	var refused *engine.OrderError
 	if errors.As(err, &refused) && refused.Code == engine.CodeStaleFence {
 		c.deps.Log.Warn("engine has a later owner; runner given up", "runner", m.host.ID)
-		m.runner.Lose()
+		m.runner.EndOwnership()
 		m.stop()
 	}
 }
@@ -94,7 +94,7 @@
 		return
 	}
 	var wg sync.WaitGroup
-	for _, host := range m.runner.Unheard() {
+	for _, host := range m.runner.PendingHolders() {
 		wg.Go(func() { c.hearHolder(ctx, m, host, fence) })
 	}
 	wg.Wait()
@@ -102,14 +102,14 @@
 
 func (c *Controller) hearHolder(ctx context.Context, m *managed, host string, fence uint64) {
 	if c.deps.Hosts.Removed(host) {
-		m.runner.Ended(host, "", time.Now())
+		m.runner.ProcessEnded(host, "", time.Now())
 		return
 	}
 	list, err := c.askPins(ctx, host, m.host.ID, fence)
 	if err != nil || !list.Complete {
 		return
 	}
-	m.runner.Heard(host, list.Incarnation, list.Pins, time.Now())
+	m.runner.AddReportedPins(host, list.Incarnation, list.Pins, time.Now())
 	c.noteOrders(m, host, list)
 }
 
@@ -118,15 +118,15 @@
 func (c *Controller) noteNewMembers(m *managed) {
 	for _, member := range c.deps.Members.All() {
 		if c.deps.Hosts.Removed(member.Host) {
-			m.runner.Ended(member.Host, "", time.Now())
+			m.runner.ProcessEnded(member.Host, "", time.Now())
 			continue
 		}
-		m.runner.Joined(member.Host, member.Incarnation)
-		m.runner.Ended(member.Host, member.Incarnation, time.Now())
+		m.runner.MemberSeen(member.Host, member.Incarnation)
+		m.runner.ProcessEnded(member.Host, member.Incarnation, time.Now())
 	}
 	for _, host := range c.deps.Hosts.ByRole(fleet.RoleEntry) {
 		if _, known := c.deps.Members.Get(host.ID); !known {
-			m.runner.Joined(host.ID, "")
+			m.runner.MemberSeen(host.ID, "")
 		}
 	}
 }
@@ -180,7 +180,7 @@
 		over[intent] = now.Sub(since) > c.cfg.MaxOrderDelay
 	}
 	m.mu.Unlock()
-	m.runner.SettleDoubts(func(intent residency.Intent) bool { return over[intent] })
+	m.runner.ResolveInDoubt(func(intent residency.Intent) bool { return over[intent] })
 	m.forgetOver(over)
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -32,7 +32,7 @@
 // Owner is this host's own side as an owner of runners.
 type Owner interface {
 	Acquire(ctx context.Context, from peer.Identity, p control.AcquireParams) (control.AcquireResult, error)
-	TakeBack(holder string, returns []residency.Return)
+	TakeBack(holder string, returns []residency.PinReturn)
 	Missing(p control.MissingParams)
 	Prefetch(runner, model string, value float64) bool
 }
@@ -285,7 +285,7 @@
 func (d *Dispatcher) settle(ctx context.Context, req Request, spot spot, failure *engine.Failure, trace *Trace) {
 	now := time.Now()
 	clean := failure == nil || failure.Verdict() == verdict.NotRun
-	if ret, due := d.deps.Holder.Done(spot.runner.ID, req.Model, clean, now); due {
+	if ret, due := d.deps.Holder.EndUse(spot.runner.ID, req.Model, clean, now); due {
 		d.giveBack(ctx, spot.runner.ID, ret)
 	}
 	d.deps.Breakers.Leave(spot.runner.ID, healthy(failure), now)
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -81,7 +81,7 @@
 func (d *Dispatcher) reachable(model string, now time.Time) []routing.Located {
 	located := d.deps.Table.RunnersWith(model)
 	return slices.DeleteFunc(located, func(l routing.Located) bool {
-		return !d.deps.Members.Alive(l.Owner, now) && !d.deps.Holder.Holds(l.ID, model)
+		return !d.deps.Members.Alive(l.Owner, now) && !d.deps.Holder.CanUse(l.ID, model)
 	})
 }
 
@@ -119,7 +119,7 @@
 		timing.Sleep(ctx, viewPause)
 		return false, nil
 	}
-	if result.Pin != nil && d.deps.Holder.Granted(*result.Pin, time.Now()) && d.use(ctx, runner.ID, req.Model) {
+	if result.Pin != nil && d.deps.Holder.AcceptGrant(*result.Pin, time.Now()) && d.use(ctx, runner.ID, req.Model) {
 		return true, nil
 	}
 	return false, d.refused(ctx, runner.ID, result.Refusal, state)
@@ -128,13 +128,13 @@
 // use takes a use of a pin and the breaker's leave to try the runner.
 func (d *Dispatcher) use(ctx context.Context, runner, model string) bool {
 	now := time.Now()
-	if !d.deps.Holder.Use(runner, model) {
+	if !d.deps.Holder.BeginUse(runner, model) {
 		return false
 	}
 	if d.deps.Breakers.Enter(runner, now) {
 		return true
 	}
-	if ret, due := d.deps.Holder.Done(runner, model, true, now); due {
+	if ret, due := d.deps.Holder.EndUse(runner, model, true, now); due {
 		d.giveBack(ctx, runner, ret)
 	}
 	return false
@@ -227,13 +227,13 @@
 }
 
 // giveBack returns a pin to the owner of its runner.
-func (d *Dispatcher) giveBack(ctx context.Context, runner string, ret residency.Return) {
+func (d *Dispatcher) giveBack(ctx context.Context, runner string, ret residency.PinReturn) {
 	owner, _ := d.deps.Table.Get(runner)
 	if owner.Owner == d.cfg.Self.Host {
-		d.deps.Owner.TakeBack(d.cfg.Self.Host, []residency.Return{ret})
+		d.deps.Owner.TakeBack(d.cfg.Self.Host, []residency.PinReturn{ret})
 		return
 	}
-	d.tell(ctx, owner.Owner, control.MethodReturn, control.ReturnParams{Returns: []residency.Return{ret}})
+	d.tell(ctx, owner.Owner, control.MethodReturn, control.ReturnParams{Returns: []residency.PinReturn{ret}})
 }
 
 // missing drops the pin on a model that the engine does not have, and tells
@@ -269,7 +269,7 @@
 
 // ReturnIdlePins returns the pins that have not been used since a time.
 func (d *Dispatcher) ReturnIdlePins(ctx context.Context, since time.Time) {
-	for _, ret := range d.deps.Holder.IdleSince(since) {
+	for _, ret := range d.deps.Holder.ReturnIdle(since) {
 		d.giveBack(ctx, ret.Pin.Runner, ret)
 	}
 }
--- a/internal/residency/holder.go
+++ b/internal/residency/holder.go
@@ -9,9 +9,9 @@
 
 const holderShards = 64
 
-// Pin is an owner's standing permission to send requests for a model to a
-// runner. It stands until it is given back; no clock ends it, since a holder
-// that was paused cannot know that its time is over.
+// Pin is an owner's permission to send requests for a model to a runner. It is
+// valid until it is returned and never expires by time, since a holder that was
+// paused could not know that it had expired.
 type Pin struct {
 	Runner string `json:"runner"`
 	Model  string `json:"model"`
@@ -19,30 +19,31 @@
 	Seq    uint64 `json:"seq"`
 }
 
-// Return is a pin given back. Clean says that every request that used it has
-// come to its end; otherwise the engine may still be at work on one.
-type Return struct {
+// PinReturn is a returned pin. Clean is set if every request that used it has
+// finished; otherwise the engine may still be working on one.
+type PinReturn struct {
 	Pin   Pin  `json:"pin"`
 	Clean bool `json:"clean"`
 }
 
-// Holder is an entry host's side of pins. It is safe for concurrent use; the
-// runners are divided into shards with a lock each.
+// Holder tracks the pins that an entry host holds. It is safe for concurrent
+// use; runners are sharded, with one lock per shard.
 type Holder struct {
 	shards [holderShards]holderShard
 }
 
 type holderShard struct {
 	mu      sync.Mutex
-	runners map[string]*heldRunner
+	runners map[string]*runnerPins
 }
 
-type heldRunner struct {
+type runnerPins struct {
 	fence uint64
 	pins  map[string]*heldPin
-	// void holds, for each model, the highest pin that was recalled before
-	// its grant arrived.
-	void map[string]uint64
+	// voidedSeqs holds, for each model, the highest sequence number recalled so
+	// far. A grant up to that number is void, even if it arrives after its
+	// recall.
+	voidedSeqs map[string]uint64
 }
 
 type heldPin struct {
@@ -50,14 +51,14 @@
 	uses     int
 	recalled bool
 	unclean  bool
-	idle     time.Time
+	lastUsed time.Time
 }
 
-// NewHolder makes a holder without pins.
+// NewHolder returns a holder without pins.
 func NewHolder() *Holder {
 	h := &Holder{}
 	for i := range h.shards {
-		h.shards[i].runners = map[string]*heldRunner{}
+		h.shards[i].runners = map[string]*runnerPins{}
 	}
 	return h
 }
@@ -66,16 +67,16 @@
 	return &h.shards[xxhash.Sum64String(runner)%holderShards]
 }
 
-func (s *holderShard) runner(id string) *heldRunner {
+func (s *holderShard) runner(id string) *runnerPins {
 	held := s.runners[id]
 	if held == nil {
-		held = &heldRunner{pins: map[string]*heldPin{}, void: map[string]uint64{}}
+		held = &runnerPins{pins: map[string]*heldPin{}, voidedSeqs: map[string]uint64{}}
 		s.runners[id] = held
 	}
 	return held
 }
 
-// pin gives the pin held on a model, or nil.
+// pin returns the pin held on a model, or nil.
 func (s *holderShard) pin(runner, model string) *heldPin {
 	held := s.runners[runner]
 	if held == nil {
@@ -84,11 +85,11 @@
 	return held.pins[model]
 }
 
-// Granted takes a pin over and reports whether it may be used. Two grants are
-// refused: one whose recall overtook it on the way (its owner already counts
-// it as given back), and one of an owner that has a successor (the successor
-// does not know of it).
-func (h *Holder) Granted(pin Pin, now time.Time) bool {
+// AcceptGrant stores a granted pin and reports whether it may be used. It
+// refuses a grant whose recall arrived first, since the owner already counts
+// the pin as returned, and a grant of an owner that has been succeeded, since
+// the successor does not know of it.
+func (h *Holder) AcceptGrant(pin Pin, now time.Time) bool {
 	s := h.shard(pin.Runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -96,13 +97,13 @@
 	if pin.Fence < held.fence {
 		return false
 	}
-	held.raise(pin.Fence)
-	if pin.Seq <= held.void[pin.Model] {
+	held.adoptFence(pin.Fence)
+	if pin.Seq <= held.voidedSeqs[pin.Model] {
 		return false
 	}
 	current := held.pins[pin.Model]
 	if current == nil {
-		held.pins[pin.Model] = &heldPin{seq: pin.Seq, idle: now}
+		held.pins[pin.Model] = &heldPin{seq: pin.Seq, lastUsed: now}
 		return true
 	}
 	if pin.Seq > current.seq {
@@ -112,32 +113,32 @@
 	return true
 }
 
-// raise notes a new owner. It numbers its pins afresh, so those held from the
-// owner before count as its number zero, and what that owner recalled and has
-// not got back is the new owner's to recall.
-func (r *heldRunner) raise(fence uint64) {
+// adoptFence records a new owner. The new owner numbers its pins from one, so
+// pins held from the previous owner get number zero. Recalls of the previous
+// owner are cleared: the new owner has to recall those pins itself.
+func (r *runnerPins) adoptFence(fence uint64) {
 	if fence <= r.fence {
 		return
 	}
 	r.fence = fence
-	r.void = map[string]uint64{}
+	r.voidedSeqs = map[string]uint64{}
 	for _, pin := range r.pins {
 		pin.seq = 0
 		pin.recalled = false
 	}
 }
 
-// ObserveFence notes the fencing number of a runner's owner, heard from a peer, so
-// that a grant of an earlier owner is refused.
+// ObserveFence records the fencing token of a runner's owner, as reported by a
+// peer, so that grants of earlier owners are refused.
 func (h *Holder) ObserveFence(runner string, fence uint64) {
 	s := h.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.runner(runner).raise(fence)
+	s.runner(runner).adoptFence(fence)
 }
 
-// Holds says whether a use could begin now.
-func (h *Holder) Holds(runner, model string) bool {
+// CanUse reports whether a use could begin now.
+func (h *Holder) CanUse(runner, model string) bool {
 	s := h.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,8 +146,9 @@
 	return pin != nil && !pin.recalled
 }
 
-// Use begins a use of a model on a runner; false if no pin allows it.
-func (h *Holder) Use(runner, model string) bool {
+// BeginUse begins a use of a model on a runner. It returns false if no pin
+// allows it.
+func (h *Holder) BeginUse(runner, model string) bool {
 	s := h.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,68 +160,70 @@
 	return true
 }
 
-// Done ends a use; clean says that the request came to its end on the engine.
-// It gives the pin back if it was recalled and this was its last use.
-func (h *Holder) Done(runner, model string, clean bool, now time.Time) (Return, bool) {
+// EndUse ends a use. clean means that the request has finished on the engine.
+// If the pin was recalled and this was its last use, EndUse returns the pin to
+// send back.
+func (h *Holder) EndUse(runner, model string, clean bool, now time.Time) (PinReturn, bool) {
 	s := h.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pin := s.pin(runner, model)
 	if pin == nil {
-		return Return{}, false
+		return PinReturn{}, false
 	}
 	pin.uses--
-	pin.idle = now
+	pin.lastUsed = now
 	pin.unclean = pin.unclean || !clean
 	if !pin.recalled || pin.uses > 0 {
-		return Return{}, false
+		return PinReturn{}, false
 	}
-	return s.runners[runner].giveBack(runner, model), true
+	return s.runners[runner].removePin(runner, model), true
 }
 
-func (r *heldRunner) giveBack(runner, model string) Return {
+func (r *runnerPins) removePin(runner, model string) PinReturn {
 	pin := r.pins[model]
 	delete(r.pins, model)
-	return Return{
+	return PinReturn{
 		Pin:   Pin{Runner: runner, Model: model, Fence: r.fence, Seq: pin.seq},
 		Clean: !pin.unclean,
 	}
 }
 
-// Recall asks for a pin back. It is given back at once when unused, and by
-// Done after its last use otherwise; from now on no use begins. A recall of a
-// pin that has not arrived yet makes its grant void.
-func (h *Holder) Recall(pin Pin) (Return, bool) {
+// Recall requests a pin back and allows no new use of it. An unused pin is
+// returned at once, a pin in use by EndUse after its last use. If the grant has
+// not arrived yet, it is void.
+func (h *Holder) Recall(pin Pin) (PinReturn, bool) {
 	s := h.shard(pin.Runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	held := s.runner(pin.Runner)
 	if pin.Fence < held.fence {
-		return Return{}, false
+		return PinReturn{}, false
 	}
-	held.raise(pin.Fence)
-	held.void[pin.Model] = max(held.void[pin.Model], pin.Seq)
+	held.adoptFence(pin.Fence)
+	held.voidedSeqs[pin.Model] = max(held.voidedSeqs[pin.Model], pin.Seq)
 	current := held.pins[pin.Model]
 	if current == nil {
-		return Return{Pin: pin, Clean: true}, true
+		return PinReturn{Pin: pin, Clean: true}, true
 	}
 	current.seq = max(current.seq, pin.Seq)
 	current.recalled = true
 	if current.uses > 0 {
-		return Return{}, false
+		return PinReturn{}, false
 	}
-	return held.giveBack(pin.Runner, pin.Model), true
+	return held.removePin(pin.Runner, pin.Model), true
 }
 
-// HeldPin is a pin as a new owner asks for it.
+// HeldPin is a held pin as reported to a new owner.
 type HeldPin struct {
 	Model string `json:"model"`
 	Uses  int    `json:"uses"`
 }
 
-// List tells a new owner which pins this host holds on a runner. From now on
-// grants under a lower fence are refused, so the list stays complete.
-func (h *Holder) List(runner string, fence uint64) ([]HeldPin, bool) {
+// ListPins returns the pins that this host holds on a runner, for its new
+// owner. Grants with a lower fence are refused from now on, so the list stays
+// complete. It returns false if this host knows a later owner.
+func (h *Holder) ListPins(runner string, fence uint64) ([]HeldPin, bool) {
 	s := h.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -227,7 +231,7 @@
 	if fence < held.fence {
 		return nil, false
 	}
-	held.raise(fence)
+	held.adoptFence(fence)
 	var list []HeldPin
 	for model, pin := range held.pins {
 		list = append(list, HeldPin{Model: model, Uses: pin.uses})
@@ -235,33 +239,33 @@
 	return list, true
 }
 
-// Drop forgets an unused pin that the engine has shown to be worthless (the
-// model is no longer loaded) and gives it back.
-func (h *Holder) Drop(runner, model string) (Return, bool) {
+// Drop returns the pin on a model that the engine no longer has. A pin in use
+// is returned by EndUse after its last use.
+func (h *Holder) Drop(runner, model string) (PinReturn, bool) {
 	s := h.shard(runner)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	pin := s.pin(runner, model)
 	if pin == nil {
-		return Return{}, false
+		return PinReturn{}, false
 	}
 	pin.recalled = true
 	if pin.uses > 0 {
-		return Return{}, false
+		return PinReturn{}, false
 	}
-	return s.runners[runner].giveBack(runner, model), true
+	return s.runners[runner].removePin(runner, model), true
 }
 
-// IdleSince gives back the pins that have had no use since a time.
-func (h *Holder) IdleSince(limit time.Time) []Return {
-	var returns []Return
+// ReturnIdle returns the unused pins whose last use was before cutoff.
+func (h *Holder) ReturnIdle(cutoff time.Time) []PinReturn {
+	var returns []PinReturn
 	for i := range h.shards {
 		s := &h.shards[i]
 		s.mu.Lock()
 		for runner, held := range s.runners {
 			for model, pin := range held.pins {
-				if pin.uses == 0 && pin.idle.Before(limit) {
-					returns = append(returns, held.giveBack(runner, model))
+				if pin.uses == 0 && pin.lastUsed.Before(cutoff) {
+					returns = append(returns, held.removePin(runner, model))
 				}
 			}
 		}
@@ -270,7 +274,7 @@
 	return returns
 }
 
-// PinCount gives the number of pins held.
+// PinCount returns the number of pins held.
 func (h *Holder) PinCount() int {
 	count := 0
 	for i := range h.shards {
--- a/internal/residency/record.go
+++ b/internal/residency/record.go
@@ -1,9 +1,9 @@
-// Package residency is the aggregate of what is loaded where: for each runner
-// its one owner, its slots, the pins that entry hosts hold on them, and the
-// orders under way.
+// Package residency tracks which models are loaded on which runner: for each
+// runner its only owner, its slots, the pins that entry hosts hold on them, and
+// the orders in flight.
 //
-// Its rule: an adapter is evicted only when no pin on it is out and no use of
-// it can still be under way, whoever paused and whatever order comes late.
+// Invariant: an adapter is evicted only when no pin on it is held and no
+// request can still be using it, even if processes pause or orders arrive late.
 package residency
 
 import (
@@ -12,41 +12,43 @@
 	"github.com/pkg/errors"
 )
 
-// KeyPrefix is where runners' records stand in the object API.
+// KeyPrefix is the key prefix of runner records in the object API.
 const KeyPrefix = "runners/"
 
-// Key gives the object of a runner's record.
+// Key returns the object key of a runner's record.
 func Key(runner string) string { return KeyPrefix + runner }
 
-// Record is what is stored of a runner: its owner, and the evictions that an
-// owner may have under way.
+// Record is the stored state of a runner: its owner and the evictions that may
+// be in flight.
 type Record struct {
 	Runner string `json:"runner"`
-	// Owner and Incarnation name the owning process; empty when released.
+	// Owner and Incarnation identify the owning process; both are empty when
+	// the runner has been released.
 	Owner       string `json:"owner,omitempty"`
 	Incarnation string `json:"incarnation,omitempty"`
-	// Fence grows with each change of owner and never falls.
+	// Fence is the fencing token: it increases with every takeover and never
+	// decreases.
 	Fence   uint64   `json:"fence"`
 	Intents []Intent `json:"intents,omitempty"`
 }
 
-// Intent says that an eviction may be sent, or have been sent, under a fence
-// by an owner. It is written before the order goes out.
+// Intent records that an owner may have sent an eviction under a fence. It is
+// written before the order is sent.
 type Intent struct {
 	Model       string `json:"model"`
 	Fence       uint64 `json:"fence"`
 	Owner       string `json:"owner"`
 	Incarnation string `json:"incarnation"`
-	// Seq tells the owner's evictions of one model apart.
+	// Seq distinguishes the owner's evictions of one model.
 	Seq int `json:"seq"`
 }
 
-// ErrOwned refuses a takeover from an owner whose lease has not ended.
+// ErrOwned is returned for a takeover from an owner whose lease has not ended.
 var ErrOwned = errors.New("runner has an owner whose lease holds")
 
-// Take gives the record after a takeover. ownerEnded tells whether the lease
+// TakeOver returns the record after a takeover. ownerEnded is set if the lease
 // of the recorded owner's incarnation has ended in the object API.
-func (r Record) Take(host, incarnation string, ownerEnded bool) (Record, error) {
+func (r Record) TakeOver(host, incarnation string, ownerEnded bool) (Record, error) {
 	if r.Owner != "" && !ownerEnded && (r.Owner != host || r.Incarnation != incarnation) {
 		return Record{}, ErrOwned
 	}
@@ -58,7 +60,7 @@
 	return next, nil
 }
 
-// Release gives the record after its owner has let it go.
+// Release returns the record after its owner has released the runner.
 func (r Record) Release() Record {
 	next := r
 	next.Owner = ""
@@ -66,21 +68,22 @@
 	return next
 }
 
-// OwnedBy says whether the record names a process as owner under a fence.
+// OwnedBy reports whether the record names this process and fence as owner.
 func (r Record) OwnedBy(host, incarnation string, fence uint64) bool {
 	return r.Owner == host && r.Incarnation == incarnation && r.Fence == fence
 }
 
-// WithIntent gives the record with one more intent.
+// WithIntent returns the record with one more intent.
 func (r Record) WithIntent(intent Intent) Record {
 	next := r
 	next.Intents = append(slices.Clone(r.Intents), intent)
 	return next
 }
 
-// WithoutIntents gives the record without the intents that settled names.
-func (r Record) WithoutIntents(settled func(Intent) bool) Record {
+// WithoutIntents returns the record without the intents for which remove is
+// true.
+func (r Record) WithoutIntents(remove func(Intent) bool) Record {
 	next := r
-	next.Intents = slices.DeleteFunc(slices.Clone(r.Intents), settled)
+	next.Intents = slices.DeleteFunc(slices.Clone(r.Intents), remove)
 	return next
 }
--- a/internal/residency/runner.go
+++ b/internal/residency/runner.go
@@ -9,234 +9,243 @@
 	"github.com/pkg/errors"
 )
 
-// SlotState is what a slot of a runner is doing.
+// SlotState is the state of a slot.
 type SlotState string
 
-// States of a slot.
 const (
 	SlotLoading   SlotState = "loading"
 	SlotResident  SlotState = "resident"
 	SlotRecalling SlotState = "recalling"
 	SlotEvicting  SlotState = "evicting"
-	// SlotPending is the state of a model that is to be loaded and has no slot yet.
+	// SlotPending is the state of a model that is to be loaded and has no slot
+	// yet.
 	SlotPending SlotState = "wanted"
 )
 
-// Refusals of a pin.
+// Reasons for refusing a pin.
 var (
 	ErrNotOwner    = errors.New("this host does not own the runner")
 	ErrNotResident = errors.New("the model is not loaded on the runner")
-	ErrClosing     = errors.New("the model is being evicted from the runner")
+	ErrEvicting    = errors.New("the model is being evicted from the runner")
 	ErrInDoubt     = errors.New("an earlier owner may still evict the model from the runner")
 )
 
-// settleTime is allowed for what a dead process had sent to reach the engine
-// and show in a report.
-const settleTime = time.Second
+// inFlightGrace allows for requests of a dead process to reach the engine and
+// appear in a report.
+const inFlightGrace = time.Second
 
-// Runner is the owner's side of one runner. It is safe for concurrent use.
+// Runner is the owner's state of one runner. It is safe for concurrent use.
 type Runner struct {
-	mu          sync.Mutex
-	id          string
-	checksFence bool
-	owned       bool
-	ready       bool
-	fence       uint64
-	seq         uint64
-	slotCount   int
-	boot        string
-	slots       map[string]*slot
-	// lost holds the pins that are out on models that the engine lost.
-	lost    map[string]map[string]outPin
-	gone    map[string]time.Time
-	unheard map[string]bool
-	heard   map[string]string
-	doubts  map[string]Intent
-	// report is the newest; described is the time at which it was true.
-	report    engine.Report
-	described time.Time
+	mu            sync.Mutex
+	id            string
+	checksFence   bool
+	owned         bool
+	grantsEnabled bool
+	fence         uint64
+	seq           uint64
+	slotCount     int
+	boot          string
+	slots         map[string]*slot
+	// lostPins holds the pins granted on models that the engine has lost.
+	lostPins map[string]map[string]pinGrant
+	// removedAt holds when models were evicted or reported missing, so that an
+	// older report does not bring them back.
+	removedAt map[string]time.Time
+	// pendingHolders are the members that have not reported their pins yet.
+	pendingHolders       map[string]bool
+	reportedIncarnations map[string]string
+	// inDoubt holds the evictions, by model, that may still take effect.
+	inDoubt map[string]Intent
+	// report is the latest report, and reportTime the time that it describes.
+	report     engine.Report
+	reportTime time.Time
 }
 
 type slot struct {
 	state   SlotState
-	pins    map[string]outPin
+	pins    map[string]pinGrant
 	changed time.Time
 	lastUse time.Time
-	// busyUntil: only a report that describes a later time proves the model
-	// idle, because a holder ended without saying how its requests ended.
-	busyUntil time.Time
-	orphaned  time.Time
+	// idleReportAfter is set when a holder ended without reporting how its
+	// requests ended: only a report that describes a later time proves the
+	// model idle.
+	idleReportAfter time.Time
+	// loadEndsBy is set when the answer to a load order was lost: the time
+	// after which the load can no longer be in flight.
+	loadEndsBy time.Time
 }
 
-type outPin struct {
+type pinGrant struct {
 	seq         uint64
 	incarnation string
 }
 
-// NewRunner makes the owner's side of a runner that is not owned yet.
+// NewRunner returns the state of a runner that is not owned yet.
 func NewRunner(id string, checksFence bool) *Runner {
 	return &Runner{id: id, checksFence: checksFence, slots: map[string]*slot{}}
 }
 
-// TakeOver begins an ownership. members are the entry hosts that may hold
-// pins: until each has told its pins, or is proven dead, nothing is evicted.
+// TakeOver begins an ownership. members are the entry hosts that may hold pins:
+// nothing is evicted until each has reported its pins or is proven dead.
 func (r *Runner) TakeOver(record Record, members []string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.owned = true
-	r.ready = false
+	r.grantsEnabled = false
 	r.fence = record.Fence
 	r.seq = 0
 	r.slots = map[string]*slot{}
-	r.lost = map[string]map[string]outPin{}
-	r.gone = map[string]time.Time{}
-	r.heard = map[string]string{}
-	r.unheard = map[string]bool{}
+	r.lostPins = map[string]map[string]pinGrant{}
+	r.removedAt = map[string]time.Time{}
+	r.reportedIncarnations = map[string]string{}
+	r.pendingHolders = map[string]bool{}
 	for _, member := range members {
-		r.unheard[member] = true
+		r.pendingHolders[member] = true
 	}
-	r.doubts = map[string]Intent{}
+	r.inDoubt = map[string]Intent{}
 	if !r.checksFence {
 		for _, intent := range record.Intents {
-			r.doubts[intent.Model] = intent
+			r.inDoubt[intent.Model] = intent
 		}
 	}
-	r.described = time.Time{}
+	r.reportTime = time.Time{}
 }
 
-// Open lets pins be granted. An engine that checks fencing must have taken an
-// order under the new number first: until then an order of the earlier owner
-// could still come and be obeyed.
-func (r *Runner) Open() {
+// EnableGrants allows pins to be granted. An engine that checks fencing must
+// have accepted an order under the new fence first: until then it would still
+// obey an order of the previous owner.
+func (r *Runner) EnableGrants() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ready = r.owned
+	r.grantsEnabled = r.owned
 }
 
-// Lose ends the ownership.
-func (r *Runner) Lose() {
+// EndOwnership marks the runner as no longer owned.
+func (r *Runner) EndOwnership() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.owned = false
-	r.ready = false
+	r.grantsEnabled = false
 }
 
-// Owned gives the fencing number while the runner is owned.
+// Owned returns the fence, and whether the runner is owned.
 func (r *Runner) Owned() (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.fence, r.owned
 }
 
-// Observe takes a load report over that was asked for at a time. What the
-// report says was true its lag earlier.
-func (r *Runner) Observe(report engine.Report, asked time.Time) {
+// ApplyReport applies a load report that was requested at the time asked. The
+// report describes the state at that time less its lag.
+func (r *Runner) ApplyReport(report engine.Report, asked time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	described := asked.Add(-report.Lag())
-	if described.Before(r.described) {
+	describedAt := asked.Add(-report.Lag())
+	if describedAt.Before(r.reportTime) {
 		return
 	}
 	r.slotCount = report.Slots
 	if r.boot != "" && r.boot != report.BootID {
-		r.forgetResident()
+		r.dropResident()
 	}
 	r.boot = report.BootID
 	r.report = report
-	r.described = described
+	r.reportTime = describedAt
 	r.reconcile()
 }
 
-// forgetResident follows a cold start of the engine. Loads under way stay:
-// their own answers tell what became of them.
-func (r *Runner) forgetResident() {
+// dropResident drops the resident models after the engine was restarted cold.
+// Loads in flight stay: their own answers tell how they ended.
+func (r *Runner) dropResident() {
 	for model, s := range r.slots {
 		if s.state != SlotLoading {
-			r.loseSlot(model)
+			r.dropSlot(model)
 		}
 	}
 }
 
-// loseSlot drops the slot of a model that the engine has lost. Its pins stay:
-// their holders do not know, and use them again once the model is loaded again.
-func (r *Runner) loseSlot(model string) {
+// dropSlot drops the slot of a model that the engine has lost. Its pins are
+// kept: their holders do not know of the loss, and use them again once the
+// model is loaded again.
+func (r *Runner) dropSlot(model string) {
 	if s := r.slots[model]; s != nil && len(s.pins) > 0 {
-		r.lost[model] = s.pins
+		r.lostPins[model] = s.pins
 	}
 	delete(r.slots, model)
 }
 
-// addSlot makes a slot for a model, with the pins that were out on it before
+// addSlot adds a slot for a model, with the pins that were granted on it before
 // the engine lost it.
 func (r *Runner) addSlot(model string, state SlotState, now time.Time) *slot {
-	pins := r.lost[model]
+	pins := r.lostPins[model]
 	if pins == nil {
-		pins = map[string]outPin{}
+		pins = map[string]pinGrant{}
 	}
-	delete(r.lost, model)
+	delete(r.lostPins, model)
 	s := &slot{state: state, pins: pins, changed: now, lastUse: now}
 	r.slots[model] = s
 	return s
 }
 
-// pinsOn gives the pins that are out on a model, whether it has a slot or was lost.
-func (r *Runner) pinsOn(model string) map[string]outPin {
+// pinsOn returns the pins granted on a model, whether it has a slot or was
+// lost.
+func (r *Runner) pinsOn(model string) map[string]pinGrant {
 	if s := r.slots[model]; s != nil {
 		return s.pins
 	}
-	return r.lost[model]
+	return r.lostPins[model]
 }
 
-// reconcile settles the table against the report. A report older than the
-// last change of a slot says nothing about it.
+// reconcile updates the slots from the report. It ignores slots that changed
+// after the time that the report describes.
 func (r *Runner) reconcile() {
 	present := make(map[string]bool, len(r.report.Resident))
 	for _, resident := range r.report.Resident {
 		present[resident.Model] = true
-		r.settlePresent(resident.Model)
+		r.reconcileResident(resident.Model)
 		s := r.slots[resident.Model]
 		idle := resident.Running+resident.Queued == 0
-		if s != nil && idle && r.described.After(s.busyUntil) {
-			s.busyUntil = time.Time{}
+		if s != nil && idle && r.reportTime.After(s.idleReportAfter) {
+			s.idleReportAfter = time.Time{}
 		}
 	}
 	for model, s := range r.slots {
-		if present[model] || !r.described.After(s.changed) {
+		if present[model] || !r.reportTime.After(s.changed) {
 			continue
 		}
-		if s.state != SlotLoading || (!s.orphaned.IsZero() && r.described.After(s.orphaned)) {
-			r.loseSlot(model)
+		if s.state != SlotLoading || (!s.loadEndsBy.IsZero() && r.reportTime.After(s.loadEndsBy)) {
+			r.dropSlot(model)
 		}
 	}
-	for model, at := range r.gone {
-		if r.described.After(at) {
-			delete(r.gone, model)
+	for model, at := range r.removedAt {
+		if r.reportTime.After(at) {
+			delete(r.removedAt, model)
 		}
 	}
 }
 
-func (r *Runner) settlePresent(model string) {
+func (r *Runner) reconcileResident(model string) {
 	s := r.slots[model]
 	if s == nil {
-		if _, evicted := r.gone[model]; !evicted || r.described.After(r.gone[model]) {
-			r.addSlot(model, SlotResident, r.described)
+		if _, removed := r.removedAt[model]; !removed || r.reportTime.After(r.removedAt[model]) {
+			r.addSlot(model, SlotResident, r.reportTime)
 		}
 		return
 	}
-	if s.state == SlotLoading && !s.orphaned.IsZero() {
+	if s.state == SlotLoading && !s.loadEndsBy.IsZero() {
 		s.state = SlotResident
-		s.orphaned = time.Time{}
+		s.loadEndsBy = time.Time{}
 	}
 }
 
-// Grant gives a holder a pin on a loaded model.
+// Grant gives a holder a pin on a resident model.
 func (r *Runner) Grant(holder, incarnation, model string, now time.Time) (Pin, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.owned || !r.ready {
+	if !r.owned || !r.grantsEnabled {
 		return Pin{}, ErrNotOwner
 	}
-	if _, doubted := r.doubts[model]; doubted {
+	if _, doubted := r.inDoubt[model]; doubted {
 		return Pin{}, ErrInDoubt
 	}
 	s := r.slots[model]
@@ -244,17 +253,17 @@
 		return Pin{}, ErrNotResident
 	}
 	if s.state != SlotResident {
-		return Pin{}, ErrClosing
+		return Pin{}, ErrEvicting
 	}
 	r.seq++
-	s.pins[holder] = outPin{seq: r.seq, incarnation: incarnation}
+	s.pins[holder] = pinGrant{seq: r.seq, incarnation: incarnation}
 	s.lastUse = now
 	return Pin{Runner: r.id, Model: model, Fence: r.fence, Seq: r.seq}, nil
 }
 
-// Returned takes a pin back. A return older than the holder's newest grant is
-// one that the grant overtook, and is left aside.
-func (r *Runner) Returned(holder string, ret Return, now time.Time) {
+// AcceptReturn removes a returned pin. It ignores a return that is older than
+// the holder's latest grant.
+func (r *Runner) AcceptReturn(holder string, ret PinReturn, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ret.Pin.Fence != r.fence {
@@ -269,38 +278,38 @@
 	s := r.slots[ret.Pin.Model]
 	if s == nil {
 		if len(pins) == 0 {
-			delete(r.lost, ret.Pin.Model)
+			delete(r.lostPins, ret.Pin.Model)
 		}
 		return
 	}
 	s.lastUse = now
 	if !ret.Clean {
-		s.busyUntil = now.Add(settleTime)
+		s.idleReportAfter = now.Add(inFlightGrace)
 	}
 }
 
-// Heard takes over the pins that a member told.
-func (r *Runner) Heard(member, incarnation string, pins []HeldPin, now time.Time) {
+// AddReportedPins adds the pins that a member reports to hold.
+func (r *Runner) AddReportedPins(member, incarnation string, pins []HeldPin, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.owned {
 		return
 	}
-	if r.unheard[member] {
-		// An earlier process of this member may have left requests behind.
-		r.doubtIdle(now)
+	if r.pendingHolders[member] {
+		// An earlier process of this member may have left requests running.
+		r.requireIdleReport(now)
 	}
-	delete(r.unheard, member)
-	r.heard[member] = incarnation
+	delete(r.pendingHolders, member)
+	r.reportedIncarnations[member] = incarnation
 	for _, held := range pins {
-		known := r.pinsOn(held.Model)
-		if known == nil {
-			// Not loaded, as far as this owner knows: the pin counts once it is.
-			known = map[string]outPin{}
-			r.lost[held.Model] = known
+		pinsOfModel := r.pinsOn(held.Model)
+		if pinsOfModel == nil {
+			// Not loaded as far as this owner knows: the pin counts once it is.
+			pinsOfModel = map[string]pinGrant{}
+			r.lostPins[held.Model] = pinsOfModel
 		}
-		if _, told := known[member]; !told {
-			known[member] = outPin{incarnation: incarnation}
+		if _, reported := pinsOfModel[member]; !reported {
+			pinsOfModel[member] = pinGrant{incarnation: incarnation}
 		}
 		if s := r.slots[held.Model]; s != nil {
 			s.lastUse = now
@@ -308,68 +317,69 @@
 	}
 }
 
-// Joined notes a member that was seen; one not heard before may hold pins of
-// an earlier owner.
-func (r *Runner) Joined(member, incarnation string) {
+// MemberSeen records a member. A process that has not reported its pins yet may
+// hold pins of an earlier owner.
+func (r *Runner) MemberSeen(member, incarnation string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	heard, ok := r.heard[member]
-	if r.owned && (!ok || heard != incarnation) {
-		r.unheard[member] = true
+	reported, ok := r.reportedIncarnations[member]
+	if r.owned && (!ok || reported != incarnation) {
+		r.pendingHolders[member] = true
 	}
 }
 
-// Ended notes that a process of a member is proven dead: the platform no
-// longer lists its host, or a later process speaks for it. Its requests may
-// still be running on the engine, so a later report must show each model idle.
-func (r *Runner) Ended(member, live string, now time.Time) {
+// ProcessEnded records that a member's process is proven dead, because the
+// platform no longer lists its host (liveIncarnation is empty), or because a
+// later process runs there. Its requests may still be running on the engine, so
+// a later report must show each model idle.
+func (r *Runner) ProcessEnded(member, liveIncarnation string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	unheard := r.unheard[member] && live == ""
-	if unheard {
-		delete(r.unheard, member)
+	wasPending := r.pendingHolders[member] && liveIncarnation == ""
+	if wasPending {
+		delete(r.pendingHolders, member)
 	}
-	for _, pins := range r.lost {
-		if pin, pinned := pins[member]; pinned && pin.incarnation != live {
+	for _, pins := range r.lostPins {
+		if pin, held := pins[member]; held && pin.incarnation != liveIncarnation {
 			delete(pins, member)
 		}
 	}
 	for _, s := range r.slots {
-		pin, pinned := s.pins[member]
-		stale := pinned && pin.incarnation != live
+		pin, held := s.pins[member]
+		stale := held && pin.incarnation != liveIncarnation
 		if stale {
 			delete(s.pins, member)
 		}
-		if stale || unheard {
-			s.busyUntil = now.Add(settleTime)
+		if stale || wasPending {
+			s.idleReportAfter = now.Add(inFlightGrace)
 		}
 	}
 }
 
-// doubtIdle wants a later report to show each model idle once before it is evicted.
-func (r *Runner) doubtIdle(now time.Time) {
+// requireIdleReport blocks the eviction of each model until a later report
+// shows it idle.
+func (r *Runner) requireIdleReport(now time.Time) {
 	for _, s := range r.slots {
-		s.busyUntil = now.Add(settleTime)
+		s.idleReportAfter = now.Add(inFlightGrace)
 	}
 }
 
-// SettleDoubts drops the doubts about evictions of earlier owners that are
-// proven over.
-func (r *Runner) SettleDoubts(over func(Intent) bool) {
+// ResolveInDoubt clears the in-doubt evictions for which over returns true.
+func (r *Runner) ResolveInDoubt(over func(Intent) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for model, intent := range r.doubts {
+	for model, intent := range r.inDoubt {
 		if over(intent) {
-			delete(r.doubts, model)
+			delete(r.inDoubt, model)
 		}
 	}
 }
 
-// Unheard gives the members that still block evictions, sorted.
-func (r *Runner) Unheard() []string {
+// PendingHolders returns the members that still block evictions, sorted.
+func (r *Runner) PendingHolders() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return sortedKeys(r.unheard)
+	return sortedKeys(r.pendingHolders)
 }
 
 func sortedKeys[V any](set map[string]V) []string {
--- a/internal/residency/slots.go
+++ b/internal/residency/slots.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// PinnedBy is a pin that is out, with its holder.
-type PinnedBy struct {
+// HolderPin is a granted pin and its holder.
+type HolderPin struct {
 	Holder string
 	Pin    Pin
 }
 
-// Free gives the number of slots that hold nothing.
-func (r *Runner) Free() int {
+// FreeSlots returns the number of free slots.
+func (r *Runner) FreeSlots() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.slotCount - len(r.slots)
 }
 
-// State gives the state of a model's slot.
+// State returns the state of a model's slot.
 func (r *Runner) State(model string) (SlotState, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -29,21 +29,21 @@
 	return s.state, true
 }
 
-// BeginLoad takes a free slot for a model; false if there is none, the model
-// has a slot already, or an earlier owner may still evict it.
+// BeginLoad reserves a free slot for a model. It returns false if no slot is
+// free, the model has a slot already, or an earlier owner may still evict it.
 func (r *Runner) BeginLoad(model string, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, doubted := r.doubts[model]
-	if !r.owned || !r.ready || doubted || r.slots[model] != nil || r.slotCount <= len(r.slots) {
+	_, doubted := r.inDoubt[model]
+	if !r.owned || !r.grantsEnabled || doubted || r.slots[model] != nil || r.slotCount <= len(r.slots) {
 		return false
 	}
 	r.addSlot(model, SlotLoading, now)
 	return true
 }
 
-// Loaded notes that the engine has loaded a model.
-func (r *Runner) Loaded(model string, now time.Time) {
+// LoadSucceeded records that the engine has loaded a model.
+func (r *Runner) LoadSucceeded(model string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.slots[model]
@@ -51,46 +51,46 @@
 		s = r.addSlot(model, SlotResident, now)
 	}
 	s.state = SlotResident
-	s.orphaned = time.Time{}
+	s.loadEndsBy = time.Time{}
 	s.changed = now
 	s.lastUse = now
 }
 
-// LoadFailed notes that the engine refused a load or failed at it: the slot is free.
+// LoadFailed frees the slot of a load that the engine refused or that failed.
 func (r *Runner) LoadFailed(model string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.slots[model]; s != nil && s.state == SlotLoading {
-		r.loseSlot(model)
+		r.dropSlot(model)
 	}
 }
 
-// LoadUnknown notes that the answer to a load order was lost. The slot stays
-// taken: the load may yet succeed. A report that describes a time after
-// settled, when no load of ours can be under way, tells.
-func (r *Runner) LoadUnknown(model string, settled time.Time) {
+// LoadUnknown records that the answer to a load order was lost. The slot stays
+// reserved, since the load may still succeed, until a report describes a time
+// after endsBy, when the load can no longer be in flight.
+func (r *Runner) LoadUnknown(model string, endsBy time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.slots[model]; s != nil && s.state == SlotLoading {
-		s.orphaned = settled
+		s.loadEndsBy = endsBy
 	}
 }
 
-// Missing notes that the engine said it has no such model, whatever its last
-// report says.
-func (r *Runner) Missing(model string, now time.Time) {
+// ModelMissing records that the engine has reported a model as missing,
+// whatever its last load report says.
+func (r *Runner) ModelMissing(model string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.slots[model]
 	if s == nil || s.state == SlotLoading || s.changed.After(now) {
 		return
 	}
-	r.loseSlot(model)
-	r.gone[model] = now
+	r.dropSlot(model)
+	r.removedAt[model] = now
 }
 
-// Candidate is a model that could be evicted, as the choice of a victim sees it.
-type Candidate struct {
+// EvictionCandidate is a model that could be evicted.
+type EvictionCandidate struct {
 	Model   string
 	LastUse time.Time
 	Pinned  int
@@ -98,26 +98,26 @@
 	InDoubt bool
 }
 
-// Candidates gives the models that could be evicted, or nothing while a member
-// has not told its pins.
-func (r *Runner) Candidates() []Candidate {
+// EvictionCandidates returns the models that could be evicted. It returns none
+// until all members have reported their pins.
+func (r *Runner) EvictionCandidates() []EvictionCandidate {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.candidatesLocked()
+	return r.evictionCandidatesLocked()
 }
 
-func (r *Runner) candidatesLocked() []Candidate {
-	if !r.owned || !r.ready || len(r.unheard) > 0 {
+func (r *Runner) evictionCandidatesLocked() []EvictionCandidate {
+	if !r.owned || !r.grantsEnabled || len(r.pendingHolders) > 0 {
 		return nil
 	}
 	running := r.runningByModel()
-	var candidates []Candidate
+	var candidates []EvictionCandidate
 	for model, s := range r.slots {
-		if s.state != SlotResident || !s.busyUntil.IsZero() {
+		if s.state != SlotResident || !s.idleReportAfter.IsZero() {
 			continue
 		}
-		_, doubted := r.doubts[model]
-		candidates = append(candidates, Candidate{
+		_, doubted := r.inDoubt[model]
+		candidates = append(candidates, EvictionCandidate{
 			Model: model, LastUse: s.lastUse, Pinned: len(s.pins), Running: running[model], InDoubt: doubted,
 		})
 	}
@@ -132,8 +132,8 @@
 	return running
 }
 
-// BeginRecall closes a model to new pins and gives the pins to be recalled.
-func (r *Runner) BeginRecall(model string) ([]PinnedBy, bool) {
+// BeginRecall stops granting pins on a model and returns the pins to recall.
+func (r *Runner) BeginRecall(model string) ([]HolderPin, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	s := r.slots[model]
@@ -141,15 +141,16 @@
 		return nil, false
 	}
 	s.state = SlotRecalling
-	var pinned []PinnedBy
+	var held []HolderPin
 	for _, holder := range sortedKeys(s.pins) {
 		pin := Pin{Runner: r.id, Model: model, Fence: r.fence, Seq: s.pins[holder].seq}
-		pinned = append(pinned, PinnedBy{Holder: holder, Pin: pin})
+		held = append(held, HolderPin{Holder: holder, Pin: pin})
 	}
-	return pinned, true
+	return held, true
 }
 
-// CancelRecall opens a model again after a recall that took too long.
+// CancelRecall allows pins on a model again after a recall that was not
+// completed.
 func (r *Runner) CancelRecall(model string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,8 +159,8 @@
 	}
 }
 
-// BeginEvict closes the slot for good, if no pin is out, no member is unheard
-// and nothing can be running.
+// BeginEvict moves a recalled slot to evicting, if no pin is held, all members
+// have reported their pins, and no request can be running.
 func (r *Runner) BeginEvict(model string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -167,15 +168,15 @@
 	if !r.owned || s == nil || s.state != SlotRecalling {
 		return false
 	}
-	if len(s.pins) > 0 || len(r.unheard) > 0 || !s.busyUntil.IsZero() {
+	if len(s.pins) > 0 || len(r.pendingHolders) > 0 || !s.idleReportAfter.IsZero() {
 		return false
 	}
 	s.state = SlotEvicting
 	return true
 }
 
-// PinsOut gives the number of pins out on a model.
-func (r *Runner) PinsOut(model string) int {
+// PinCount returns the number of pins held on a model.
+func (r *Runner) PinCount(model string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.slots[model]; s != nil {
@@ -184,15 +185,16 @@
 	return 0
 }
 
-// Evicted notes that the engine has evicted a model.
+// Evicted records that the engine has evicted a model.
 func (r *Runner) Evicted(model string, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.slots, model)
-	r.gone[model] = now
+	r.removedAt[model] = now
 }
 
-// EvictNotSent opens a model again: the order did not go out and never will.
+// EvictNotSent makes a model resident again: the order was not executed and
+// never will be.
 func (r *Runner) EvictNotSent(model string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,19 +203,19 @@
 	}
 }
 
-// EvictUnknown notes that the answer to an eviction was lost. The order may
-// take effect late, so the model is in doubt: it gets no pin until the doubt
-// is settled.
+// EvictUnknown records that the answer to an eviction was lost. The order may
+// take effect late, so the model is in doubt and gets no pin until this is
+// resolved.
 func (r *Runner) EvictUnknown(intent Intent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.doubts[intent.Model] = intent
+	r.inDoubt[intent.Model] = intent
 	if s := r.slots[intent.Model]; s != nil && s.state == SlotEvicting {
 		s.state = SlotResident
 	}
 }
 
-// SlotView is one slot as peers and operators see it.
+// SlotView is a slot as shown to peers and operators.
 type SlotView struct {
 	Model   string    `json:"m"`
 	State   SlotState `json:"s,omitempty"`
@@ -221,7 +223,7 @@
 	Pins    int       `json:"p,omitempty"`
 }
 
-// View is what an owner tells of a runner.
+// View is what an owner publishes about a runner.
 type View struct {
 	Runner   string     `json:"id"`
 	Owner    string     `json:"owner"`
@@ -233,15 +235,16 @@
 	Queued   int        `json:"queued"`
 	Fill     float64    `json:"fill"`
 	Models   []SlotView `json:"models"`
-	// Wanted are the models that are to be loaded and have no slot yet, sorted.
+	// Wanted lists the models that are to be loaded and have no slot yet,
+	// sorted.
 	Wanted []string `json:"wanted,omitempty"`
 	Doubts int      `json:"doubts,omitempty"`
-	// Evictable is the number of models that could make room now.
+	// Evictable is the number of models that could be evicted now.
 	Evictable int `json:"evictable"`
 	Unheard   int `json:"unheard,omitempty"`
 }
 
-// View gives the runner as its owner sees it, the slots sorted by model.
+// View returns the published state of the runner, the slots sorted by model.
 func (r *Runner) View(owner string) View {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,9 +252,9 @@
 	view := View{
 		Runner: r.id, Owner: owner, Fence: r.fence, Boot: r.boot, Slots: r.slotCount, MaxBatch: r.report.MaxBatch,
 		Running: r.report.Running, Queued: r.report.Queued, Fill: r.report.Fill,
-		Doubts: len(r.doubts), Unheard: len(r.unheard),
+		Doubts: len(r.inDoubt), Unheard: len(r.pendingHolders),
 	}
-	for _, candidate := range r.candidatesLocked() {
+	for _, candidate := range r.evictionCandidatesLocked() {
 		if candidate.Running == 0 {
 			view.Evictable++
 		}
@@ -259,7 +262,7 @@
 	for _, model := range sortedKeys(r.slots) {
 		s := r.slots[model]
 		state := s.state
-		if _, doubted := r.doubts[model]; doubted {
+		if _, doubted := r.inDoubt[model]; doubted {
 			state = SlotEvicting
 		}
 		view.Models = append(view.Models, SlotView{Model: model, State: state, Running: running[model], Pins: len(s.pins)})
@@ -267,30 +270,31 @@
 	return view
 }
 
-// loadSteps is the number of steps of a runner's batch in which its load is
-// told to peers: a busy runner's load moves with every report, and told each
-// time it would be most of what hosts say to each other.
-const loadSteps = 8
+// loadLevels is the number of levels, in fractions of a runner's batch, in
+// which its load is published: a busy runner's load changes with every report,
+// and publishing each change would make up most of the traffic between hosts.
+const loadLevels = 8
 
-// loadStep gives the step of a view's load.
-func (v View) loadStep() int {
+// loadLevel returns the level of a view's load.
+func (v View) loadLevel() int {
 	if v.MaxBatch == 0 {
 		return 0
 	}
-	return (v.Running + v.Queued) * loadSteps / v.MaxBatch
+	return (v.Running + v.Queued) * loadLevels / v.MaxBatch
 }
 
-// EquivalentForPeers says whether two views differ in nothing that a peer must be told.
+// EquivalentForPeers reports whether two views differ in nothing that peers
+// must be sent.
 func (v View) EquivalentForPeers(other View) bool {
 	if v.Runner != other.Runner || v.Owner != other.Owner || v.Fence != other.Fence || v.Boot != other.Boot ||
-		v.Slots != other.Slots || v.loadStep() != other.loadStep() ||
+		v.Slots != other.Slots || v.loadLevel() != other.loadLevel() ||
 		(v.Evictable == 0) != (other.Evictable == 0) {
 		return false
 	}
 	return v.SameModels(other)
 }
 
-// SameModels says whether two views show the same models in the same states.
+// SameModels reports whether two views show the same models in the same states.
 func (v View) SameModels(other View) bool {
 	if len(v.Models) != len(other.Models) || !slices.Equal(v.Wanted, other.Wanted) {
 		return false
--- a/internal/residency/view_test.go
+++ b/internal/residency/view_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestWhatPeersAreTold(t *testing.T) {
+func TestViewChangesSentToPeers(t *testing.T) {
 	base := residency.View{
 		Runner: "r", Owner: "e", Fence: 2, Slots: 4, MaxBatch: 64, Running: 17, Evictable: 2,
 		Models: []residency.SlotView{{Model: "a@1", State: residency.SlotResident, Running: 17}},
@@ -27,7 +27,7 @@
 		{"another state", func(v *residency.View) {
 			v.Models = []residency.SlotView{{Model: "a@1", State: residency.SlotEvicting}}
 		}, false},
-		{"a wish", func(v *residency.View) { v.Wanted = []string{"b@1"} }, false},
+		{"another pending load", func(v *residency.View) { v.Wanted = []string{"b@1"} }, false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			changed := base
