--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -1,6 +1,7 @@
-// Package control is the owner's work on runners: it takes them over under
-// this node's lease, reads their load reports, and gives the orders to load
-// and evict. The rules are in package residency; this package does the I/O.
+// Package control manages the runners that this node owns: it takes them over
+// under this node's lease, polls their load reports, and sends the orders to
+// load and evict. The rules are in package residency; this package does the
+// I/O.
 package control
 
 import (
@@ -18,24 +19,24 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Engines is what the controller needs of engines.
+// Engines sends orders to engines and reads their load reports.
 type Engines interface {
 	Order(ctx context.Context, address string, order engine.Order) error
 	Report(ctx context.Context, address string) (engine.Report, error)
 }
 
-// Objects is what the controller needs of the object API.
+// Objects reads and writes the object API.
 type Objects interface {
 	Get(ctx context.Context, key string) (objectapi.Object, error)
 	Put(ctx context.Context, key string, value []byte, ifVersion objectapi.Version) (objectapi.Version, error)
 }
 
-// Loads hands out permits to load.
-type Loads interface {
+// LoadPermits hands out permits to load.
+type LoadPermits interface {
 	Acquire(ctx context.Context, ask loading.Ask, wait time.Duration) (*loading.Permit, error)
 }
 
-// Demand tells how often a model will likely be asked for.
+// Demand estimates the request rate of a model.
 type Demand interface {
 	PerSecond(model string, now time.Time) float64
 }
@@ -46,93 +47,95 @@
 	CallLong(ctx context.Context, address, method string, params, result any) error
 }
 
-// Config sets the controller.
+// Config configures a Controller.
 type Config struct {
 	Self           peer.Identity
 	DataCentre     string
 	LeaseLife      time.Duration
 	ReportInterval time.Duration
-	// MaxOrderDelay is the longest time after which an order that was sent can
+	// MaxOrderDelay is the longest time after sending an order at which it can
 	// still take effect.
 	MaxOrderDelay time.Duration
 	LoadWorkers   int
 }
 
-// Deps are what the controller works with.
+// Deps are the dependencies of a Controller.
 type Deps struct {
 	Engines Engines
 	Objects Objects
-	Loads   Loads
+	Loads   LoadPermits
 	Demand  Demand
 	Peers   Peers
 	Hosts   *fleet.Table
 	Members *fleet.Members
 	Holder  *residency.Holder
-	// Publish tells this host and its peers what an owner knows of a runner.
+	// Publish sends an owner's view of a runner to this host's table and to its
+	// peers.
 	Publish func(view residency.View)
 	Log     hclog.Logger
 }
 
-// Controller owns runners. It is safe for concurrent use.
+// Controller manages the runners that this node owns. It is safe for concurrent
+// use.
 type Controller struct {
 	cfg  Config
 	deps Deps
-	// lease is this node's own; observer times the peers'.
+	// lease is this node's own; observer tracks the leases of peers.
 	lease    *lease.Holder
 	observer *lease.Observer
 	node     nodeLease
 
 	mu       sync.Mutex
-	managed  map[string]*managed
+	runners  map[string]*managedRunner
 	draining bool
 }
 
-// managed is one runner that this node owns or has owned.
-type managed struct {
+// managedRunner is a runner that this node owns or has owned.
+type managedRunner struct {
 	runner *residency.Runner
 	host   fleet.Host
 	stop   context.CancelFunc
 	done   chan struct{}
 
-	mu      sync.Mutex
-	record  residency.Record
-	version objectapi.Version
-	changed chan struct{}
-	wants   map[string]*want
-	over    map[residency.Intent]time.Time
-	// orders numbers the orders, evictions the evictions; evicting counts
-	// those under way.
-	orders    int
-	evictions int
-	evicting  int
+	mu         sync.Mutex
+	record     residency.Record
+	version    objectapi.Version
+	changed    chan struct{}
+	loads      map[string]*pendingLoad
+	finishedAt map[residency.Intent]time.Time
+	// orderSeq and evictionSeq number the orders and evictions sent;
+	// evictionsInFlight counts those without an answer yet.
+	orderSeq          int
+	evictionSeq       int
+	evictionsInFlight int
 }
 
-// New makes a controller that owns nothing.
+// New returns a controller that owns no runners.
 func New(cfg Config, deps Deps) *Controller {
 	return &Controller{
 		cfg:      cfg,
 		deps:     deps,
 		lease:    lease.NewHolder(cfg.LeaseLife, cfg.LeaseLife/10),
 		observer: lease.NewObserver(cfg.LeaseLife),
-		managed:  map[string]*managed{},
+		runners:  map[string]*managedRunner{},
 	}
 }
 
-func newManaged(host fleet.Host) *managed {
-	return &managed{
-		runner:  residency.NewRunner(host.ID, host.ChecksFence),
-		host:    host,
-		changed: make(chan struct{}),
-		wants:   map[string]*want{},
-		over:    map[residency.Intent]time.Time{},
+func newManagedRunner(host fleet.Host) *managedRunner {
+	return &managedRunner{
+		runner:     residency.NewRunner(host.ID, host.ChecksFence),
+		host:       host,
+		changed:    make(chan struct{}),
+		loads:      map[string]*pendingLoad{},
+		finishedAt: map[residency.Intent]time.Time{},
 	}
 }
 
-// find gives a runner that this node owns.
-func (c *Controller) find(id string) *managed {
+// ownedRunner returns a runner that this node owns, or nil.
+func (c *Controller) ownedRunner(id string) *managedRunner {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	m := c.managed[id]
+	m := c.runners[id]
 	if m == nil {
 		return nil
 	}
@@ -142,12 +145,12 @@
 	return m
 }
 
-// Owned gives the runners that this node owns.
+// Owned returns the runners that this node owns.
 func (c *Controller) Owned() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var ids []string
-	for id, m := range c.managed {
+	for id, m := range c.runners {
 		if _, owned := m.runner.Owned(); owned {
 			ids = append(ids, id)
 		}
@@ -155,42 +158,44 @@
 	return ids
 }
 
-// AwaitedLoads gives the number of loads that callers wait for on owned runners.
+// AwaitedLoads returns the number of loads that callers wait for on owned
+// runners.
 func (c *Controller) AwaitedLoads() int {
 	c.mu.Lock()
-	all := make([]*managed, 0, len(c.managed))
-	for _, m := range c.managed {
+	all := make([]*managedRunner, 0, len(c.runners))
+	for _, m := range c.runners {
 		all = append(all, m)
 	}
 	c.mu.Unlock()
 	wanted := 0
 	for _, m := range all {
-		wanted += m.waitedFor()
+		wanted += m.awaitedLoads()
 	}
 	return wanted
 }
 
-// notify wakes those who wait for a change of a runner and tells its state.
-func (c *Controller) notify(m *managed) {
+// publishChange wakes those waiting for a change of a runner and publishes its
+// state.
+func (c *Controller) publishChange(m *managedRunner) {
 	m.mu.Lock()
 	close(m.changed)
 	m.changed = make(chan struct{})
 	m.mu.Unlock()
 	if _, owned := m.runner.Owned(); owned {
 		view := m.runner.View(c.cfg.Self.Host)
-		view.Wanted = m.openWants(view)
+		view.Wanted = m.loadsWithoutSlot(view)
 		c.deps.Publish(view)
 	}
 }
 
-func (m *managed) waitChange() <-chan struct{} {
+func (m *managedRunner) nextChange() <-chan struct{} {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.changed
 }
 
-// Run keeps the node's lease, takes runners over and gives them away until
-// the context ends.
+// Run renews the node's lease, and takes over and releases runners until the
+// context ends.
 func (c *Controller) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	wg.Go(func() { c.keepLease(ctx) })
@@ -201,8 +206,8 @@
 
 func (c *Controller) stopAll() {
 	c.mu.Lock()
-	all := make([]*managed, 0, len(c.managed))
-	for _, m := range c.managed {
+	all := make([]*managedRunner, 0, len(c.runners))
+	for _, m := range c.runners {
 		all = append(all, m)
 	}
 	c.mu.Unlock()
@@ -212,5 +217,6 @@
 	}
 }
 
-// LeaseValidUntil tells until when nobody can have broken this node's lease.
+// LeaseValidUntil returns the time until which nobody can have broken this
+// node's lease.
 func (c *Controller) LeaseValidUntil() time.Time { return c.lease.ValidUntil() }
--- a/internal/control/evict.go
+++ b/internal/control/evict.go
@@ -16,41 +16,42 @@
 
 const recallTimeout = 500 * time.Millisecond
 
-// errNoVictim: nothing on the runner can be evicted now.
-var errNoVictim = errors.New("nothing on the runner can be evicted now")
+var errNothingEvictable = errors.New("nothing on the runner can be evicted now")
 
-// makeRoom evicts the model of a runner that is least worth keeping. For a
-// load that nobody waits for it takes only what is worth clearly less.
-func (c *Controller) makeRoom(ctx context.Context, m *managed, ask loading.Ask) error {
-	candidates := c.victimsFor(m, ask, time.Now())
+// evictForLoad evicts the least valuable model of a runner. For a load that
+// nobody waits for, it evicts only models of clearly lower value.
+func (c *Controller) evictForLoad(ctx context.Context, m *managedRunner, ask loading.Ask) error {
+	candidates := c.candidatesFor(m, ask, time.Now())
 	for _, candidate := range candidates {
 		err := c.evict(ctx, m, candidate.Model)
 		if err == nil {
 			return nil
 		}
-		c.deps.Log.Debug("model not evicted", "runner", m.host.ID, "model", candidate.Model, "error", err)
+		c.deps.Log.Debug("eviction failed", "runner", m.host.ID, "model", candidate.Model, "error", err)
 	}
-	return errNoVictim
+	return errNothingEvictable
 }
 
-// foreseenMargin keeps two models of like demand from taking turns.
-const foreseenMargin = 0.5
+// prefetchMargin keeps two models of similar demand from evicting each other in
+// turn.
+const prefetchMargin = 0.5
 
-// victimsFor gives the models that may be evicted for a load.
-func (c *Controller) victimsFor(m *managed, ask loading.Ask, now time.Time) []residency.EvictionCandidate {
-	candidates := c.victims(m, now)
+// candidatesFor returns the models that may be evicted for a load, in order of
+// preference.
+func (c *Controller) candidatesFor(m *managedRunner, ask loading.Ask, now time.Time) []residency.EvictionCandidate {
+	candidates := c.rankedCandidates(m, now)
 	if ask.Class == loading.ClassWaiting {
 		return candidates
 	}
 	return slices.DeleteFunc(candidates, func(candidate residency.EvictionCandidate) bool {
-		return !candidate.InDoubt && c.deps.Demand.PerSecond(candidate.Model, now) > foreseenMargin*ask.Value
+		return !candidate.InDoubt && c.deps.Demand.PerSecond(candidate.Model, now) > prefetchMargin*ask.Value
 	})
 }
 
-// victims orders the models that could be evicted: in doubt and useless
-// first, then by the expected uses that their eviction would cost.
-func (c *Controller) victims(m *managed, now time.Time) []residency.EvictionCandidate {
-	wanted := m.wantedModels()
+// rankedCandidates returns the models that can be evicted: those in doubt
+// first, since they get no pins, then by increasing demand.
+func (c *Controller) rankedCandidates(m *managedRunner, now time.Time) []residency.EvictionCandidate {
+	wanted := m.modelsToLoad()
 	candidates := slices.DeleteFunc(m.runner.EvictionCandidates(), func(candidate residency.EvictionCandidate) bool {
 		return candidate.Running > 0 || wanted[candidate.Model]
 	})
@@ -70,27 +71,27 @@
 	return candidates
 }
 
-// evict takes one model off a runner: it recalls all pins, writes the intent
-// where the engine ignores fencing, and only then sends the order.
-func (c *Controller) evict(ctx context.Context, m *managed, model string) error {
+// evict evicts one model from a runner: it recalls all pins, writes the intent
+// if the engine does not check fencing, and only then sends the order.
+func (c *Controller) evict(ctx context.Context, m *managedRunner, model string) error {
 	pinned, ok := m.runner.BeginRecall(model)
 	if !ok {
-		return errors.New("the model has no idle slot")
+		return errors.New("the model is not resident on the runner")
 	}
-	// A holder in the middle of a request says so at once, and the next model
-	// is tried: a permit to load is held meanwhile.
-	c.recall(ctx, m, pinned)
+	// A holder with a request in flight answers at once, and the caller tries
+	// the next model instead of waiting while it holds a load permit.
+	c.recallAll(ctx, m, pinned)
 	if !m.runner.BeginEvict(model) {
 		m.runner.CancelRecall(model)
-		c.notify(m)
+		c.publishChange(m)
 		return errors.New("the model is in use")
 	}
-	err := c.orderEviction(ctx, m, model)
-	c.notify(m)
+	err := c.sendEviction(ctx, m, model)
+	c.publishChange(m)
 	return err
 }
 
-func (c *Controller) recall(ctx context.Context, m *managed, pinned []residency.HolderPin) {
+func (c *Controller) recallAll(ctx context.Context, m *managedRunner, pinned []residency.HolderPin) {
 	var wg sync.WaitGroup
 	for _, out := range pinned {
 		wg.Go(func() { c.recallOne(ctx, m, out) })
@@ -98,7 +99,7 @@
 	wg.Wait()
 }
 
-func (c *Controller) recallOne(ctx context.Context, m *managed, out residency.HolderPin) {
+func (c *Controller) recallOne(ctx context.Context, m *managedRunner, out residency.HolderPin) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var result recallResult
@@ -115,13 +116,14 @@
 	}
 }
 
-// orderEviction sends the eviction, with the safeguards that the engine needs.
-func (c *Controller) orderEviction(ctx context.Context, m *managed, model string) error {
+// sendEviction sends an eviction, after the checks that an engine without
+// fencing needs.
+func (c *Controller) sendEviction(ctx context.Context, m *managedRunner, model string) error {
 	intent := c.newIntent(m, model)
-	// Counted as under way from before the lease is checked, so that an
-	// answer "no orders out" to a successor is true even if we pause here.
-	m.countOrder(1)
-	defer m.countOrder(-1)
+	// Counted before the lease is checked, so that the answer "no orders out"
+	// to a successor stays true even if this process is paused here.
+	m.addEvictionsInFlight(1)
+	defer m.addEvictionsInFlight(-1)
 	if !m.host.ChecksFence {
 		if err := c.writeIntent(ctx, m, intent); err != nil {
 			m.runner.EvictNotSent(model)
@@ -129,64 +131,64 @@
 		}
 		if !c.lease.MayOrder(time.Now(), 0) {
 			m.runner.EvictUnknown(intent)
-			m.noteOver(intent)
+			m.markFinished(intent)
 			return errors.New("this node's lease may have ended")
 		}
 	}
-	// A handover that begins now waits for the answer: an order cut short
-	// would leave its successor in doubt.
-	err := c.order(context.WithoutCancel(ctx), m, engine.OrderEvict, model)
+	// A handover that begins now waits for the answer: cancelling the order
+	// would leave the successor in doubt.
+	err := c.sendOrder(context.WithoutCancel(ctx), m, engine.OrderEvict, model)
 	switch {
 	case err == nil:
 		m.runner.Evicted(model, time.Now())
 	case verdict.Of(err) == verdict.NotRun:
 		m.runner.EvictNotSent(model)
-		c.loseIfStale(m, err)
+		c.endIfFenced(m, err)
 	default:
 		m.runner.EvictUnknown(intent)
 	}
-	m.noteOver(intent)
+	m.markFinished(intent)
 	return err
 }
 
-func (c *Controller) newIntent(m *managed, model string) residency.Intent {
+func (c *Controller) newIntent(m *managedRunner, model string) residency.Intent {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.evictions++
+	m.evictionSeq++
 	return residency.Intent{
 		Model: model, Fence: m.record.Fence, Owner: c.cfg.Self.Host,
-		Incarnation: c.cfg.Self.Incarnation, Seq: m.evictions,
+		Incarnation: c.cfg.Self.Incarnation, Seq: m.evictionSeq,
 	}
 }
 
 // writeIntent records that an eviction may be sent, before it is. An engine
-// that ignores fencing numbers would obey our order even if we were paused
-// here and a successor were at work; reading the intent, the successor lets
-// nobody use the model on this runner, so the late order can hit no request.
-func (c *Controller) writeIntent(ctx context.Context, m *managed, intent residency.Intent) error {
+// that does not check fencing would obey this order even if this process were
+// paused here and a successor had taken over. The successor reads the intent
+// and grants no pins on the model, so that the late order cannot hit a request.
+func (c *Controller) writeIntent(ctx context.Context, m *managedRunner, intent residency.Intent) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	next := m.record.WithoutIntents(func(old residency.Intent) bool {
-		since, over := m.over[old]
-		return over && time.Since(since) > c.cfg.MaxOrderDelay
+		since, finished := m.finishedAt[old]
+		return finished && time.Since(since) > c.cfg.MaxOrderDelay
 	}).WithIntent(intent)
 	version, err := c.writeRecord(ctx, next, m.version)
 	if err != nil {
-		return errors.Wrap(err, "intent to evict not written")
+		return errors.Wrap(err, "write eviction intent")
 	}
 	m.record = next
 	m.version = version
 	return nil
 }
 
-func (m *managed) noteOver(intent residency.Intent) {
+func (m *managedRunner) markFinished(intent residency.Intent) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.noteOverLocked(intent)
+	m.markFinishedLocked(intent)
 }
 
-func (m *managed) countOrder(n int) {
+func (m *managedRunner) addEvictionsInFlight(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.evicting += n
+	m.evictionsInFlight += n
 }
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -14,79 +14,79 @@
 )
 
 const (
-	// permitWait is short: after it the most urgent wish is chosen anew, since
-	// others may have come to wait meanwhile.
+	// permitWait is short, so that the most urgent load is chosen again with
+	// the callers that arrived meanwhile.
 	permitWait = time.Second
-	retryPause = 50 * time.Millisecond
-	// failureMemory is how long a failed load refuses the callers that come
-	// for it, so that they go to another runner.
-	failureMemory = 2 * time.Second
+	retryDelay = 50 * time.Millisecond
+	// failureTTL is how long a failed load is remembered. Callers that ask for
+	// it are refused meanwhile, so that they try another runner.
+	failureTTL = 2 * time.Second
 )
 
-// want is a model that is to be loaded on a runner.
-type want struct {
-	ask     loading.Ask
-	waiters int
-	taken   bool
-	failed  error
-	failAt  time.Time
+// pendingLoad is a model that is to be loaded on a runner.
+type pendingLoad struct {
+	ask        loading.Ask
+	waiters    int
+	inProgress bool
+	loadErr    error
+	endedAt    time.Time
 }
 
-// addWant asks for a load; waiting says that a caller waits for it.
-func (m *managed) addWant(ask loading.Ask, waiting bool) *want {
+// addLoad requests a load. callerWaits means that a caller waits for it.
+func (m *managedRunner) addLoad(ask loading.Ask, callerWaits bool) *pendingLoad {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w := m.wants[ask.Model]
-	if w == nil || (w.failed != nil && time.Since(w.failAt) > failureMemory) {
-		w = &want{ask: ask}
-		m.wants[ask.Model] = w
+	pending := m.loads[ask.Model]
+	if pending == nil || (pending.loadErr != nil && time.Since(pending.endedAt) > failureTTL) {
+		pending = &pendingLoad{ask: ask}
+		m.loads[ask.Model] = pending
 	}
-	if waiting {
-		w.waiters++
-		w.ask.Waiters = w.waiters
-		w.ask.Class = loading.ClassWaiting
-		w.ask.Priority = max(w.ask.Priority, ask.Priority)
+	if callerWaits {
+		pending.waiters++
+		pending.ask.Waiters = pending.waiters
+		pending.ask.Class = loading.ClassWaiting
+		pending.ask.Priority = max(pending.ask.Priority, ask.Priority)
 	}
 	close(m.changed)
 	m.changed = make(chan struct{})
-	return w
+	return pending
 }
 
-// dropWaiter takes a waiting caller back; a want that nobody waits for any
-// more, and that is not being loaded, is dropped.
-func (m *managed) dropWaiter(model string, w *want) {
+// removeWaiter removes a waiting caller. It drops a load that has no more
+// waiters and is not in progress.
+func (m *managedRunner) removeWaiter(model string, pending *pendingLoad) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w.waiters--
-	w.ask.Waiters = w.waiters
-	if w.waiters <= 0 && !w.taken && w.failed == nil && w.ask.Class == loading.ClassWaiting && m.wants[model] == w {
-		delete(m.wants, model)
+	pending.waiters--
+	pending.ask.Waiters = pending.waiters
+	if pending.waiters <= 0 && !pending.inProgress && pending.loadErr == nil && pending.ask.Class == loading.ClassWaiting && m.loads[model] == pending {
+		delete(m.loads, model)
 	}
 }
 
-func (m *managed) failure(w *want) error {
+func (m *managedRunner) loadError(pending *pendingLoad) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return w.failed
+	return pending.loadErr
 }
 
-// waitedFor gives the number of loads that callers wait for.
-func (m *managed) waitedFor() int {
+// awaitedLoads returns the number of loads that callers wait for.
+func (m *managedRunner) awaitedLoads() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	count := 0
-	for _, w := range m.wants {
-		if w.waiters > 0 && w.failed == nil {
+	for _, pending := range m.loads {
+		if pending.waiters > 0 && pending.loadErr == nil {
 			count++
 		}
 	}
 	return count
 }
 
-// openWants gives the models that are wanted and have no slot yet, sorted. Told
-// to the other hosts, it keeps them from having one model loaded twice while
-// the queue of loads is long.
-func (m *managed) openWants(view residency.View) []string {
+// loadsWithoutSlot returns the models that are to be loaded and have no slot
+// yet, sorted. It is published so that no other host has the same model loaded
+// a second time while this one waits in a long load queue.
+func (m *managedRunner) loadsWithoutSlot(view residency.View) []string {
 	present := make(map[string]bool, len(view.Models))
 	for _, slot := range view.Models {
 		present[slot.Model] = true
@@ -94,8 +94,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	var open []string
-	for model, w := range m.wants {
-		if w.failed == nil && !present[model] {
+	for model, pending := range m.loads {
+		if pending.loadErr == nil && !present[model] {
 			open = append(open, model)
 		}
 	}
@@ -103,117 +103,121 @@
 	return open
 }
 
-func (m *managed) wantedModels() map[string]bool {
+func (m *managedRunner) modelsToLoad() map[string]bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	wanted := make(map[string]bool, len(m.wants))
-	for model, w := range m.wants {
-		wanted[model] = w.failed == nil
+	wanted := make(map[string]bool, len(m.loads))
+	for model, pending := range m.loads {
+		wanted[model] = pending.loadErr == nil
 	}
 	return wanted
 }
 
-// takeWant gives the most urgent want that nobody works on.
-func (m *managed) takeWant() *want {
+// nextLoad returns the most urgent load that is not in progress, and marks it
+// as in progress.
+func (m *managedRunner) nextLoad() *pendingLoad {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var open []*want
-	for model, w := range m.wants {
+	var open []*pendingLoad
+	for model, pending := range m.loads {
 		switch {
-		case w.failed != nil && time.Since(w.failAt) > failureMemory:
-			delete(m.wants, model)
-		case w.failed == nil && !w.taken:
-			open = append(open, w)
+		case pending.loadErr != nil && time.Since(pending.endedAt) > failureTTL:
+			delete(m.loads, model)
+		case pending.loadErr == nil && !pending.inProgress:
+			open = append(open, pending)
 		}
 	}
 	if len(open) == 0 {
 		return nil
 	}
 	now := time.Now()
-	first := slices.MinFunc(open, func(a, b *want) int { return loading.Compare(a.ask, b.ask, now) })
-	first.taken = true
+	first := slices.MinFunc(open, func(a, b *pendingLoad) int { return loading.Compare(a.ask, b.ask, now) })
+	first.inProgress = true
 	return first
 }
 
-// askOf gives a copy of a want's ask, which changes as callers come and go.
-func (m *managed) askOf(w *want) loading.Ask {
+// loadRequest returns a copy of the load's request, which changes as callers
+// come and go.
+func (m *managedRunner) loadRequest(pending *pendingLoad) loading.Ask {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return w.ask
+	return pending.ask
 }
 
-// finishWant ends the work on a want. retry leaves it to be taken again.
-func (m *managed) finishWant(w *want, failed error, retry bool) {
+// finishLoad ends an attempt at a load. retry keeps it for another attempt.
+func (m *managedRunner) finishLoad(pending *pendingLoad, loadErr error, retry bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	w.taken = false
-	w.failed = failed
-	w.failAt = time.Now()
-	if retry && (w.waiters > 0 || w.ask.Class == loading.ClassForeseen) {
-		w.failed = nil
+	pending.inProgress = false
+	pending.loadErr = loadErr
+	pending.endedAt = time.Now()
+	if retry && (pending.waiters > 0 || pending.ask.Class == loading.ClassForeseen) {
+		pending.loadErr = nil
 		return
 	}
-	if failed == nil && m.wants[w.ask.Model] == w {
-		delete(m.wants, w.ask.Model)
+	if loadErr == nil && m.loads[pending.ask.Model] == pending {
+		delete(m.loads, pending.ask.Model)
 	}
 }
 
-// loadWanted loads what is wanted on a runner, the most urgent first.
-func (c *Controller) loadWanted(ctx context.Context, m *managed) {
+// runLoads executes the pending loads of a runner, the most urgent first.
+func (c *Controller) runLoads(ctx context.Context, m *managedRunner) {
 	for ctx.Err() == nil {
-		changed := m.waitChange()
-		w := m.takeWant()
-		if w == nil {
+		changed := m.nextChange()
+		pending := m.nextLoad()
+		if pending == nil {
 			select {
 			case <-ctx.Done():
 			case <-changed:
 			}
 			continue
 		}
-		retry, err := c.load(ctx, m, m.askOf(w))
-		m.finishWant(w, err, retry)
-		c.notify(m)
+		retry, err := c.load(ctx, m, m.loadRequest(pending))
+		m.finishLoad(pending, err, retry)
+		c.publishChange(m)
 		if retry {
-			timing.Sleep(ctx, retryPause)
+			timing.Sleep(ctx, retryDelay)
 		}
 	}
 }
 
-// load brings one model onto a runner, and reports whether the wish is to be
-// taken up again. It takes the permit before it makes room: a model goes on
-// serving for as long as the queue of loads is long.
-func (c *Controller) load(ctx context.Context, m *managed, ask loading.Ask) (retry bool, err error) {
+// load loads one model on a runner, and reports whether to retry. It acquires
+// the permit before it evicts: a model keeps serving while the load waits in
+// the queue.
+func (c *Controller) load(ctx context.Context, m *managedRunner, ask loading.Ask) (retry bool, err error) {
 	if _, present := m.runner.State(ask.Model); present {
 		return false, nil
 	}
-	if m.runner.FreeSlots() <= 0 && len(c.victimsFor(m, ask, time.Now())) == 0 {
-		// A caller waits for room; a foreseen need is dropped and may come again.
-		return ask.Class == loading.ClassWaiting, errNoVictim
+	if m.runner.FreeSlots() <= 0 && len(c.candidatesFor(m, ask, time.Now())) == 0 {
+		// A caller waits for a slot; a prefetch is dropped and may be requested
+		// again.
+		return ask.Class == loading.ClassWaiting, errNothingEvictable
 	}
 	permit, err := c.deps.Loads.Acquire(ctx, ask, permitWait)
 	if err != nil {
 		return !errors.Is(err, loading.ErrBroken), err
 	}
 	if !m.runner.BeginLoad(ask.Model, time.Now()) {
-		if err := c.makeRoom(ctx, m, ask); err != nil {
+		if err := c.evictForLoad(ctx, m, ask); err != nil {
 			permit.Cancel()
 			return true, err
 		}
 		if !m.runner.BeginLoad(ask.Model, time.Now()) {
 			permit.Cancel()
-			return true, errNoVictim
+			return true, errNothingEvictable
 		}
 	}
-	c.notify(m)
-	return false, c.orderLoad(ctx, m, ask.Model, permit)
+	c.publishChange(m)
+	return false, c.sendLoad(ctx, m, ask.Model, permit)
 }
 
-func (c *Controller) orderLoad(ctx context.Context, m *managed, model string, permit *loading.Permit) error {
+func (c *Controller) sendLoad(ctx context.Context, m *managedRunner, model string, permit *loading.Permit) error {
 	started := time.Now()
-	err := c.order(ctx, m, engine.OrderLoad, model)
+	err := c.sendOrder(ctx, m, engine.OrderLoad, model)
 	now := time.Now()
 	if err != nil && ctx.Err() != nil {
-		// The runner is handed over: the load goes on without us and says nothing about the model.
+		// The runner is handed over: the load goes on without this owner and
+		// says nothing about the model.
 		permit.Cancel()
 	} else {
 		permit.Done(err == nil, now.Sub(started))
@@ -223,7 +227,7 @@
 		m.runner.LoadSucceeded(model, now)
 	case verdict.Of(err) == verdict.NotRun:
 		m.runner.LoadFailed(model)
-		c.loseIfStale(m, err)
+		c.endIfFenced(m, err)
 	default:
 		m.runner.LoadUnknown(model, now.Add(c.cfg.MaxOrderDelay))
 	}
@@ -233,9 +237,10 @@
 	return err
 }
 
-// Prefetch asks for a load that nobody waits for yet.
+// Prefetch requests a load that nobody waits for yet. It reports whether this
+// node took it.
 func (c *Controller) Prefetch(runner, model string, value float64) bool {
-	m := c.find(runner)
+	m := c.ownedRunner(runner)
 	if m == nil {
 		return false
 	}
@@ -243,6 +248,6 @@
 		return false
 	}
 	ask := loading.Ask{Runner: runner, Model: model, Class: loading.ClassForeseen, Since: time.Now(), Value: value}
-	m.addWant(ask, false)
+	m.addLoad(ask, false)
 	return true
 }
--- a/internal/control/nodelease.go
+++ b/internal/control/nodelease.go
@@ -11,11 +11,11 @@
 	"github.com/pkg/errors"
 )
 
-// renewalsPerLife is how often a lease is renewed within its life.
+// renewalsPerLife is the number of renewals within a lease's lifetime.
 const renewalsPerLife = 3
 
-// renewTries bounds the tries of one renewal that found another version.
-const renewTries = 2
+// renewAttempts bounds the attempts at one renewal that found another version.
+const renewAttempts = 2
 
 // nodeLease is the stored state of this node's lease.
 type nodeLease struct {
@@ -40,19 +40,19 @@
 	}
 }
 
-// renew writes the node's lease once. A conflict means that a peer broke it
-// while this process was paused or cut off: everything owned is lost then.
+// renew renews the node's lease once. A conflict means that a peer broke the
+// lease while this process was paused or cut off: all ownership is lost then.
 func (c *Controller) renew(ctx context.Context) {
 	c.node.mu.Lock()
 	defer c.node.mu.Unlock()
-	for range renewTries {
+	for range renewAttempts {
 		if c.isDraining() || !c.renewOnce(ctx) {
 			return
 		}
 	}
 }
 
-// renewOnce reports whether it makes sense to try again at once.
+// renewOnce reports whether to try again at once.
 func (c *Controller) renewOnce(ctx context.Context) bool {
 	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.node.renewal + 1}
 	sent := time.Now()
@@ -66,7 +66,7 @@
 	case errors.Is(err, objectapi.ErrConflict), errors.Is(err, objectapi.ErrAnswerLost):
 		return c.recoverLease(ctx)
 	default:
-		c.deps.Log.Debug("lease not renewed", "error", err)
+		c.deps.Log.Debug("renewing lease failed", "error", err)
 	}
 	return false
 }
@@ -79,9 +79,9 @@
 	return c.deps.Objects.Put(ctx, lease.Key(record.Host), text, version)
 }
 
-// recoverLease reads what stands in the place of this node's lease. It may be
-// our own renewal whose answer was lost, an earlier process's lease, or ours,
-// broken. After the last, what was owned is lost before the lease is renewed.
+// recoverLease reads the stored lease of this node. It may be our own renewal
+// whose answer was lost, the lease of an earlier process, or our lease, broken
+// by a peer. In the last case ownership ends before the lease is renewed.
 func (c *Controller) recoverLease(ctx context.Context) bool {
 	record, version, err := c.readLease(ctx, c.cfg.Self.Host)
 	if err != nil {
@@ -91,7 +91,7 @@
 		c.deps.Log.Warn("lease has ended; all runners are given up", "ended_by", record.EndedBy, "holder", record.Incarnation)
 		c.node.held = false
 		c.lease.MarkLost()
-		c.loseAll()
+		c.endAllOwnership()
 	}
 	c.node.version = version
 	c.node.renewal = max(c.node.renewal, record.Renewal)
@@ -111,17 +111,17 @@
 	return record, object.Version, errors.Wrap(err, "decode lease")
 }
 
-// LeaseEnded says whether the lease of a process has ended as a fact in the object
-// API: broken, released, or replaced by a later process of its host.
+// LeaseEnded reports whether the object API shows the lease of a process as
+// ended: broken, released, or replaced by a later process of its host.
 func (c *Controller) LeaseEnded(ctx context.Context, host, incarnation string) bool {
 	record, _, err := c.readLease(ctx, host)
 	return err == nil && !record.HeldBy(incarnation)
 }
 
-// breakIfLapsed breaks the lease of a host that has not renewed it for its
-// whole life, as timed by this node. The update is conditional: a renewal in
-// the meantime wins.
-func (c *Controller) breakIfLapsed(ctx context.Context, host string) {
+// breakIfExpired breaks the lease of a host that has not renewed it for its
+// whole lifetime, measured by this node's clock. The update is conditional, so
+// a renewal in the meantime wins.
+func (c *Controller) breakIfExpired(ctx context.Context, host string) {
 	record, version, err := c.readLease(ctx, host)
 	if err != nil || record.EndedBy != "" {
 		return
@@ -131,12 +131,12 @@
 	}
 	record.EndedBy = c.cfg.Self.Host
 	if _, err := c.putLease(ctx, record, version); err == nil {
-		c.deps.Log.Info("lapsed lease broken", "host", host, "incarnation", record.Incarnation)
+		c.deps.Log.Info("expired lease broken", "host", host, "incarnation", record.Incarnation)
 	}
 }
 
-// releaseLease ends this node's lease at a planned stop, so that successors
-// need not wait for it to lapse.
+// releaseLease releases this node's lease at a planned stop, so that successors
+// need not wait until it expires.
 func (c *Controller) releaseLease(ctx context.Context) {
 	c.node.mu.Lock()
 	defer c.node.mu.Unlock()
@@ -145,7 +145,7 @@
 	}
 	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.node.renewal + 1, EndedBy: c.cfg.Self.Host}
 	if _, err := c.putLease(ctx, record, c.node.version); err != nil {
-		c.deps.Log.Warn("lease not released; successors wait until it lapses", "error", err)
+		c.deps.Log.Warn("releasing lease failed; successors wait until it expires", "error", err)
 	}
 	c.lease.MarkLost()
 }
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -26,39 +26,40 @@
 	}
 }
 
-// reconcile brings what this node owns closer to what it should own.
+// reconcile takes over the runners that this node should own, and releases the
+// others.
 func (c *Controller) reconcile(ctx context.Context, now time.Time) {
 	for _, host := range c.deps.Hosts.ByRole(fleet.RoleRunner) {
 		wanted := c.desiredOwner(host, now) == c.cfg.Self.Host && !c.isDraining()
-		m := c.find(host.ID)
+		m := c.ownedRunner(host.ID)
 		switch {
 		case wanted && m == nil:
-			c.tryTake(ctx, host)
+			c.tryTakeOver(ctx, host)
 		case !wanted && m != nil && c.successorReady(host, now):
 			c.release(ctx, m)
 		}
 	}
 	for _, id := range c.Owned() {
 		if c.deps.Hosts.Removed(id) {
-			c.drop(id)
+			c.forget(id)
 		}
 	}
 }
 
-// desiredOwner is the member that rendezvous hashing gives for a runner.
+// desiredOwner returns the member that rendezvous hashing selects for a runner.
 func (c *Controller) desiredOwner(host fleet.Host, now time.Time) string {
 	return fleet.First(host.ID, c.deps.Members.Candidates(host.DataCentre, now))
 }
 
-// successorReady says whether another member stands ready to take a runner.
+// successorReady reports whether another member is to take over a runner.
 func (c *Controller) successorReady(host fleet.Host, now time.Time) bool {
 	desired := c.desiredOwner(host, now)
 	return desired != "" && desired != c.cfg.Self.Host
 }
 
-// tryTake takes a runner whose owner has released it or whose owner's lease
-// has ended, and times the lease of an owner that is not heard.
-func (c *Controller) tryTake(ctx context.Context, host fleet.Host) {
+// tryTakeOver takes over a runner that its owner has released or whose owner's
+// lease has ended. Otherwise it observes the owner's lease.
+func (c *Controller) tryTakeOver(ctx context.Context, host fleet.Host) {
 	if !c.lease.MayOrder(time.Now(), 0) {
 		return
 	}
@@ -70,29 +71,29 @@
 	ended := record.Owner != "" && c.LeaseEnded(ctx, record.Owner, record.Incarnation)
 	next, err := record.TakeOver(self.Host, self.Incarnation, ended)
 	if err != nil {
-		c.watchOwner(ctx, record.Owner)
+		c.observeOwnerLease(ctx, record.Owner)
 		return
 	}
 	version, err = c.writeRecord(ctx, next, version)
 	if err != nil {
 		return
 	}
-	c.adopt(ctx, host, next, version)
+	c.startManaging(ctx, host, next, version)
 }
 
-// watchOwner times the lease of an owner, and breaks it once it has lapsed. An
-// owner that is heard gives the runner up by itself.
-func (c *Controller) watchOwner(ctx context.Context, owner string) {
+// observeOwnerLease observes the lease of a silent owner and breaks it once it
+// has expired. An owner that is alive releases the runner itself.
+func (c *Controller) observeOwnerLease(ctx context.Context, owner string) {
 	if c.deps.Members.Alive(owner, time.Now()) {
 		c.observer.Forget(owner)
 		return
 	}
-	c.breakIfLapsed(ctx, owner)
+	c.breakIfExpired(ctx, owner)
 }
 
-// adopt begins the work on a runner that was taken over.
-func (c *Controller) adopt(ctx context.Context, host fleet.Host, record residency.Record, version objectapi.Version) {
-	m := newManaged(host)
+// startManaging starts managing a runner that was taken over.
+func (c *Controller) startManaging(ctx context.Context, host fleet.Host, record residency.Record, version objectapi.Version) {
+	m := newManagedRunner(host)
 	m.record = record
 	m.version = version
 	m.runner.TakeOver(record, c.possibleHolders())
@@ -100,19 +101,19 @@
 	m.stop = stop
 	m.done = make(chan struct{})
 	c.mu.Lock()
-	old := c.managed[host.ID]
-	c.managed[host.ID] = m
+	old := c.runners[host.ID]
+	c.runners[host.ID] = m
 	c.mu.Unlock()
 	if old != nil {
 		old.stop()
 	}
 	c.deps.Holder.ObserveFence(host.ID, record.Fence)
 	c.deps.Log.Info("runner taken over", "runner", host.ID, "fence", record.Fence, "intents", len(record.Intents))
-	go c.runRunner(runCtx, m)
+	go c.manage(runCtx, m)
 }
 
-// possibleHolders are all entry hosts that may hold pins: those listed and
-// those heard of.
+// possibleHolders returns all entry hosts that may hold pins: the listed hosts
+// and the known members.
 func (c *Controller) possibleHolders() []string {
 	seen := map[string]bool{}
 	var holders []string
@@ -131,9 +132,9 @@
 	return holders
 }
 
-// release gives a runner to its next owner: no order is begun any more, and
-// the record is freed once those under way have ended.
-func (c *Controller) release(ctx context.Context, m *managed) {
+// release hands a runner over to its next owner: it stops sending orders, waits
+// for those in flight, and releases the record.
+func (c *Controller) release(ctx context.Context, m *managedRunner) {
 	m.runner.EndOwnership()
 	m.stop()
 	<-m.done
@@ -141,26 +142,26 @@
 	record, version := m.record, m.version
 	m.mu.Unlock()
 	if _, err := c.writeRecord(ctx, record.Release(), version); err != nil {
-		c.deps.Log.Warn("runner not released; its next owner waits for this node's lease to end", "runner", m.host.ID, "error", err)
+		c.deps.Log.Warn("releasing runner failed; its next owner waits for this node's lease to end", "runner", m.host.ID, "error", err)
 	}
-	c.notify(m)
+	c.publishChange(m)
 	c.deps.Log.Info("runner released", "runner", m.host.ID)
 }
 
-// drop forgets a runner that the platform no longer lists.
-func (c *Controller) drop(id string) {
+// forget drops a runner that the platform no longer lists.
+func (c *Controller) forget(id string) {
 	c.mu.Lock()
-	m := c.managed[id]
-	delete(c.managed, id)
+	m := c.runners[id]
+	delete(c.runners, id)
 	c.mu.Unlock()
 	m.runner.EndOwnership()
 	m.stop()
 }
 
-func (c *Controller) loseAll() {
+func (c *Controller) endAllOwnership() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, m := range c.managed {
+	for _, m := range c.runners {
 		m.runner.EndOwnership()
 		m.stop()
 	}
@@ -172,14 +173,14 @@
 	return c.draining
 }
 
-// Drain gives all runners away and ends the lease. It is called at a planned
-// stop, before open streams are drained, so that successors take over at once.
+// Drain releases all runners and the lease. At a planned stop it is called
+// before open streams are drained, so that successors take over at once.
 func (c *Controller) Drain(ctx context.Context) {
 	c.mu.Lock()
 	c.draining = true
 	c.mu.Unlock()
 	for _, id := range c.Owned() {
-		if m := c.find(id); m != nil {
+		if m := c.ownedRunner(id); m != nil {
 			c.release(ctx, m)
 		}
 	}
@@ -199,8 +200,8 @@
 	return record, object.Version, errors.Wrap(err, "decode runner's record")
 }
 
-// writeRecord writes a runner's record. When the answer is lost it reads the
-// record back: if it names this process under this fence, the write was done.
+// writeRecord writes a runner's record. If the answer is lost, it reads the
+// record back: if the stored record is the one written, the write was done.
 func (c *Controller) writeRecord(ctx context.Context, record residency.Record, version objectapi.Version) (objectapi.Version, error) {
 	text, err := json.Marshal(record)
 	if err != nil {
--- a/internal/control/pins.go
+++ b/internal/control/pins.go
@@ -20,19 +20,19 @@
 	MethodPrefetch = "loads.prefetch"
 )
 
-// Refusal is why an owner gives no pin.
+// Refusal is the reason why an owner grants no pin.
 type Refusal string
 
-// Refusals. After each the asker may try another runner.
+// After each of these the caller may try another runner.
 const (
-	RefusedNotOwner Refusal = "not_owner"
-	RefusedDoubt    Refusal = "in_doubt"
-	RefusedLoad     Refusal = "load_failed"
-	RefusedBroken   Refusal = "loads_put_off"
-	RefusedTimeout  Refusal = "load_not_in_time"
+	RefusedNotOwner    Refusal = "not_owner"
+	RefusedInDoubt     Refusal = "in_doubt"
+	RefusedLoadFailed  Refusal = "load_failed"
+	RefusedLoadBackoff Refusal = "loads_put_off"
+	RefusedLoadTimeout Refusal = "load_not_in_time"
 )
 
-// AcquireParams asks an owner for a pin, and for a load where one is needed.
+// AcquireParams requests a pin from an owner, and a load if one is needed.
 type AcquireParams struct {
 	Runner   string `json:"runner"`
 	Model    string `json:"model"`
@@ -40,13 +40,14 @@
 	WaitMS   int64  `json:"wait_ms"`
 }
 
-// AcquireResult is a pin, or why there is none.
+// AcquireResult is a pin, or the reason why there is none.
 type AcquireResult struct {
 	Pin     *residency.Pin `json:"pin,omitempty"`
 	Refusal Refusal        `json:"refusal,omitempty"`
-	// ExpectedMS is the owner's estimate of the load's end, from when it was asked.
+	// ExpectedMS is the owner's estimate of the time until the load ends, in
+	// milliseconds from the request.
 	ExpectedMS int64 `json:"expected_ms,omitempty"`
-	// Loaded says that the asker had to wait for a load.
+	// Loaded reports whether the caller had to wait for a load.
 	Loaded bool `json:"loaded,omitempty"`
 }
 
@@ -63,24 +64,25 @@
 type listResult struct {
 	Incarnation string              `json:"incarnation"`
 	Pins        []residency.HeldPin `json:"pins"`
-	// Complete is false when this host already knows a later owner.
+	// Complete is false if this host knows a later owner.
 	Complete bool `json:"complete"`
-	// OrdersOut: this host, as an earlier owner, has orders under way.
+	// OrdersOut is set if this host, as an earlier owner, has evictions in
+	// flight.
 	OrdersOut bool `json:"orders_out"`
 }
 
-// ReturnParams gives pins back to their owner.
+// ReturnParams returns pins to their owner.
 type ReturnParams struct {
 	Returns []residency.PinReturn `json:"returns"`
 }
 
-// MissingParams tells an owner that an engine has said it lacks a model.
+// MissingParams tells an owner that an engine reports a model as missing.
 type MissingParams struct {
 	Runner string `json:"runner"`
 	Model  string `json:"model"`
 }
 
-// PrefetchParams asks an owner for a load that nobody waits for yet.
+// PrefetchParams requests a load that nobody waits for yet.
 type PrefetchParams struct {
 	Runner string  `json:"runner"`
 	Model  string  `json:"model"`
@@ -91,11 +93,11 @@
 func (c *Controller) Register(mux *peer.Mux) {
 	peer.Handle(mux, MethodAcquire, c.Acquire)
 	peer.Handle(mux, MethodReturn, func(_ context.Context, from peer.Identity, p ReturnParams) (struct{}, error) {
-		c.TakeBack(from.Host, p.Returns)
+		c.ReturnPins(from.Host, p.Returns)
 		return struct{}{}, nil
 	})
 	peer.Handle(mux, MethodMissing, func(_ context.Context, _ peer.Identity, p MissingParams) (struct{}, error) {
-		c.Missing(p)
+		c.ModelMissing(p)
 		return struct{}{}, nil
 	})
 	peer.Handle(mux, methodRecall, func(_ context.Context, _ peer.Identity, pin residency.Pin) (recallResult, error) {
@@ -110,61 +112,62 @@
 	})
 }
 
-// Acquire grants a pin, after a load if one is needed and ends in time.
+// Acquire grants a pin. If the model has to be loaded first, it waits for the
+// load until the deadline.
 func (c *Controller) Acquire(ctx context.Context, from peer.Identity, p AcquireParams) (AcquireResult, error) {
-	m := c.find(p.Runner)
+	m := c.ownedRunner(p.Runner)
 	if m == nil {
 		return AcquireResult{Refusal: RefusedNotOwner}, nil
 	}
 	deadline := time.NewTimer(time.Duration(p.WaitMS) * time.Millisecond)
 	defer deadline.Stop()
-	var w *want
+	var pending *pendingLoad
 	defer func() {
-		if w != nil {
-			m.dropWaiter(p.Model, w)
+		if pending != nil {
+			m.removeWaiter(p.Model, pending)
 		}
 	}()
 	for {
-		changed := m.waitChange()
+		changed := m.nextChange()
 		pin, err := m.runner.Grant(from.Host, from.Incarnation, p.Model, time.Now())
 		if err == nil {
-			return AcquireResult{Pin: &pin, Loaded: w != nil}, nil
+			return AcquireResult{Pin: &pin, Loaded: pending != nil}, nil
 		}
-		if refusal := refusalOf(err); refusal != "" {
+		if refusal := grantRefusal(err); refusal != "" {
 			return AcquireResult{Refusal: refusal}, nil
 		}
 		if errors.Is(err, residency.ErrEvicting) {
-			// Somebody wants the model after all: a recall is called off.
+			// The model is in demand again: call the recall off.
 			m.runner.CancelRecall(p.Model)
 		}
-		if w == nil && errors.Is(err, residency.ErrNotResident) {
-			w = m.addWant(c.askFor(p), true)
-			c.notify(m)
-			changed = m.waitChange()
+		if pending == nil && errors.Is(err, residency.ErrNotResident) {
+			pending = m.addLoad(c.waitingLoad(p), true)
+			c.publishChange(m)
+			changed = m.nextChange()
 		}
-		if w != nil && m.failure(w) != nil {
-			return AcquireResult{Refusal: loadRefusal(m.failure(w))}, nil
+		if pending != nil && m.loadError(pending) != nil {
+			return AcquireResult{Refusal: loadRefusal(m.loadError(pending))}, nil
 		}
 		select {
 		case <-changed:
 		case <-deadline.C:
-			return AcquireResult{Refusal: RefusedTimeout}, nil
+			return AcquireResult{Refusal: RefusedLoadTimeout}, nil
 		case <-ctx.Done():
 			return AcquireResult{}, ctx.Err()
 		}
 	}
 }
 
-func (c *Controller) askFor(p AcquireParams) loading.Ask {
+func (c *Controller) waitingLoad(p AcquireParams) loading.Ask {
 	return loading.Ask{Runner: p.Runner, Model: p.Model, Class: loading.ClassWaiting, Priority: p.Priority, Since: time.Now()}
 }
 
-func refusalOf(err error) Refusal {
+func grantRefusal(err error) Refusal {
 	switch {
 	case errors.Is(err, residency.ErrNotOwner):
 		return RefusedNotOwner
 	case errors.Is(err, residency.ErrInDoubt):
-		return RefusedDoubt
+		return RefusedInDoubt
 	default:
 		return ""
 	}
@@ -172,25 +175,25 @@
 
 func loadRefusal(err error) Refusal {
 	if errors.Is(err, loading.ErrBroken) {
-		return RefusedBroken
+		return RefusedLoadBackoff
 	}
-	return RefusedLoad
+	return RefusedLoadFailed
 }
 
-// TakeBack takes pins back from a holder.
-func (c *Controller) TakeBack(holder string, returns []residency.PinReturn) {
+// ReturnPins accepts the pins that a holder returns.
+func (c *Controller) ReturnPins(holder string, returns []residency.PinReturn) {
 	for _, ret := range returns {
-		if m := c.find(ret.Pin.Runner); m != nil {
+		if m := c.ownedRunner(ret.Pin.Runner); m != nil {
 			m.runner.AcceptReturn(holder, ret, time.Now())
 		}
 	}
 }
 
-// Missing notes that an engine has said it lacks a model.
-func (c *Controller) Missing(p MissingParams) {
-	if m := c.find(p.Runner); m != nil {
+// ModelMissing records that an engine reports a model as missing.
+func (c *Controller) ModelMissing(p MissingParams) {
+	if m := c.ownedRunner(p.Runner); m != nil {
 		m.runner.ModelMissing(p.Model, time.Now())
-		c.notify(m)
+		c.publishChange(m)
 	}
 }
 
@@ -198,11 +201,11 @@
 	pins, complete := c.deps.Holder.ListPins(p.Runner, p.Fence)
 	result := listResult{Incarnation: c.cfg.Self.Incarnation, Pins: pins, Complete: complete}
 	c.mu.Lock()
-	m := c.managed[p.Runner]
+	m := c.runners[p.Runner]
 	c.mu.Unlock()
 	if m != nil {
 		m.mu.Lock()
-		result.OrdersOut = m.evicting > 0 && m.record.Fence < p.Fence
+		result.OrdersOut = m.evictionsInFlight > 0 && m.record.Fence < p.Fence
 		m.mu.Unlock()
 	}
 	return result
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -15,18 +15,18 @@
 
 const listTimeout = time.Second
 
-// runRunner works on one owned runner until the ownership ends.
-func (c *Controller) runRunner(ctx context.Context, m *managed) {
+// manage runs the work on one owned runner until the ownership ends.
+func (c *Controller) manage(ctx context.Context, m *managedRunner) {
 	defer close(m.done)
 	var wg sync.WaitGroup
-	wg.Go(func() { c.readReports(ctx, m) })
+	wg.Go(func() { c.pollReports(ctx, m) })
 	for range c.cfg.LoadWorkers {
-		wg.Go(func() { c.loadWanted(ctx, m) })
+		wg.Go(func() { c.runLoads(ctx, m) })
 	}
 	wg.Wait()
 }
 
-func (c *Controller) readReports(ctx context.Context, m *managed) {
+func (c *Controller) pollReports(ctx context.Context, m *managedRunner) {
 	ticker := time.NewTicker(c.cfg.ReportInterval)
 	defer ticker.Stop()
 	fenced := !m.host.ChecksFence
@@ -40,9 +40,9 @@
 		if err == nil {
 			m.runner.ApplyReport(report, asked)
 			m.runner.EnableGrants()
-			c.hearHolders(ctx, m)
-			c.settleDoubts(m, time.Now())
-			c.notify(m)
+			c.collectPins(ctx, m)
+			c.resolveInDoubt(m, time.Now())
+			c.publishChange(m)
 		}
 		select {
 		case <-ctx.Done():
@@ -52,70 +52,72 @@
 	}
 }
 
-// fenceEngine gives an engine that checks fencing an order under the new number,
-// so that no late order of the owner before is obeyed: a load of what is loaded
-// already changes nothing else. It comes before the first report with anything
-// loaded is believed: what an earlier owner loaded after a report that showed
-// the engine empty must get no pin while that owner could still evict it.
-func (c *Controller) fenceEngine(ctx context.Context, m *managed, report engine.Report) error {
-	err := c.order(ctx, m, engine.OrderLoad, report.Resident[0].Model)
+// fenceEngine sends an engine that checks fencing an order under the new fence,
+// so that it obeys no late order of the previous owner. The order is to load a
+// resident model, which changes nothing else. It precedes the first report with
+// a resident model that is applied: a model that an earlier owner loaded after
+// an empty report must get no pin while that owner could still evict it.
+func (c *Controller) fenceEngine(ctx context.Context, m *managedRunner, report engine.Report) error {
+	err := c.sendOrder(ctx, m, engine.OrderLoad, report.Resident[0].Model)
 	if err != nil {
-		c.loseIfStale(m, err)
+		c.endIfFenced(m, err)
 	}
 	return err
 }
 
-// order sends one order and counts it while it is under way.
-func (c *Controller) order(ctx context.Context, m *managed, kind engine.OrderKind, model string) error {
+// sendOrder sends an order with the next sequence number.
+func (c *Controller) sendOrder(ctx context.Context, m *managedRunner, kind engine.OrderKind, model string) error {
 	m.mu.Lock()
-	m.orders++
-	sequence := m.orders
+	m.orderSeq++
+	sequence := m.orderSeq
 	fence := m.record.Fence
 	m.mu.Unlock()
 	id := c.cfg.Self.Incarnation + "-" + m.host.ID + "-" + strconv.Itoa(sequence)
 	return c.deps.Engines.Order(ctx, m.host.Address, engine.Order{ID: id, Kind: kind, Model: model, Fence: fence})
 }
 
-// loseIfStale gives a runner up whose engine has seen a later owner.
-func (c *Controller) loseIfStale(m *managed, err error) {
+// endIfFenced ends the ownership of a runner whose engine has seen a later
+// owner.
+func (c *Controller) endIfFenced(m *managedRunner, err error) {
 	var refused *engine.OrderError
 	if errors.As(err, &refused) && refused.Code == engine.CodeStaleFence {
-		c.deps.Log.Warn("engine has a later owner; runner given up", "runner", m.host.ID)
+		c.deps.Log.Warn("engine has accepted a later owner; giving runner up", "runner", m.host.ID)
 		m.runner.EndOwnership()
 		m.stop()
 	}
 }
 
-// hearHolders asks the members that have not told their pins yet.
-func (c *Controller) hearHolders(ctx context.Context, m *managed) {
-	c.noteNewMembers(m)
+// collectPins asks the members that have not reported their pins yet.
+func (c *Controller) collectPins(ctx context.Context, m *managedRunner) {
+	c.updateMembers(m)
 	fence, owned := m.runner.Owned()
 	if !owned {
 		return
 	}
 	var wg sync.WaitGroup
 	for _, host := range m.runner.PendingHolders() {
-		wg.Go(func() { c.hearHolder(ctx, m, host, fence) })
+		wg.Go(func() { c.collectPinsFrom(ctx, m, host, fence) })
 	}
 	wg.Wait()
 }
 
-func (c *Controller) hearHolder(ctx context.Context, m *managed, host string, fence uint64) {
+func (c *Controller) collectPinsFrom(ctx context.Context, m *managedRunner, host string, fence uint64) {
 	if c.deps.Hosts.Removed(host) {
 		m.runner.ProcessEnded(host, "", time.Now())
 		return
 	}
-	list, err := c.askPins(ctx, host, m.host.ID, fence)
+	list, err := c.fetchPins(ctx, host, m.host.ID, fence)
 	if err != nil || !list.Complete {
 		return
 	}
 	m.runner.AddReportedPins(host, list.Incarnation, list.Pins, time.Now())
-	c.noteOrders(m, host, list)
+	c.markFinishedIntents(m, host, list)
 }
 
-// noteNewMembers finds members that this owner has not heard, and processes
-// that have ended: one whose host is gone, or for which a later one speaks.
-func (c *Controller) noteNewMembers(m *managed) {
+// updateMembers records the members that this owner has not heard from, and the
+// processes that have ended: their host was removed, or a later process runs
+// there.
+func (c *Controller) updateMembers(m *managedRunner) {
 	for _, member := range c.deps.Members.All() {
 		if c.deps.Hosts.Removed(member.Host) {
 			m.runner.ProcessEnded(member.Host, "", time.Now())
@@ -131,14 +133,14 @@
 	}
 }
 
-func (c *Controller) askPins(ctx context.Context, host, runner string, fence uint64) (listResult, error) {
+func (c *Controller) fetchPins(ctx context.Context, host, runner string, fence uint64) (listResult, error) {
 	params := listParams{Runner: runner, Fence: fence}
 	if host == c.cfg.Self.Host {
 		return c.listPins(params), nil
 	}
 	member, ok := c.deps.Members.Get(host)
 	if !ok {
-		return listResult{}, errors.Errorf("no address of %s", host)
+		return listResult{}, errors.Errorf("address of host %s is unknown", host)
 	}
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -147,50 +149,51 @@
 	return list, err
 }
 
-// noteOrders learns from an earlier owner that none of its orders is under way.
-func (c *Controller) noteOrders(m *managed, host string, list listResult) {
+// markFinishedIntents marks the intents of an earlier owner as finished, if
+// that process has no evictions in flight or has been replaced.
+func (c *Controller) markFinishedIntents(m *managedRunner, host string, list listResult) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, intent := range m.record.Intents {
 		sameProcess := intent.Owner == host && intent.Incarnation == list.Incarnation
 		otherProcess := intent.Owner == host && intent.Incarnation != list.Incarnation
 		if otherProcess || (sameProcess && !list.OrdersOut) {
-			m.noteOverLocked(intent)
+			m.markFinishedLocked(intent)
 		}
 	}
 }
 
-func (m *managed) noteOverLocked(intent residency.Intent) {
-	if _, noted := m.over[intent]; !noted {
-		m.over[intent] = time.Now()
+func (m *managedRunner) markFinishedLocked(intent residency.Intent) {
+	if _, noted := m.finishedAt[intent]; !noted {
+		m.finishedAt[intent] = time.Now()
 	}
 }
 
-// settleDoubts drops doubts about evictions whose sender is proven to send no
-// more, once an order that it had sent before cannot take effect any longer.
-func (c *Controller) settleDoubts(m *managed, now time.Time) {
+// resolveInDoubt resolves the evictions whose sender is known to send no more,
+// once an order sent before that can no longer take effect.
+func (c *Controller) resolveInDoubt(m *managedRunner, now time.Time) {
 	m.mu.Lock()
 	for _, intent := range m.record.Intents {
 		if c.deps.Hosts.Removed(intent.Owner) {
-			m.noteOverLocked(intent)
+			m.markFinishedLocked(intent)
 		}
 	}
-	over := make(map[residency.Intent]bool, len(m.over))
-	for intent, since := range m.over {
-		over[intent] = now.Sub(since) > c.cfg.MaxOrderDelay
+	expired := make(map[residency.Intent]bool, len(m.finishedAt))
+	for intent, since := range m.finishedAt {
+		expired[intent] = now.Sub(since) > c.cfg.MaxOrderDelay
 	}
 	m.mu.Unlock()
-	m.runner.ResolveInDoubt(func(intent residency.Intent) bool { return over[intent] })
-	m.forgetOver(over)
+	m.runner.ResolveInDoubt(func(intent residency.Intent) bool { return expired[intent] })
+	m.pruneFinished(expired)
 }
 
-// forgetOver drops settled evictions that the record no longer names.
-func (m *managed) forgetOver(settled map[residency.Intent]bool) {
+// pruneFinished drops expired evictions that the record no longer lists.
+func (m *managedRunner) pruneFinished(expired map[residency.Intent]bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for intent, done := range settled {
-		if done && !slices.Contains(m.record.Intents, intent) {
-			delete(m.over, intent)
+	for intent, pastDelay := range expired {
+		if pastDelay && !slices.Contains(m.record.Intents, intent) {
+			delete(m.finishedAt, intent)
 		}
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -32,8 +32,8 @@
 // Owner is this host's own side as an owner of runners.
 type Owner interface {
 	Acquire(ctx context.Context, from peer.Identity, p control.AcquireParams) (control.AcquireResult, error)
-	TakeBack(holder string, returns []residency.PinReturn)
-	Missing(p control.MissingParams)
+	ReturnPins(holder string, returns []residency.PinReturn)
+	ModelMissing(p control.MissingParams)
 	Prefetch(runner, model string, value float64) bool
 }
 
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -143,15 +143,15 @@
 // refused takes an owner's refusal in: it is tried elsewhere, or given up.
 func (d *Dispatcher) refused(ctx context.Context, runner string, refusal control.Refusal, state *tries) *Refusal {
 	switch refusal {
-	case control.RefusedBroken:
+	case control.RefusedLoadBackoff:
 		return notRun(CodeAdapterFails, "loads of this adapter keep failing and are put off", retryLater)
-	case control.RefusedLoad:
+	case control.RefusedLoadFailed:
 		state.loads++
 		state.avoided[runner] = true
 		if state.loads >= maxLoadFailures {
 			return notRun(CodeAdapterFails, "the adapter could not be loaded", retryLater)
 		}
-	case control.RefusedDoubt:
+	case control.RefusedInDoubt:
 		state.avoided[runner] = true
 	default:
 		timing.Sleep(ctx, viewPause)
@@ -230,7 +230,7 @@
 func (d *Dispatcher) giveBack(ctx context.Context, runner string, ret residency.PinReturn) {
 	owner, _ := d.deps.Table.Get(runner)
 	if owner.Owner == d.cfg.Self.Host {
-		d.deps.Owner.TakeBack(d.cfg.Self.Host, []residency.PinReturn{ret})
+		d.deps.Owner.ReturnPins(d.cfg.Self.Host, []residency.PinReturn{ret})
 		return
 	}
 	d.tell(ctx, owner.Owner, control.MethodReturn, control.ReturnParams{Returns: []residency.PinReturn{ret}})
@@ -244,7 +244,7 @@
 	}
 	params := control.MissingParams{Runner: runner.ID, Model: model}
 	if runner.Owner == d.cfg.Self.Host {
-		d.deps.Owner.Missing(params)
+		d.deps.Owner.ModelMissing(params)
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
