--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -33,7 +33,7 @@
 
 // LoadPermits hands out permits to load.
 type LoadPermits interface {
-	Acquire(ctx context.Context, ask loading.Ask, wait time.Duration) (*loading.Permit, error)
+	Acquire(ctx context.Context, request loading.Request, wait time.Duration) (*loading.Permit, error)
 }
 
 // Demand estimates the request rate of a model.
--- a/internal/control/evict.go
+++ b/internal/control/evict.go
@@ -20,8 +20,8 @@
 
 // evictForLoad evicts the least valuable model of a runner. For a load that
 // nobody waits for, it evicts only models of clearly lower value.
-func (c *Controller) evictForLoad(ctx context.Context, m *managedRunner, ask loading.Ask) error {
-	candidates := c.candidatesFor(m, ask, time.Now())
+func (c *Controller) evictForLoad(ctx context.Context, m *managedRunner, request loading.Request) error {
+	candidates := c.candidatesFor(m, request, time.Now())
 	for _, candidate := range candidates {
 		err := c.evict(ctx, m, candidate.Model)
 		if err == nil {
@@ -38,13 +38,13 @@
 
 // candidatesFor returns the models that may be evicted for a load, in order of
 // preference.
-func (c *Controller) candidatesFor(m *managedRunner, ask loading.Ask, now time.Time) []residency.EvictionCandidate {
+func (c *Controller) candidatesFor(m *managedRunner, request loading.Request, now time.Time) []residency.EvictionCandidate {
 	candidates := c.rankedCandidates(m, now)
-	if ask.Class == loading.ClassWaiting {
+	if request.Class == loading.ClassWaiting {
 		return candidates
 	}
 	return slices.DeleteFunc(candidates, func(candidate residency.EvictionCandidate) bool {
-		return !candidate.InDoubt && c.deps.Demand.PerSecond(candidate.Model, now) > prefetchMargin*ask.Value
+		return !candidate.InDoubt && c.deps.Demand.PerSecond(candidate.Model, now) > prefetchMargin*request.Value
 	})
 }
 
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -25,7 +25,7 @@
 
 // pendingLoad is a model that is to be loaded on a runner.
 type pendingLoad struct {
-	ask        loading.Ask
+	request    loading.Request
 	waiters    int
 	inProgress bool
 	loadErr    error
@@ -33,19 +33,19 @@
 }
 
 // addLoad requests a load. callerWaits means that a caller waits for it.
-func (m *managedRunner) addLoad(ask loading.Ask, callerWaits bool) *pendingLoad {
+func (m *managedRunner) addLoad(request loading.Request, callerWaits bool) *pendingLoad {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	pending := m.loads[ask.Model]
+	pending := m.loads[request.Model]
 	if pending == nil || (pending.loadErr != nil && time.Since(pending.endedAt) > failureTTL) {
-		pending = &pendingLoad{ask: ask}
-		m.loads[ask.Model] = pending
+		pending = &pendingLoad{request: request}
+		m.loads[request.Model] = pending
 	}
 	if callerWaits {
 		pending.waiters++
-		pending.ask.Waiters = pending.waiters
-		pending.ask.Class = loading.ClassWaiting
-		pending.ask.Priority = max(pending.ask.Priority, ask.Priority)
+		pending.request.Waiters = pending.waiters
+		pending.request.Class = loading.ClassWaiting
+		pending.request.Priority = max(pending.request.Priority, request.Priority)
 	}
 	close(m.changed)
 	m.changed = make(chan struct{})
@@ -58,8 +58,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	pending.waiters--
-	pending.ask.Waiters = pending.waiters
-	if pending.waiters <= 0 && !pending.inProgress && pending.loadErr == nil && pending.ask.Class == loading.ClassWaiting && m.loads[model] == pending {
+	pending.request.Waiters = pending.waiters
+	if pending.waiters <= 0 && !pending.inProgress && pending.loadErr == nil && pending.request.Class == loading.ClassWaiting && m.loads[model] == pending {
 		delete(m.loads, model)
 	}
 }
@@ -131,17 +131,17 @@
 		return nil
 	}
 	now := time.Now()
-	first := slices.MinFunc(open, func(a, b *pendingLoad) int { return loading.Compare(a.ask, b.ask, now) })
+	first := slices.MinFunc(open, func(a, b *pendingLoad) int { return loading.Compare(a.request, b.request, now) })
 	first.inProgress = true
 	return first
 }
 
 // loadRequest returns a copy of the load's request, which changes as callers
 // come and go.
-func (m *managedRunner) loadRequest(pending *pendingLoad) loading.Ask {
+func (m *managedRunner) loadRequest(pending *pendingLoad) loading.Request {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return pending.ask
+	return pending.request
 }
 
 // finishLoad ends an attempt at a load. retry keeps it for another attempt.
@@ -151,12 +151,12 @@
 	pending.inProgress = false
 	pending.loadErr = loadErr
 	pending.endedAt = time.Now()
-	if retry && (pending.waiters > 0 || pending.ask.Class == loading.ClassForeseen) {
+	if retry && (pending.waiters > 0 || pending.request.Class == loading.ClassPrefetch) {
 		pending.loadErr = nil
 		return
 	}
-	if loadErr == nil && m.loads[pending.ask.Model] == pending {
-		delete(m.loads, pending.ask.Model)
+	if loadErr == nil && m.loads[pending.request.Model] == pending {
+		delete(m.loads, pending.request.Model)
 	}
 }
 
@@ -184,31 +184,31 @@
 // load loads one model on a runner, and reports whether to retry. It acquires
 // the permit before it evicts: a model keeps serving while the load waits in
 // the queue.
-func (c *Controller) load(ctx context.Context, m *managedRunner, ask loading.Ask) (retry bool, err error) {
-	if _, present := m.runner.State(ask.Model); present {
+func (c *Controller) load(ctx context.Context, m *managedRunner, request loading.Request) (retry bool, err error) {
+	if _, present := m.runner.State(request.Model); present {
 		return false, nil
 	}
-	if m.runner.FreeSlots() <= 0 && len(c.candidatesFor(m, ask, time.Now())) == 0 {
+	if m.runner.FreeSlots() <= 0 && len(c.candidatesFor(m, request, time.Now())) == 0 {
 		// A caller waits for a slot; a prefetch is dropped and may be requested
 		// again.
-		return ask.Class == loading.ClassWaiting, errNothingEvictable
+		return request.Class == loading.ClassWaiting, errNothingEvictable
 	}
-	permit, err := c.deps.Loads.Acquire(ctx, ask, permitWait)
+	permit, err := c.deps.Loads.Acquire(ctx, request, permitWait)
 	if err != nil {
-		return !errors.Is(err, loading.ErrBroken), err
+		return !errors.Is(err, loading.ErrBackoff), err
 	}
-	if !m.runner.BeginLoad(ask.Model, time.Now()) {
-		if err := c.evictForLoad(ctx, m, ask); err != nil {
+	if !m.runner.BeginLoad(request.Model, time.Now()) {
+		if err := c.evictForLoad(ctx, m, request); err != nil {
 			permit.Cancel()
 			return true, err
 		}
-		if !m.runner.BeginLoad(ask.Model, time.Now()) {
+		if !m.runner.BeginLoad(request.Model, time.Now()) {
 			permit.Cancel()
 			return true, errNothingEvictable
 		}
 	}
 	c.publishChange(m)
-	return false, c.sendLoad(ctx, m, ask.Model, permit)
+	return false, c.sendLoad(ctx, m, request.Model, permit)
 }
 
 func (c *Controller) sendLoad(ctx context.Context, m *managedRunner, model string, permit *loading.Permit) error {
@@ -247,7 +247,7 @@
 	if _, present := m.runner.State(model); present {
 		return false
 	}
-	ask := loading.Ask{Runner: runner, Model: model, Class: loading.ClassForeseen, Since: time.Now(), Value: value}
-	m.addLoad(ask, false)
+	request := loading.Request{Runner: runner, Model: model, Class: loading.ClassPrefetch, Since: time.Now(), Value: value}
+	m.addLoad(request, false)
 	return true
 }
--- a/internal/control/pins.go
+++ b/internal/control/pins.go
@@ -158,8 +158,8 @@
 	}
 }
 
-func (c *Controller) waitingLoad(p AcquireParams) loading.Ask {
-	return loading.Ask{Runner: p.Runner, Model: p.Model, Class: loading.ClassWaiting, Priority: p.Priority, Since: time.Now()}
+func (c *Controller) waitingLoad(p AcquireParams) loading.Request {
+	return loading.Request{Runner: p.Runner, Model: p.Model, Class: loading.ClassWaiting, Priority: p.Priority, Since: time.Now()}
 }
 
 func grantRefusal(err error) Refusal {
@@ -174,7 +174,7 @@
 }
 
 func loadRefusal(err error) Refusal {
-	if errors.Is(err, loading.ErrBroken) {
+	if errors.Is(err, loading.ErrBackoff) {
 		return RefusedLoadBackoff
 	}
 	return RefusedLoadFailed
--- a/internal/loading/service.go
+++ b/internal/loading/service.go
@@ -19,54 +19,55 @@
 )
 
 const (
-	// orderKey is hashed to choose the host that orders loads.
-	orderKey = "loading/order"
-	// loanLife bounds a loan; a lender that hears no more of the borrower has
-	// its share back after it.
-	loanLife       = 3 * time.Second
+	// coordinatorKey is hashed to select the host that coordinates loads.
+	coordinatorKey = "loading/order"
+	// loanDuration bounds a loan: if the borrower falls silent, the lender has
+	// its share back after this time.
+	loanDuration   = 3 * time.Second
 	borrowInterval = time.Second
 	borrowTimeout  = 800 * time.Millisecond
 	permitPoll     = 100 * time.Millisecond
 	doneTimeout    = time.Second
 )
 
-// ErrBroken refuses a load of a model whose loads keep failing.
-var ErrBroken = errors.New("loads of this model keep failing and are put off")
+// ErrBackoff is returned for a model whose loads keep failing and are in
+// backoff.
+var ErrBackoff = errors.New("loads of this model keep failing and are in backoff")
 
-// Caller calls peers.
-type Caller interface {
+// Peers calls other entry hosts.
+type Peers interface {
 	Call(ctx context.Context, address, method string, params, result any) error
 	CallLong(ctx context.Context, address, method string, params, result any) error
 }
 
-// Service hands out permits to load: by its own queue if this host orders
-// loads for all, by asking the host that does otherwise, and by its own queue
-// and share again if that host cannot be reached.
+// Service grants permits to load. The coordinator uses its own queue; other
+// hosts ask the coordinator, and use their own queue and shares if it cannot be
+// reached.
 type Service struct {
 	self      string
 	queue     *Queue
 	allowance *Allowance
 	members   *fleet.Members
-	peers     Caller
-	life      time.Duration
+	peers     Peers
+	permitTTL time.Duration
 	log       hclog.Logger
 }
 
-// NewService makes the service; life is the time after which a permit that
-// was not given back runs out.
-func NewService(self string, queue *Queue, allowance *Allowance, members *fleet.Members, peers Caller, life time.Duration, log hclog.Logger) *Service {
-	return &Service{self: self, queue: queue, allowance: allowance, members: members, peers: peers, life: life, log: log}
+// NewService returns a service. permitTTL is the time after which an unreturned
+// permit expires.
+func NewService(self string, queue *Queue, allowance *Allowance, members *fleet.Members, peers Peers, permitTTL time.Duration, log hclog.Logger) *Service {
+	return &Service{self: self, queue: queue, allowance: allowance, members: members, peers: peers, permitTTL: permitTTL, log: log}
 }
 
 type permitParams struct {
-	Ask    Ask   `json:"ask"`
-	WaitMS int64 `json:"wait_ms"`
+	Ask    Request `json:"ask"`
+	WaitMS int64   `json:"wait_ms"`
 }
 
 type permitResult struct {
 	Granted bool   `json:"granted"`
 	Ticket  uint64 `json:"ticket,omitempty"`
-	// BrokenMS is the time for which the model's loads are put off.
+	// BrokenMS is the remaining backoff of the model's loads, in milliseconds.
 	BrokenMS int64 `json:"broken_ms,omitempty"`
 }
 
@@ -88,14 +89,14 @@
 // Register adds the methods that peers call.
 func (s *Service) Register(mux *peer.Mux) {
 	peer.Handle(mux, methodPermit, func(ctx context.Context, _ peer.Identity, p permitParams) (permitResult, error) {
-		return s.permitHere(ctx, p.Ask, time.Duration(p.WaitMS)*time.Millisecond)
+		return s.waitLocally(ctx, p.Ask, time.Duration(p.WaitMS)*time.Millisecond)
 	})
 	peer.Handle(mux, methodDone, func(_ context.Context, _ peer.Identity, p doneParams) (struct{}, error) {
 		s.queue.Done(p.Ticket, p.Model, p.OK, time.Duration(p.TookMS)*time.Millisecond, time.Now())
 		return struct{}{}, nil
 	})
 	peer.Handle(mux, methodCancel, func(_ context.Context, _ peer.Identity, p doneParams) (struct{}, error) {
-		s.queue.Leave(p.Ticket)
+		s.queue.Remove(p.Ticket)
 		return struct{}{}, nil
 	})
 	peer.Handle(mux, methodBorrow, func(_ context.Context, from peer.Identity, p borrowParams) (borrowResult, error) {
@@ -104,7 +105,7 @@
 	})
 }
 
-// Permit is a right to start one load.
+// Permit allows one load to be started.
 type Permit struct {
 	service *Service
 	address string // of the host that gave it; empty for this one
@@ -112,46 +113,46 @@
 	model   string
 }
 
-// Acquire waits for a permit, up to wait. It returns ErrBroken for a model
-// whose loads are put off.
-func (s *Service) Acquire(ctx context.Context, ask Ask, wait time.Duration) (*Permit, error) {
-	address := s.orderer(time.Now())
+// Acquire waits up to wait for a permit. It returns ErrBackoff for a model
+// whose loads are in backoff.
+func (s *Service) Acquire(ctx context.Context, request Request, wait time.Duration) (*Permit, error) {
+	address := s.coordinatorAddress(time.Now())
 	if address != "" {
-		permit, err := s.acquireThere(ctx, address, ask, wait)
-		if err == nil || errors.Is(err, ErrBroken) || ctx.Err() != nil {
+		permit, err := s.acquireRemote(ctx, address, request, wait)
+		if err == nil || errors.Is(err, ErrBackoff) || ctx.Err() != nil {
 			return permit, err
 		}
-		s.log.Debug("the host that orders loads does not answer; using this host's own share", "error", err)
+		s.log.Debug("load coordinator is unreachable; using this host's own shares", "error", err)
 	}
-	result, err := s.permitHere(ctx, ask, wait)
+	result, err := s.waitLocally(ctx, request, wait)
 	if err != nil {
 		return nil, err
 	}
-	return s.permitOf(result, "", ask.Model)
+	return s.newPermit(result, "", request.Model)
 }
 
-func (s *Service) acquireThere(ctx context.Context, address string, ask Ask, wait time.Duration) (*Permit, error) {
+func (s *Service) acquireRemote(ctx context.Context, address string, request Request, wait time.Duration) (*Permit, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+borrowTimeout)
 	defer cancel()
 	var result permitResult
-	params := permitParams{Ask: ask, WaitMS: wait.Milliseconds()}
+	params := permitParams{Ask: request, WaitMS: wait.Milliseconds()}
 	if err := s.peers.CallLong(ctx, address, methodPermit, params, &result); err != nil {
 		return nil, err
 	}
-	return s.permitOf(result, address, ask.Model)
+	return s.newPermit(result, address, request.Model)
 }
 
-func (s *Service) permitOf(result permitResult, address, model string) (*Permit, error) {
+func (s *Service) newPermit(result permitResult, address, model string) (*Permit, error) {
 	if result.BrokenMS > 0 {
-		return nil, ErrBroken
+		return nil, ErrBackoff
 	}
 	if !result.Granted {
-		return nil, errors.New("no permit to load within the time allowed")
+		return nil, errors.New("no load permit was granted in time")
 	}
 	return &Permit{service: s, address: address, ticket: result.Ticket, model: model}, nil
 }
 
-// Done gives a permit back.
+// Done returns a permit and reports the result of its load.
 func (p *Permit) Done(ok bool, took time.Duration) {
 	if p.address == "" {
 		p.service.queue.Done(p.ticket, p.model, ok, took, time.Now())
@@ -160,37 +161,37 @@
 	ctx, cancel := context.WithTimeout(context.Background(), doneTimeout)
 	defer cancel()
 	params := doneParams{Ticket: p.ticket, Model: p.model, OK: ok, TookMS: took.Milliseconds()}
-	// A lost message only costs the rest of the permit's life.
+	// If the message is lost, the permit expires.
 	if err := p.service.peers.Call(ctx, p.address, methodDone, params, nil); err != nil {
-		p.service.log.Debug("permit not given back", "error", err)
+		p.service.log.Debug("returning load permit failed", "error", err)
 	}
 }
 
-// permitHere waits in this host's queue. A ticket looks again when a permit
-// was given back, and when the allowance has grown by one load.
-func (s *Service) permitHere(ctx context.Context, ask Ask, wait time.Duration) (permitResult, error) {
-	ticket := s.queue.Join(ask)
+// waitLocally waits for a permit in this host's queue. It checks again when a
+// permit is returned and when the allowance has grown by one load.
+func (s *Service) waitLocally(ctx context.Context, request Request, wait time.Duration) (permitResult, error) {
+	ticket := s.queue.Enqueue(request)
 	deadline := time.Now().Add(wait)
 	timer := time.NewTimer(permitPoll)
 	defer timer.Stop()
 	for {
 		changed := s.queue.Changed()
 		now := time.Now()
-		timer.Reset(min(permitPoll, s.allowance.NextIn(now)))
-		if broken := s.queue.Broken(ask.Model, now); broken > 0 {
-			s.queue.Leave(ticket)
+		timer.Reset(min(permitPoll, s.allowance.TimeToNext(now)))
+		if broken := s.queue.Backoff(request.Model, now); broken > 0 {
+			s.queue.Remove(ticket)
 			return permitResult{BrokenMS: broken.Milliseconds()}, nil
 		}
-		if s.queue.Permit(ticket, now, s.life) {
+		if s.queue.TryPermit(ticket, now, s.permitTTL) {
 			return permitResult{Granted: true, Ticket: ticket}, nil
 		}
 		if !now.Before(deadline) {
-			s.queue.Leave(ticket)
+			s.queue.Remove(ticket)
 			return permitResult{}, nil
 		}
 		select {
 		case <-ctx.Done():
-			s.queue.Leave(ticket)
+			s.queue.Remove(ticket)
 			return permitResult{}, ctx.Err()
 		case <-changed:
 		case <-timer.C:
@@ -198,9 +199,10 @@
 	}
 }
 
-// orderer gives the address of the host that orders loads, or "" for this one.
-func (s *Service) orderer(now time.Time) string {
-	host := fleet.First(orderKey, s.members.Candidates("", now))
+// coordinatorAddress returns the address of the host that coordinates loads, or
+// "" if that is this host.
+func (s *Service) coordinatorAddress(now time.Time) string {
+	host := fleet.First(coordinatorKey, s.members.Candidates("", now))
 	if host == "" || host == s.self {
 		return ""
 	}
@@ -208,12 +210,12 @@
 	return member.Address
 }
 
-// Run borrows the other hosts' shares while this host orders loads.
+// Run borrows the shares of the other hosts while this host coordinates loads.
 func (s *Service) Run(ctx context.Context) {
 	ticker := time.NewTicker(borrowInterval)
 	defer ticker.Stop()
 	for {
-		if s.orderer(time.Now()) == "" {
+		if s.coordinatorAddress(time.Now()) == "" {
 			s.borrowAll(ctx)
 		}
 		select {
@@ -238,35 +240,36 @@
 	defer cancel()
 	asked := time.Now()
 	var result borrowResult
-	params := borrowParams{LifeMS: loanLife.Milliseconds()}
+	params := borrowParams{LifeMS: loanDuration.Milliseconds()}
 	if err := s.peers.Call(ctx, member.Address, methodBorrow, params, &result); err != nil {
 		return
 	}
-	s.allowance.Borrowed(member.Host, result.Shares, asked, loanLife, time.Now())
+	s.allowance.AddLoan(member.Host, result.Shares, asked, loanDuration, time.Now())
 }
 
-// ExpectedLoadTime gives the likely time until a load asked for now would be done, if
-// this host orders loads for all: after all that the members say they want.
+// ExpectedLoadTime returns the estimated time until a load requested now would
+// be done, after all loads that the members say are waiting. It is meaningful
+// on the coordinator only.
 func (s *Service) ExpectedLoadTime() time.Duration {
 	wanted := 0
 	for _, member := range s.members.All() {
 		wanted += member.WaitingLoads
 	}
-	return s.queue.Expected(wanted, time.Now())
+	return s.queue.ExpectedLoadTime(wanted, time.Now())
 }
 
-// View gives this host's queue as operators see it.
+// View returns the state of this host's queue.
 func (s *Service) View() View { return s.queue.View(time.Now()) }
 
-// Cancel gives back a permit under which no load was begun.
+// Cancel returns a permit under which no load was started.
 func (p *Permit) Cancel() {
 	if p.address == "" {
-		p.service.queue.Leave(p.ticket)
+		p.service.queue.Remove(p.ticket)
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), doneTimeout)
 	defer cancel()
 	if err := p.service.peers.Call(ctx, p.address, methodCancel, doneParams{Ticket: p.ticket}, nil); err != nil {
-		p.service.log.Debug("permit not given back", "error", err)
+		p.service.log.Debug("returning load permit failed", "error", err)
 	}
 }
--- a/internal/loading/shares.go
+++ b/internal/loading/shares.go
@@ -1,11 +1,11 @@
-// Package loading keeps the order of loads for the whole fleet within the
-// weight store's allowance.
+// Package loading schedules loads for the whole fleet within the weight store's
+// allowance.
 //
 // The allowance is divided into shares. Each share belongs to one host, which
-// either uses it or lends it, for a short time, to the host that orders loads
-// for all. A share is never used in two places, so the allowance is kept
-// however the hosts are cut off from each other: a host that nobody hears
-// still has its own share, and no election is needed.
+// either uses it or lends it, for a short time, to the host that coordinates
+// loads. A share is never used in two places, so the allowance holds even if
+// the hosts are partitioned: an isolated host still has its own share, and no
+// election is needed.
 package loading
 
 import (
@@ -16,21 +16,21 @@
 	"golang.org/x/time/rate"
 )
 
-// SharesKey is where the claims on shares stand in the object API.
+// SharesKey is the key of the share claims in the object API.
 const SharesKey = "loading/shares"
 
-// Owner names the process that a share belongs to.
+// Owner identifies the process that a share belongs to.
 type Owner struct {
 	Host        string `json:"host"`
 	Incarnation string `json:"incarnation"`
 }
 
-// Claims is the stored list of shares; the zero Owner marks a free one.
+// Claims is the stored list of shares. A zero Owner marks a free share.
 type Claims struct {
 	Shares []Owner `json:"shares"`
 }
 
-// Count gives the number of shares of a process.
+// Count returns the number of shares of a process.
 func (c Claims) Count(owner Owner) int {
 	count := 0
 	for _, share := range c.Shares {
@@ -41,25 +41,26 @@
 	return count
 }
 
-// Claim gives the claims after a process has taken or freed shares so that it
-// holds its part of them: the total divided by the live hosts, rounded up.
-// ended tells whether a process is proven over, so that its shares are free.
-func (c Claims) Claim(self Owner, total, live int, ended func(Owner) bool) (Claims, bool) {
+// Claim returns the claims after a process has claimed or freed shares so that
+// it holds its part: the total divided by the live hosts, rounded up. hasEnded
+// reports whether a process is proven dead, so that its shares are free. The
+// second result is false if nothing changed.
+func (c Claims) Claim(self Owner, total, liveHosts int, hasEnded func(Owner) bool) (Claims, bool) {
 	next := Claims{Shares: slices.Clone(c.Shares)}
 	for len(next.Shares) < total {
 		next.Shares = append(next.Shares, Owner{})
 	}
-	want := (total + max(live, 1) - 1) / max(live, 1)
+	wanted := (total + max(liveHosts, 1) - 1) / max(liveHosts, 1)
 	have := next.Count(self)
 	changed := false
 	for i, share := range next.Shares {
-		free := share == Owner{} || (share != self && ended(share))
+		free := share == Owner{} || (share != self && hasEnded(share))
 		switch {
-		case free && have < want:
+		case free && have < wanted:
 			next.Shares[i] = self
 			have++
 			changed = true
-		case share == self && have > want:
+		case share == self && have > wanted:
 			next.Shares[i] = Owner{}
 			have--
 			changed = true
@@ -68,7 +69,7 @@
 	return next, changed
 }
 
-// AllOwnedBy says whether every share belongs to one of the hosts.
+// AllOwnedBy reports whether every share belongs to one of the hosts.
 func (c Claims) AllOwnedBy(hosts []string) bool {
 	for _, share := range c.Shares {
 		if !slices.Contains(hosts, share.Host) {
@@ -78,7 +79,7 @@
 	return true
 }
 
-// Release gives the claims without those of a process.
+// Release returns the claims without those of a process.
 func (c Claims) Release(self Owner) Claims {
 	next := Claims{Shares: slices.Clone(c.Shares)}
 	for i, share := range next.Shares {
@@ -89,152 +90,153 @@
 	return next
 }
 
-// Allowance is the part of the weight store's rate that this host may use now:
-// its own shares while they are not lent, and those borrowed. It is safe for
-// concurrent use.
+// Allowance is the part of the weight store's rate that this host may use: its
+// own shares unless they are lent, and the shares it has borrowed. It is safe
+// for concurrent use.
 type Allowance struct {
 	total int
 
-	mu       sync.Mutex
-	perShare rate.Limit
-	own      int
-	coming   int
-	comingAt time.Time
-	lentTo   string
-	lentTill time.Time
-	loans    map[string]loan
-	bucket   *rate.Limiter
+	mu            sync.Mutex
+	perShare      rate.Limit
+	own           int
+	pendingShares int
+	pendingFrom   time.Time
+	lentTo        string
+	lentUntil     time.Time
+	borrowed      map[string]loan
+	limiter       *rate.Limiter
 }
 
 type loan struct {
 	shares int
-	till   time.Time
+	until  time.Time
 }
 
-// NewAllowance makes the allowance of a host without shares; total is the
-// number of shares that make up the rate, in loads a second.
+// NewAllowance returns the allowance of a host without shares. total is the
+// number of shares that perSecond, the rate in loads per second, is divided
+// into.
 func NewAllowance(perSecond float64, total int, now time.Time) *Allowance {
 	a := &Allowance{
 		total:    total,
 		perShare: rate.Limit(perSecond / float64(total)),
-		loans:    map[string]loan{},
-		bucket:   rate.NewLimiter(0, 1),
+		borrowed: map[string]loan{},
+		limiter:  rate.NewLimiter(0, 1),
 	}
-	a.bucket.AllowN(now, 1)
+	a.limiter.AllowN(now, 1)
 	return a
 }
 
-// SetOwnShares sets the number of shares that belong to this host. Shares that had
-// an owner before count only after a loan's life: whoever borrowed them from
-// that owner may use them until then. unused says that none had one.
-func (a *Allowance) SetOwnShares(shares int, unused bool, now time.Time) {
+// SetOwnShares sets the number of shares that belong to this host. Additional
+// shares count only after loanDuration, since a borrower may use them until
+// then; neverClaimed means that they had no previous owner and count at once.
+func (a *Allowance) SetOwnShares(shares int, neverClaimed bool, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(now)
-	if shares > a.own && shares != a.coming {
-		a.coming = shares
-		a.comingAt = now.Add(loanLife)
+	a.expireLocked(now)
+	if shares > a.own && shares != a.pendingShares {
+		a.pendingShares = shares
+		a.pendingFrom = now.Add(loanDuration)
 	}
-	if shares <= a.own || unused {
+	if shares <= a.own || neverClaimed {
 		a.own = shares
-		a.coming = 0
+		a.pendingShares = 0
 	}
-	a.adjust(now)
+	a.updateLimitLocked(now)
 }
 
-// SetRate changes the rate that all shares together make up, in loads a second.
+// SetRate sets the rate of all shares together, in loads per second.
 func (a *Allowance) SetRate(perSecond float64, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(now)
+	a.expireLocked(now)
 	a.perShare = rate.Limit(perSecond / float64(a.total))
-	a.adjust(now)
+	a.updateLimitLocked(now)
 }
 
-// Lend lends this host's shares for a time that counts from now on this
-// host's clock. It returns zero while they are lent to another.
-func (a *Allowance) Lend(to string, now time.Time, life time.Duration) int {
+// Lend lends this host's shares for a duration that starts now on this host's
+// clock. It returns zero while they are lent to another host.
+func (a *Allowance) Lend(to string, now time.Time, duration time.Duration) int {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(now)
+	a.expireLocked(now)
 	if a.lentTo != "" && a.lentTo != to {
 		return 0
 	}
 	a.lentTo = to
-	a.lentTill = now.Add(life)
-	a.adjust(now)
+	a.lentUntil = now.Add(duration)
+	a.updateLimitLocked(now)
 	return a.own
 }
 
-// Borrowed notes shares lent to this host. The loan ends a life after it was
-// asked for, which is before the lender counts it as ended.
-func (a *Allowance) Borrowed(from string, shares int, asked time.Time, life time.Duration, now time.Time) {
+// AddLoan records shares lent to this host. The loan ends a duration after it
+// was requested, which is before the lender considers it ended.
+func (a *Allowance) AddLoan(from string, shares int, asked time.Time, duration time.Duration, now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(now)
-	a.loans[from] = loan{shares: shares, till: asked.Add(life)}
-	a.adjust(now)
+	a.expireLocked(now)
+	a.borrowed[from] = loan{shares: shares, until: asked.Add(duration)}
+	a.updateLimitLocked(now)
 }
 
-// Take uses one load of the allowance if there is one.
-func (a *Allowance) Take(now time.Time) bool {
+// TryTake takes one load from the allowance. It returns false if none is left.
+func (a *Allowance) TryTake(now time.Time) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(now)
-	a.adjust(now)
-	return a.bucket.AllowN(now, 1)
+	a.expireLocked(now)
+	a.updateLimitLocked(now)
+	return a.limiter.AllowN(now, 1)
 }
 
-// NextIn gives the time until the allowance has grown by one load. Where one is
-// left already, something else is in the way, and the answer is a second.
-func (a *Allowance) NextIn(now time.Time) time.Duration {
+// TimeToNext returns the time until the allowance has grown by one load. If one
+// is left already, something else is blocking, and it returns one second.
+func (a *Allowance) TimeToNext(now time.Time) time.Duration {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(now)
-	a.adjust(now)
-	tokens, limit := a.bucket.TokensAt(now), float64(a.bucket.Limit())
+	a.expireLocked(now)
+	a.updateLimitLocked(now)
+	tokens, limit := a.limiter.TokensAt(now), float64(a.limiter.Limit())
 	if tokens >= 1 || limit <= 0 {
 		return time.Second
 	}
 	return time.Duration((1-tokens)/limit*float64(time.Second)) + time.Millisecond
 }
 
-// PerSecond gives the loads a second that this host may order now.
+// PerSecond returns the current rate of this host, in loads per second.
 func (a *Allowance) PerSecond(now time.Time) float64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.settle(now)
-	a.adjust(now)
-	return float64(a.bucket.Limit())
+	a.expireLocked(now)
+	a.updateLimitLocked(now)
+	return float64(a.limiter.Limit())
 }
 
-// settle ends what has run out. A share that comes back begins with an empty
-// bucket: what it could have saved up was the borrower's to use.
-func (a *Allowance) settle(now time.Time) {
-	if a.lentTo != "" && !now.Before(a.lentTill) {
+// expireLocked ends expired loans and applies pending shares. A share that
+// returns brings no accumulated loads: those were the borrower's to use.
+func (a *Allowance) expireLocked(now time.Time) {
+	if a.lentTo != "" && !now.Before(a.lentUntil) {
 		a.lentTo = ""
 	}
-	if a.coming > 0 && !now.Before(a.comingAt) {
-		a.own = a.coming
-		a.coming = 0
+	if a.pendingShares > 0 && !now.Before(a.pendingFrom) {
+		a.own = a.pendingShares
+		a.pendingShares = 0
 	}
-	for from, l := range a.loans {
-		if !now.Before(l.till) {
-			delete(a.loans, from)
+	for from, l := range a.borrowed {
+		if !now.Before(l.until) {
+			delete(a.borrowed, from)
 		}
 	}
 }
 
-func (a *Allowance) adjust(now time.Time) {
+func (a *Allowance) updateLimitLocked(now time.Time) {
 	shares := 0
 	if a.lentTo == "" {
 		shares = a.own
 	}
-	for _, l := range a.loans {
+	for _, l := range a.borrowed {
 		shares += l.shares
 	}
 	limit := a.perShare * rate.Limit(shares)
-	if limit != a.bucket.Limit() {
-		a.bucket.SetLimitAt(now, limit)
+	if limit != a.limiter.Limit() {
+		a.limiter.SetLimitAt(now, limit)
 	}
 }
