--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -36,8 +36,8 @@
 func (f *fakeNode) Snapshot() *inventory.Snapshot                          { return sample() }
 func (f *fakeNode) Accepted(configlog.Change)                              { f.accepted++ }
 func (f *fakeNode) Status() Status                                         { return Status{Host: "e1"} }
-func (f *fakeNode) Explain(context.Context, string) (dispatch.Story, bool) {
-	return dispatch.Story{}, f.err == nil
+func (f *fakeNode) Explain(context.Context, string) (dispatch.TraceReport, bool) {
+	return dispatch.TraceReport{}, f.err == nil
 }
 func (f *fakeNode) Drain(context.Context, string) error { return f.err }
 
--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -164,7 +164,7 @@
 func (a *API) completeWhole(c echo.Context, req dispatch.Request) error {
 	asm := &assembler{}
 	asm.reset()
-	req.Restart = asm.reset
+	req.DiscardPieces = asm.reset
 	if refusal := a.dispatcher.Complete(c.Request().Context(), req, asm.add); refusal != nil {
 		return refusal
 	}
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -175,9 +175,9 @@
 	c.Response().Header().Set(HeaderRequestID, id)
 	return dispatch.Request{
 		ID: id, Caller: caller.Name, Weight: caller.Weight, Priority: policy.Priority,
-		Path:       c.Request().URL.Path,
-		Idempotent: !policy.NonIdempotent && header.Get(HeaderIdempotent) != "false",
-		Key:        key,
+		Path:           c.Request().URL.Path,
+		Idempotent:     !policy.NonIdempotent && header.Get(HeaderIdempotent) != "false",
+		IdempotencyKey: key,
 	}, nil
 }
 
--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -49,7 +49,7 @@
 // Count counts one request. If this host is the model's home the count goes into the estimate,
 // otherwise into the next heartbeat to the home.
 func (d *demandTracker) Count(model string, now time.Time) {
-	home := dispatch.Home(model, d.node.candidates(now))
+	home := dispatch.HomeHost(model, d.node.candidates(now))
 	if home == "" || home == d.node.cfg.Host {
 		d.estimator.Add(model, 1, now)
 		return
@@ -120,7 +120,7 @@
 			continue
 		}
 		for _, slot := range view.Models {
-			if dispatch.Home(slot.Model, candidates) == d.node.cfg.Host {
+			if dispatch.HomeHost(slot.Model, candidates) == d.node.cfg.Host {
 				rates = append(rates, demand.Count{Model: slot.Model, N: d.estimator.PerSecond(slot.Model, now)})
 			}
 		}
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -41,7 +41,7 @@
 func (c *cluster) countStalls() int64 {
 	var stalls int64
 	for _, node := range c.nodes {
-		stalls += node.metrics.Figures().Stalls
+		stalls += node.metrics.Snapshot().Stalls
 	}
 	return stalls
 }
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -10,7 +10,7 @@
 // hostMetrics are the metrics of this host. docs/operators/metrics.md lists them with their
 // units.
 type hostMetrics struct {
-	dispatch.Figures
+	dispatch.MetricsSnapshot
 	Revision        uint64  `json:"revision"`
 	Adapters        int     `json:"adapters"`
 	Open            int     `json:"requests_open"`
@@ -38,10 +38,10 @@
 	now := time.Now()
 	snapshot := n.follower.Snapshot()
 	result := hostMetrics{
-		Figures: n.metrics.Figures(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
+		MetricsSnapshot: n.metrics.Snapshot(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
 		Open: n.openRequests.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.retryBudget.Denied(),
-		PinsHeld: n.pinHolder.Count(), RunnersOwned: len(n.controller.Owned()),
-		LeaseSeconds: max(0, n.controller.Lease().Sub(now).Seconds()), LoadsWanted: n.controller.Wanted(),
+		PinsHeld: n.pinHolder.PinCount(), RunnersOwned: len(n.controller.Owned()),
+		LeaseSeconds: max(0, n.controller.LeaseValidUntil().Sub(now).Seconds()), LoadsWanted: n.controller.AwaitedLoads(),
 		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.CallCount(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
 		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
 		UptimeSeconds: now.Sub(n.started).Seconds(),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -77,7 +77,7 @@
 	gate         *dispatch.Gate
 	metrics      *dispatch.Metrics
 	traces       *dispatch.Traces
-	retryBudget  *dispatch.Budget
+	retryBudget  *dispatch.RetryBudget
 	openRequests *requestLimiter
 	placer       *dispatch.Placer
 
@@ -154,7 +154,7 @@
 	n.gate = dispatch.NewGate(l.MaxStreams, l.MaxQueue, l.MaxWait, initialServiceTime)
 	n.metrics = &dispatch.Metrics{}
 	n.traces = dispatch.NewTraces()
-	n.retryBudget = dispatch.NewBudget(l.RetryBudget)
+	n.retryBudget = dispatch.NewRetryBudget(l.RetryBudget)
 	n.openRequests = newRequestLimiter(l.MaxStreams + l.MaxQueue)
 }
 
@@ -164,7 +164,7 @@
 	n.loads = loading.NewService(n.cfg.Host, queue, n.allowance, n.members, n.pool, t.OrderTimeout, n.log.Named("loading"))
 	n.controller = control.New(control.Config{
 		Self: n.self, DataCentre: n.cfg.DataCentre, LeaseLife: t.LeaseLife, ReportInterval: t.ReportInterval,
-		OrderLife: orderLifeFactor * t.OrderTimeout, Parallel: n.cfg.Loads.Parallel,
+		MaxOrderDelay: orderLifeFactor * t.OrderTimeout, LoadWorkers: n.cfg.Loads.Parallel,
 	}, control.Deps{
 		Engines: n.engines, Objects: n.objects, Loads: n.loads, Demand: n.demand, Peers: n.pool,
 		Hosts: n.hosts, Members: n.members, Holder: n.pinHolder, Publish: n.publishView, Log: n.log.Named("control"),
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -51,7 +51,7 @@
 	wg.Go(func() { timing.Every(ctx, prefetchInterval, func() { n.takeOverDemand(ctx) }) })
 	wg.Go(func() { timing.Every(ctx, shareInterval, func() { n.claimShares(ctx) }) })
 	wg.Go(func() {
-		timing.Every(ctx, idlePinInterval, func() { n.dispatcher.GiveBackIdle(ctx, time.Now().Add(-maxPinIdleTime)) })
+		timing.Every(ctx, idlePinInterval, func() { n.dispatcher.ReturnIdlePins(ctx, time.Now().Add(-maxPinIdleTime)) })
 	})
 	wg.Go(func() { timing.Every(ctx, claimSweepInterval, func() { n.sweepClaims(ctx) }) })
 	wg.Wait()
@@ -181,7 +181,7 @@
 	n.releaseShares(ctx)
 	n.sendDemand(ctx)
 	n.notifyPeers()
-	n.dispatcher.HandedOver()
+	n.dispatcher.HandoverDone()
 }
 
 // Shutdown stops this host gracefully: it becomes not ready at once, accepts new requests until
@@ -223,7 +223,7 @@
 // returnPins returns all unused pins. Otherwise they would block evictions for as long as the
 // platform lists this host.
 func (n *Node) returnPins() {
-	n.dispatcher.GiveBackIdle(n.context(), time.Now().Add(time.Hour))
+	n.dispatcher.ReturnIdlePins(n.context(), time.Now().Add(time.Hour))
 	timing.Sleep(n.context(), lastMessagesDelay)
 }
 
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -57,8 +57,8 @@
 		return
 	}
 	own := next.Count(n.shareOwner())
-	n.allowance.SetOwn(own, version == 0, time.Now())
-	if !changed && next.Settled(members) {
+	n.allowance.SetOwnShares(own, version == 0, time.Now())
+	if !changed && next.AllOwnedBy(members) {
 		n.shareState = shareClaimState{members: members, readAt: time.Now()}
 	}
 }
@@ -73,12 +73,12 @@
 		member, _ := n.members.Get(owner.Host)
 		return member.Incarnation != owner.Incarnation
 	}
-	return n.controller.Ended(ctx, owner.Host, owner.Incarnation)
+	return n.controller.LeaseEnded(ctx, owner.Host, owner.Incarnation)
 }
 
 // releaseShares releases this host's shares during a planned stop.
 func (n *Node) releaseShares(ctx context.Context) {
-	n.allowance.SetOwn(0, true, time.Now())
+	n.allowance.SetOwnShares(0, true, time.Now())
 	claims, version, err := n.readShares(ctx)
 	if err != nil {
 		return
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -23,7 +23,7 @@
 	return fleet.Member{
 		Host: n.cfg.Host, Incarnation: n.self.Incarnation, Address: n.cfg.AdvertisedPeerAddress(),
 		DataCentre: n.cfg.DataCentre, Region: n.cfg.Region, Leaving: leaving, Ready: n.started.Before(time.Now()),
-		Revision: uint64(revision), LoadWaitMS: n.loads.Expected().Milliseconds(), WaitingLoads: n.controller.Wanted(),
+		Revision: uint64(revision), LoadWaitMS: n.loads.ExpectedLoadTime().Milliseconds(), WaitingLoads: n.controller.AwaitedLoads(),
 	}
 }
 
@@ -80,7 +80,7 @@
 func (n *Node) updatePeerViews(views []residency.View) {
 	for _, view := range views {
 		if n.table.Update(view) {
-			n.pinHolder.Learn(view.Runner, view.Fence)
+			n.pinHolder.ObserveFence(view.Runner, view.Fence)
 		}
 	}
 }
@@ -112,8 +112,8 @@
 	snapshot := n.follower.Snapshot()
 	status := adminapi.Status{
 		Host: n.cfg.Host, Now: now.UTC(), Revision: snapshot.Revision(), Adapters: snapshot.Len(),
-		LeaseValid: now.Before(n.controller.Lease()), Services: n.hosts.ByRole(fleet.RoleService),
-		Loads: n.loads.View(), Requests: n.metrics.Figures(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(),
+		LeaseValid: now.Before(n.controller.LeaseValidUntil()), Services: n.hosts.ByRole(fleet.RoleService),
+		Loads: n.loads.View(), Requests: n.metrics.Snapshot(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(),
 	}
 	for _, member := range n.members.All() {
 		host, _ := n.hosts.Host(member.Host)
@@ -139,8 +139,8 @@
 }
 
 type explainResult struct {
-	Found bool           `json:"found"`
-	Story dispatch.Story `json:"story"`
+	Found bool                 `json:"found"`
+	Story dispatch.TraceReport `json:"story"`
 }
 
 func (n *Node) registerPeerMethods(mux *peer.Mux) {
@@ -159,7 +159,7 @@
 }
 
 // Explain returns how a request was handled, asking the other hosts if necessary.
-func (n *Node) Explain(ctx context.Context, request string) (dispatch.Story, bool) {
+func (n *Node) Explain(ctx context.Context, request string) (dispatch.TraceReport, bool) {
 	if story, ok := n.traces.Find(request); ok {
 		return story, true
 	}
@@ -173,7 +173,7 @@
 			return result.Story, true
 		}
 	}
-	return dispatch.Story{}, false
+	return dispatch.TraceReport{}, false
 }
 
 func (n *Node) call(ctx context.Context, address, method string, params, result any) error {
