--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -23,13 +23,18 @@
 )
 
 const (
-	shardCount      = 16
-	hoursPerDay     = 24
+	shardCount  = 16
+	hoursPerDay = 24
+	// Each day on which a model is used in an hour, that hour's score is reduced to
+	// three quarters and raised by hourScoreGain, up to hourScoreMax. A model counts
+	// as regularly used in an hour from hourScoreLikely on, which takes two such days.
 	hourScoreGain   = 64
 	hourScoreMax    = 255
 	hourScoreLikely = 96
-	risingFactor    = 2
-	risingMinRate   = 0.1
+	// A model's rate is rising if it exceeds risingMinRate requests per second over
+	// fastDecay, and risingFactor times the rate over slowDecay.
+	risingFactor  = 2
+	risingMinRate = 0.1
 )
 
 // Count is a number of requests for a model.
--- a/internal/placing/placing.go
+++ b/internal/placing/placing.go
@@ -3,10 +3,11 @@
 //
 // The workload it is designed for has thousands of adapters, of which the runners
 // together can hold a tenth, and one adapter that receives a fifth of all requests.
-// Rendezvous hashing ranks the runners for each adapter. A request goes to the first
-// runner in that order that is not much busier than the others, so a cold adapter is
-// loaded on one runner only and a hot one on as many as its traffic needs. Whether a
-// runner is too busy is decided by its owner, which knows its load.
+// Rendezvous hashing ranks the runners for each adapter; the first one is the
+// adapter's home. A request goes to the first runner in that order that is not much
+// busier than the others, so a cold adapter is loaded on one runner only and a hot one
+// on as many as its traffic needs. Whether a runner is too busy is decided by its
+// owner, the host that gives it orders and knows its load.
 package placing
 
 const (
@@ -16,9 +17,10 @@
 	// slower.
 	maxLoadRatio = 1.5
 	// uncontendedShare of the request slots may always be used. With 58 of 64
-	// requests running a step takes 7.4 ms instead of 5.5 (platform's sheets),
-	// whereas another replica of an adapter costs a fetch from the weight store, a
-	// quarter of a second and an adapter slot that another adapter needs.
+	// requests running a decoding step takes 7.4 ms instead of 5.5 (from the
+	// platform's data sheets), whereas another replica of an adapter costs a fetch
+	// from the weight store, a quarter of a second and an adapter slot that another
+	// adapter needs.
 	uncontendedShare = 0.9
 	// loadedShare of the request slots may be used by requests whose adapter is on
 	// the runner. A request runs for about two seconds, so one queued behind an
--- a/internal/placing/search.go
+++ b/internal/placing/search.go
@@ -4,8 +4,9 @@
 const (
 	// maxProbes bounds the owners that one request asks, at about 3 ms each, and
 	// maxLastResortProbes those that it asks as a last resort. With a bound of six,
-	// 64 of 13,700 requests of the experiment's grown day were refused while runners
-	// further down the order had free slots; with nine, one was. The mean is two.
+	// 64 of 13,700 requests of the scenario kushiro-grown (internal/experiment) were
+	// refused while runners further down the order had free slots; with nine, one
+	// was. On average a request asks two.
 	maxProbes           = 9
 	maxLastResortProbes = 2
 )
@@ -15,8 +16,9 @@
 // last resort.
 type Search struct {
 	spreads *SpreadEstimator
-	// key identifies the adapter's spread that the search uses: that of the data
-	// centre or globalKey, the one over all data centres.
+	// globalKey identifies the adapter's spread over all data centres. key identifies
+	// the spread that the search uses: that one, or the spread of the requests from
+	// this data centre.
 	key, globalKey string
 	runners        int
 	walk           *Walk
@@ -67,9 +69,9 @@
 	return maxProbes
 }
 
-// Refused records that a runner's owner refused the request, because the runner is
-// busy or because other runners hold the adapter. replicas are the ranks of the
-// runners that the owner named.
+// Refused records that a runner's owner refused the request. busy is set if the runner
+// is too busy, heldElsewhere if other runners hold the adapter; both are false for
+// other reasons. replicas are the ranks of the runners that the owner named.
 func (s *Search) Refused(busy, heldElsewhere bool, replicas []int) {
 	s.probes++
 	if busy {
--- a/internal/placing/spread.go
+++ b/internal/placing/spread.go
@@ -14,8 +14,9 @@
 	spreads map[string]spread
 }
 
-// spread is the state of one adapter.
+// spread is what is known about the requests for one adapter.
 type spread struct {
+	// width is the estimated number of runners that the requests need.
 	width float64
 	// lastRank is the rank of the runner that last admitted a request.
 	lastRank int
--- a/internal/placing/spread_test.go
+++ b/internal/placing/spread_test.go
@@ -36,8 +36,9 @@
 	}
 }
 
-// The home of an adapter names two runners that hold it. They are tried before any
-// runner that would have to load the adapter, and then the home once more.
+// The home of an adapter names runners that hold it. They are tried before any runner
+// that would have to load the adapter, and then the home once more. Of the ranks
+// named here, 7 does not exist and 0 is the home itself; both are skipped.
 func TestReplicasAreTriedBeforeOtherRunners(t *testing.T) {
 	walk := NewSpreadEstimator().Walk("a", 5)
 	_, _ = walk.Next(0)
@@ -55,7 +56,7 @@
 
 // One adapter needs 25 of 112 runners, each of which runs 8 of its requests at a
 // time. The 88 hosts learn independently. In steady state a request asks fewer than
-// two owners on average, and fewer than one in 200 is refused after six.
+// two owners on average, and fewer than one in 200 is refused by six.
 func TestHotAdapterFindsItsRunners(t *testing.T) {
 	const (
 		hosts, runners, limit = 88, 112, 8
--- a/internal/placing/walk.go
+++ b/internal/placing/walk.go
@@ -72,9 +72,9 @@
 }
 
 // nextUnloaded returns the rank of an untried runner that need not hold the adapter.
-// For an adapter on a single runner it is the first one left on every host, so that
-// concurrent requests cause one load instead of one each. For a spread adapter it is
-// drawn at random from its width, which doubles with each refusal.
+// For an adapter that needs a single runner it is the lowest untried rank, the same on
+// every host, so that concurrent requests cause one load instead of one each. For a
+// spread adapter it is drawn at random from its width, which doubles with each call.
 func (w *Walk) nextUnloaded(draw float64) int {
 	if !w.isSpread {
 		return w.firstUntried(0)
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -186,6 +186,7 @@
 	return score
 }
 
+// less ranks a runner on which no slot can be freed last, whatever its wait.
 func (a placeScore) less(b placeScore) bool {
 	if (a.slotCost == 2) != (b.slotCost == 2) {
 		return a.slotCost < b.slotCost
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -172,19 +172,27 @@
 type Runner struct {
 	ID      string
 	Address string
-	Owner   string
-	Base    string
-	Live    bool
-	Known   bool
-	Fence   uint64
+	// Owner is the host that gives the runner orders, Fence its fencing token.
+	Owner string
+	// Base names the base model that the runner serves.
+	Base string
+	// Live is set unless the runner is leaving. Known is set once an owner has
+	// reported its state.
+	Live  bool
+	Known bool
+	Fence uint64
+	// Slots is the number of slots for models, Free that of free ones. Loading is the
+	// number of models being loaded or waiting for their load.
 	Slots   int
 	Free    int
 	Loading int
 	// Evictable is the number of models that can be evicted.
 	Evictable int
-	MaxBatch  int
+	// MaxBatch is the number of requests in a full batch, 0 if it is not known.
+	MaxBatch int
 	// Occupancy is the number of requests on the runner: those of the owner's last
-	// report, corrected by this host's own count since then.
+	// report, corrected by this host's own count since then. OwnRequests is the number
+	// of this host's own requests on it.
 	Occupancy   int
 	OwnRequests int
 }
