--- a/internal/board/board.go
+++ b/internal/board/board.go
@@ -198,9 +198,9 @@
 // removedRetention is how long the rate limit and backoff of a removed runner are kept.
 const removedRetention = 10 * time.Minute
 
-// Forget drops the state of a removed runner, except for its rate limit and backoff: entries
-// also expire during a store outage, and a runner that returns afterwards still expects the
-// hosts to respect both.
+// Forget drops the state of a removed runner, except for its rate limit and backoff: runners
+// also disappear from the list during a store outage, and one that is listed again afterwards
+// still expects the hosts to respect both.
 func (b *Board) Forget(runner string, now time.Time) {
 	s := b.shard(runner)
 	s.mu.Lock()
--- a/internal/board/refusals_test.go
+++ b/internal/board/refusals_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Entries expire during a store outage. Without their limit and backoff, both would be violated
-// as soon as the runners are listed again.
+// Runners disappear from the list during a store outage. If their limits and backoffs were
+// dropped with them, both would be violated as soon as the runners are listed again.
 func TestLimitAndBackoffOutliveTheEntry(t *testing.T) {
 	b := New()
 	b.RecordStart("r", at(0))
--- a/internal/board/signal.go
+++ b/internal/board/signal.go
@@ -29,7 +29,8 @@
 	rate    float64
 	// reportedAt is when this host or a peer received the response that set the state.
 	reportedAt time.Time
-	// blockedUntil is when the counting host may grant this host a request again.
+	// blockedUntil is when the counting host (see package quota) may grant this host a request
+	// again.
 	blockedUntil time.Time
 }
 
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -17,7 +17,10 @@
 )
 
 const (
-	keyPrefix      = "claims/"
+	keyPrefix = "claims/"
+	// claimAttempts bounds the writes with which Begin claims a key, finishAttempts those with
+	// which Finish records an outcome. finishBackoff is the wait after the first failed write of
+	// Finish; it doubles each time.
 	claimAttempts  = 3
 	finishAttempts = 4
 	finishBackoff  = 250 * time.Millisecond
@@ -32,7 +35,7 @@
 }
 
 // Retention is how long a claim is kept. A day covers every caller that retries a request, over
-// all three shifts, and bounds the number of stored claims.
+// all three shifts of a working day, and bounds the number of stored claims.
 const Retention = 24 * time.Hour
 
 // record is a stored claim. Outcome is the verdict's name. It is empty while the request may be
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease implements node leases. Each node has one object in the object API, which its
-// holder renews. A peer may break the lease once it has seen no renewal for longer than the
-// lease's life.
+// Package lease implements node leases. A node is the process that runs on an entry host. Each
+// has one object in the object API, which it renews as the holder. A peer may break the lease
+// once it has seen no renewal for longer than the lease's life.
 //
 // A lease ends when its record in the object API says so, not when some clock runs out. The
 // holder's own clock only makes it stop earlier.
--- a/internal/quota/allowance.go
+++ b/internal/quota/allowance.go
@@ -97,7 +97,7 @@
 	return a.usage * math.Exp(-float64(max(0, now.Sub(a.usageAt)))/float64(usageDecay))
 }
 
-// Refused reports whether a request is refused locally, and after which time to retry.
+// Refused reports whether a request is refused locally, and how long to wait before a retry.
 func (a *Allowances) Refused(workspace string, cost float64, now time.Time) (wait time.Duration, refused bool) {
 	a.withWorkspace(workspace, func(entry *allowance) {
 		if refused = now.Before(entry.refusedUntil); refused {
@@ -107,8 +107,8 @@
 	return wait, refused
 }
 
-// nextRetry returns when the next refused request should be retried, after those refused before
-// it.
+// nextRetry returns how long the next refused request should wait before it is retried, after
+// those refused before it.
 func (a *allowance) nextRetry(cost float64, now time.Time) time.Duration {
 	if a.rate > 0 {
 		a.retryAt = a.retryAt.Add(time.Duration(cost / a.rate * float64(time.Second)))
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -22,7 +22,7 @@
 const Parts = 3
 
 // Tolerance is how far the deployment lets a workspace exceed its quota in each Window: by
-// Overshoot times the quota for the window, and by Slack units.
+// Overshoot times the quota for the window (0.1 is a tenth above it), and by Slack units.
 type Tolerance struct {
 	Window    time.Duration
 	Overshoot float64
@@ -77,7 +77,7 @@
 type GrantResponse struct {
 	// Granted is 0 if the request is refused, otherwise the cost and any prefetched units.
 	Granted float64
-	// RetryAfter is when a refused request may be granted.
+	// RetryAfter is how long until a refused request may be granted.
 	RetryAfter time.Duration
 	// Level is the number of units that the part holds afterwards.
 	Level float64
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -109,8 +109,8 @@
 }
 
 // Each of 195 hosts receives one request for a plain service in a second. Its share
-// of the slack yields one token in 11 s, even without requests, so the first failed request can
-// be retried. If all hosts spend their accumulated tokens at once, they stay within the bound.
+// of the slack yields one retry in 11 s, even without requests, so the first failed request can
+// be retried. If all hosts spend their accumulated retries at once, they stay within the bound.
 func TestLargeFleetAccumulatesOneRetryPerHost(t *testing.T) {
 	large := Limit{Ratio: 0.2, Slack: 430, Window: 10 * time.Second}
 	const hosts = 195
