--- a/internal/mesh/beats.go
+++ b/internal/mesh/beats.go
@@ -65,13 +65,13 @@
 			continue
 		}
 		ctx, cancel := context.WithCancel(ctx)
-		b := &heartbeatSender{host: host, stop: cancel, trigger: make(chan struct{}, 1)}
-		s.senders[host] = b
-		go s.sendHeartbeats(ctx, b)
+		sender := &heartbeatSender{host: host, stop: cancel, trigger: make(chan struct{}, 1)}
+		s.senders[host] = sender
+		go s.sendHeartbeats(ctx, sender)
 	}
-	for host, b := range s.senders {
+	for host, sender := range s.senders {
 		if !wanted[host] {
-			b.stop()
+			sender.stop()
 			delete(s.senders, host)
 		}
 	}
@@ -82,23 +82,23 @@
 func (s *Service) HeartbeatNow() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, b := range s.senders {
+	for _, sender := range s.senders {
 		select {
-		case b.trigger <- struct{}{}:
+		case sender.trigger <- struct{}{}:
 		default:
 		}
 	}
 }
 
-func (s *Service) sendHeartbeats(ctx context.Context, b *heartbeatSender) {
+func (s *Service) sendHeartbeats(ctx context.Context, sender *heartbeatSender) {
 	silent := false
 	for ctx.Err() == nil {
-		err := s.sendHeartbeat(ctx, b.host)
+		err := s.sendHeartbeat(ctx, sender.host)
 		if ctx.Err() == nil && (err != nil) != silent {
 			silent = err != nil
-			s.logPeerState(b.host, silent, err)
+			s.logPeerState(sender.host, silent, err)
 		}
-		b.pause(ctx, s.interval())
+		sender.pause(ctx, s.interval())
 	}
 }
 
@@ -109,13 +109,13 @@
 	return heartbeatInterval
 }
 
-func (b *heartbeatSender) pause(ctx context.Context, interval time.Duration) {
+func (h *heartbeatSender) pause(ctx context.Context, interval time.Duration) {
 	timer := time.NewTimer(interval)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-b.trigger:
+	case <-h.trigger:
 	}
 }
 
@@ -135,9 +135,9 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	sent := s.Now()
-	beat := Heartbeat{Address: s.Address, SentMS: sent.UnixMilli(), Known: s.freshness.known(), Status: s.status()}
+	heartbeat := Heartbeat{Address: s.Address, SentMS: sent.UnixMilli(), Known: s.freshness.known(), Status: s.status()}
 	var answer HeartbeatResult
-	if err := s.Pool.Call(ctx, address, methodHeartbeat, beat, &answer); err != nil {
+	if err := s.Pool.Call(ctx, address, methodHeartbeat, heartbeat, &answer); err != nil {
 		return err
 	}
 	if answer.Promised {
@@ -157,11 +157,11 @@
 	return encoded
 }
 
-func (s *Service) handleHeartbeat(_ context.Context, from peer.Identity, beat Heartbeat) (HeartbeatResult, error) {
+func (s *Service) handleHeartbeat(_ context.Context, from peer.Identity, heartbeat Heartbeat) (HeartbeatResult, error) {
 	now := s.Now()
-	promised := s.State.ReceiveHeartbeat(from.Host, beat.Known[Kind].Era, now)
-	s.learn(from.Host, beat.Address, beat.Known, beat.Status, now.Add(-s.delays.estimate(from.Host, beat.SentMS, now)))
-	return HeartbeatResult{Promised: promised, Known: s.freshness.newsFor(beat.Known), Status: s.status()}, nil
+	promised := s.State.ReceiveHeartbeat(from.Host, heartbeat.Known[Kind].Era, now)
+	s.learn(from.Host, heartbeat.Address, heartbeat.Known, heartbeat.Status, now.Add(-s.delays.estimate(from.Host, heartbeat.SentMS, now)))
+	return HeartbeatResult{Promised: promised, Known: s.freshness.newsFor(heartbeat.Known), Status: s.status()}, nil
 }
 
 // learn merges what a peer knew at a moment and fetches the kinds in which it is ahead.
@@ -186,11 +186,11 @@
 
 // WatchDelay returns how long this host may rely on the watching hosts before it asks the
 // store for a kind of record itself. It is 0 on a watching host. On others it lasts until
-// the local records are older than limit, or until the host has known for behindTimeout
-// that newer ones exist.
+// the local records are older than limit plus the delay of the host's fallback turn, or
+// until the host has known for behindTimeout that newer ones exist.
 //
-// Whatever its peers send or fail to send, limit and the last fallback turn bound the age
-// of the records that a host acts on before it asks the store.
+// So, whatever its peers send or fail to send, a host asks the store at the latest when its
+// records are older than limit plus the delay of the last turn.
 func (s *Service) WatchDelay(kind string, limit time.Duration) time.Duration {
 	turn := s.State.FallbackTurn(kind)
 	if turn == 0 {
--- a/internal/mesh/breaking.go
+++ b/internal/mesh/breaking.go
@@ -50,7 +50,7 @@
 	if now.Sub(s.started) < silence {
 		return nil
 	}
-	var breaks []DeadHost
+	var dead []DeadHost
 	for host, m := range s.members {
 		if host == s.self || m.Broken {
 			continue
@@ -59,29 +59,29 @@
 		if !settled && !s.leaseKnownEnded(host, m) {
 			continue
 		}
-		if b, ok := s.breakable(host, m, now); ok {
-			breaks = append(breaks, b)
+		if d, ok := s.breakable(host, m, now); ok {
+			dead = append(dead, d)
 		}
 	}
-	return breaks
+	return dead
 }
 
 func (s *State) breakable(host string, m member, now time.Time) (DeadHost, bool) {
 	own := slices.Index(m.Witnesses, s.self)
 	if own >= 0 {
 		// The first witness begins; the others follow if it does not.
-		patience := s.timing.breakTimeout() + time.Duration(own)*s.timing.Margin
-		if now.Sub(s.peerOf(host).heardAt) < patience {
+		timeout := s.timing.breakTimeout() + time.Duration(own)*s.timing.Margin
+		if now.Sub(s.peerOf(host).heardAt) < timeout {
 			return DeadHost{}, false
 		}
 	} else if !s.witnessesGone(m, now) || fleet.First(host, s.currentMembership().without(host)) != s.self {
 		return DeadHost{}, false
 	}
-	b := DeadHost{Host: host, Record: m.HostRecord, Revision: m.revision, Era: s.era, VotesNeeded: neededVotes(m)}
+	d := DeadHost{Host: host, Record: m.HostRecord, Revision: m.revision, Era: s.era, VotesNeeded: neededVotes(m)}
 	for _, witness := range m.Witnesses {
-		b.countWitness(s, witness, now)
+		d.countWitness(s, witness, now)
 	}
-	return b, true
+	return d, true
 }
 
 func neededVotes(m member) int {
@@ -103,9 +103,10 @@
 	return missing <= 0
 }
 
-// witnessGone reports whether a witness's own lease has been broken for more than a lease.
-// It promised only while its lease was valid, so its last promise was then already as old
-// as the order gap and has expired a lease later.
+// witnessGone reports whether a witness has no record, or whether its own lease was broken
+// longer ago than the duration of a lease. A witness promises only while its own lease is
+// valid. When that lease is broken, the last promise is at least as old as the order gap,
+// and it has expired once the duration of a lease has passed as well.
 func (s *State) witnessGone(witness string, now time.Time) bool {
 	m, ok := s.members[witness]
 	return !ok || m.Broken && now.Sub(s.peerOf(witness).changedAt) > s.timing.Lease
@@ -113,15 +114,15 @@
 
 // countWitness adds a witness to ask for its vote, or counts the vote as given where the
 // witness is gone.
-func (b *DeadHost) countWitness(s *State, witness string, now time.Time) {
+func (d *DeadHost) countWitness(s *State, witness string, now time.Time) {
 	switch {
 	case witness == s.self:
-		b.VotesNeeded--
-		s.peerOf(b.Host).votedRevision = b.Revision
+		d.VotesNeeded--
+		s.peerOf(d.Host).votedRevision = d.Revision
 	case s.witnessGone(witness, now):
-		b.VotesNeeded--
+		d.VotesNeeded--
 	case !s.members[witness].Broken:
-		b.Witnesses = append(b.Witnesses, Peer{Host: witness, Address: s.members[witness].Address})
+		d.Witnesses = append(d.Witnesses, Peer{Host: witness, Address: s.members[witness].Address})
 	}
 }
 
--- a/internal/mesh/breaktry.go
+++ b/internal/mesh/breaktry.go
@@ -34,22 +34,22 @@
 func (s *Service) startBreak(ctx context.Context, dead DeadHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	try := s.breakAttempts[dead.Host]
-	if try == nil {
-		try = &breakAttempt{backoff: breakBackoff}
-		s.breakAttempts[dead.Host] = try
+	attempt := s.breakAttempts[dead.Host]
+	if attempt == nil {
+		attempt = &breakAttempt{backoff: breakBackoff}
+		s.breakAttempts[dead.Host] = attempt
 	}
-	if try.running || s.Now().Before(try.retryAt) {
+	if attempt.running || s.Now().Before(attempt.retryAt) {
 		return
 	}
-	try.running = true
+	attempt.running = true
 	go func() {
 		s.breakLease(ctx, dead)
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		try.running = false
-		try.retryAt = s.Now().Add(try.backoff)
-		try.backoff = min(2*try.backoff, maxBreakBackoff)
+		attempt.running = false
+		attempt.retryAt = s.Now().Add(attempt.backoff)
+		attempt.backoff = min(2*attempt.backoff, maxBreakBackoff)
 	}()
 }
 
@@ -58,11 +58,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	breakable := make(map[string]bool, len(dead))
-	for _, b := range dead {
-		breakable[b.Host] = true
+	for _, d := range dead {
+		breakable[d.Host] = true
 	}
-	for host, try := range s.breakAttempts {
-		if !breakable[host] && !try.running {
+	for host, attempt := range s.breakAttempts {
+		if !breakable[host] && !attempt.running {
 			delete(s.breakAttempts, host)
 		}
 	}
--- a/internal/mesh/breaktry_test.go
+++ b/internal/mesh/breaktry_test.go
@@ -63,8 +63,8 @@
 	return nil
 }
 
-// survivor returns the service of the only live host of a fleet. The other hosts accept
-// connections and never answer. Each host is a witness of the next five. asked returns the
+// survivor returns the service of the only live host of a fleet. Connection attempts to the
+// other hosts get no answer. Each host is a witness of the next five. asked returns the
 // number of connection attempts.
 func survivor(t *testing.T, ctx context.Context, size int) (s *Service, store *memoryStore, asked func() int) {
 	t.Helper()
--- a/internal/mesh/claims.go
+++ b/internal/mesh/claims.go
@@ -49,9 +49,9 @@
 	return claims
 }
 
-// JoinsSettled reports whether no host has joined for at least since.
-func (s *State) JoinsSettled(now time.Time, since time.Duration) bool {
+// JoinsSettled reports whether no host has joined for at least a period.
+func (s *State) JoinsSettled(now time.Time, period time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Sub(s.lastJoin) >= since
+	return now.Sub(s.lastJoin) >= period
 }
--- a/internal/mesh/counting.go
+++ b/internal/mesh/counting.go
@@ -37,7 +37,7 @@
 
 // Leadership is a host's exclusive right to act for a key.
 type Leadership struct {
-	// Since is a time from which certainly no other host has led the key.
+	// Since is a time after which certainly no other host has led the key.
 	Since time.Time
 	// Epoch is the epoch of the lease on which the leadership depends.
 	Epoch int64
@@ -46,7 +46,7 @@
 // Leads reports whether this host leads a key: it ranks first for the key and its lease is
 // valid.
 //
-// Without the lease, a host that was suspended or cut off would go on beside its
+// Without the lease, a host that was suspended or cut off would continue alongside its
 // successor, and the two would grant the same budget twice. Another host takes over only
 // after the lease is broken, which is at least the order gap after it expired.
 func (s *State) Leads(key string, now time.Time) (Leadership, bool) {
--- a/internal/mesh/delay.go
+++ b/internal/mesh/delay.go
@@ -41,16 +41,16 @@
 	if d.byHost == nil {
 		d.byHost = map[string]*offsetWindow{}
 	}
-	f := d.byHost[host]
-	if f == nil || now.Sub(f.since) > 2*delayWindow {
-		f = &offsetWindow{since: now, previous: took, current: took}
-		d.byHost[host] = f
+	window := d.byHost[host]
+	if window == nil || now.Sub(window.since) > 2*delayWindow {
+		window = &offsetWindow{since: now, previous: took, current: took}
+		d.byHost[host] = window
 	}
-	if now.Sub(f.since) > delayWindow {
-		f.since, f.previous, f.current = now, f.current, took
+	if now.Sub(window.since) > delayWindow {
+		window.since, window.previous, window.current = now, window.current, took
 	}
-	f.current = min(f.current, took)
-	return took - min(f.previous, f.current)
+	window.current = min(window.current, took)
+	return took - min(window.previous, window.current)
 }
 
 // forget drops the state of a host.
--- a/internal/mesh/eras.go
+++ b/internal/mesh/eras.go
@@ -8,8 +8,8 @@
 
 const (
 	// eraPropagation is how long after the first host learns of a new era of the store all
-	// others know of it: out-of-turn heartbeats reach all hosts within a few intervals of
-	// 450 ms.
+	// others know of it: heartbeats that are sent at once reach all hosts within a few
+	// intervals of 450 ms.
 	eraPropagation = time.Second
 	// endedLeaseRetention is how long a broken lease is remembered. A store that is
 	// restored from a copy has lost some seconds.
@@ -93,7 +93,8 @@
 	for _, peer := range s.peers {
 		peer.votedRevision = 0
 	}
-	// Hosts that joined or left in the lost part reappear a moment later.
+	// Hosts that joined or left in the part that the store has lost appear again a moment
+	// later, so a new era counts as a join.
 	s.lastJoin = now
 }
 
@@ -109,11 +110,11 @@
 	return s.era <= s.settled || now.Sub(s.eraSince) >= s.timing.breakTimeout()+eraPropagation
 }
 
-// dropRetainedIfLapsed drops the retained runners if the lease expired before from, when
-// it becomes valid again: another host may have taken them over in between. The caller
-// holds s.mu.
-func (s *State) dropRetainedIfLapsed(from time.Time) {
-	if s.retained != nil && !from.Before(s.validUntil()) {
+// dropRetainedIfLapsed drops the retained runners if the lease had expired before renewed,
+// the time from which it is valid again: another host may have taken them over in between.
+// The caller holds s.mu.
+func (s *State) dropRetainedIfLapsed(renewed time.Time) {
+	if s.retained != nil && !renewed.Before(s.validUntil()) {
 		s.retained = nil
 	}
 }
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -24,7 +24,8 @@
 	PartialID uint64 `json:"begun,omitempty"`
 }
 
-// FetchResult returns the records, or announces an archive of them if they are many.
+// FetchResult returns the records, or announces an archive of them if they exceed
+// maxInlineBytes.
 type FetchResult struct {
 	registry.Snapshot
 	Archive *Announcement `json:"parcel,omitempty"`
@@ -33,8 +34,8 @@
 // fetchUntilCurrent fetches a kind of record from one source after the other until no
 // known host has a newer version.
 //
-// When a host was tied to one source and that froze, it waited out a second, and then
-// until it heard of the change again, before it asked another.
+// When a host fetched from one source only and that source froze, the host waited for a
+// timeout of a second and then for the next announcement before it asked another.
 func (s *Service) fetchUntilCurrent(kind string) {
 	var partial partialArchive
 	for {
@@ -163,23 +164,23 @@
 }
 
 // start resumes the announced archive, or begins anew if it is another one.
-func (u *partialArchive) start(announced Announcement) {
-	if u.archive != announced.Archive {
-		*u = partialArchive{archive: announced.Archive}
+func (p *partialArchive) start(announced Announcement) {
+	if p.archive != announced.Archive {
+		*p = partialArchive{archive: announced.Archive}
 	}
 }
 
-func (u *partialArchive) complete() bool { return len(u.data) >= u.archive.Bytes }
+func (p *partialArchive) complete() bool { return len(p.data) >= p.archive.Bytes }
 
-func (u *partialArchive) nextPiece() PieceParams {
-	return PieceParams{ID: u.archive.ID, Offset: len(u.data)}
+func (p *partialArchive) nextPiece() PieceParams {
+	return PieceParams{ID: p.archive.ID, Offset: len(p.data)}
 }
 
-func (u *partialArchive) add(data []byte) error {
+func (p *partialArchive) add(data []byte) error {
 	if len(data) == 0 {
 		return errors.New("the peer returned an empty piece")
 	}
-	u.data = append(u.data, data...)
+	p.data = append(p.data, data...)
 	return nil
 }
 
--- a/internal/mesh/join.go
+++ b/internal/mesh/join.go
@@ -95,8 +95,8 @@
 	// as in contact.
 	contactTimeout = 1200 * time.Millisecond
 	// fallbackStep is the time between two turns of hosts that ask the store in place of
-	// the watchers. A new version reaches the hosts that its finder tells, and those that
-	// they tell, within two steps.
+	// the watchers. Within two steps, a new version reaches the peers of the host that found
+	// it and the peers of those.
 	fallbackStep = 40 * time.Millisecond
 	// behindTimeout is how long a host that knows of a newer version waits for other hosts
 	// to supply it before it asks the store.
--- a/internal/mesh/parcels.go
+++ b/internal/mesh/parcels.go
@@ -90,47 +90,47 @@
 }
 
 // pack packs records and keeps the archive.
-func (p *archiveCache) pack(kind string, records []registry.Record) (Archive, error) {
+func (c *archiveCache) pack(kind string, records []registry.Record) (Archive, error) {
 	slices.SortFunc(records, func(a, b registry.Record) int { return cmp.Compare(a.Name, b.Name) })
-	archive := p.getOrAdd(archiveID(kind, records))
+	archive := c.getOrAdd(archiveID(kind, records))
 	archive.once.Do(func() { archive.data, archive.err = deflate(records) })
-	p.evict(archive)
+	c.evict(archive)
 	return Archive{ID: archive.id, Bytes: len(archive.data)}, archive.err
 }
 
 // announce packs records and announces the archive, with the first piece unless the caller
 // has begun to fetch that archive. partialID is 0 if the caller has none.
-func (p *archiveCache) announce(kind string, records []registry.Record, partialID uint64) (*Announcement, error) {
-	archive, err := p.pack(kind, records)
+func (c *archiveCache) announce(kind string, records []registry.Record, partialID uint64) (*Announcement, error) {
+	archive, err := c.pack(kind, records)
 	if err != nil {
 		return nil, err
 	}
 	announcement := &Announcement{Archive: archive}
 	if archive.ID != partialID {
-		announcement.First, _ = p.piece(PieceParams{ID: archive.ID})
+		announcement.First, _ = c.piece(PieceParams{ID: archive.ID})
 	}
 	return announcement, nil
 }
 
 // evict drops the least recently used archives, but not the latest one.
-func (p *archiveCache) evict(latest *cachedArchive) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (c *archiveCache) evict(latest *cachedArchive) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	bytes := 0
-	for _, archive := range p.archives {
+	for _, archive := range c.archives {
 		bytes += archive.size
 	}
 	if latest.size == 0 {
 		latest.size = len(latest.data)
 		bytes += latest.size
 	}
-	for len(p.archives) > maxArchives || bytes > maxArchiveBytes {
-		oldest := slices.MinFunc(p.archives, func(a, b *cachedArchive) int { return a.used.Compare(b.used) })
+	for len(c.archives) > maxArchives || bytes > maxArchiveBytes {
+		oldest := slices.MinFunc(c.archives, func(a, b *cachedArchive) int { return a.used.Compare(b.used) })
 		if oldest == latest {
 			return
 		}
 		bytes -= oldest.size
-		p.archives = slices.DeleteFunc(p.archives, func(archive *cachedArchive) bool { return archive == oldest })
+		c.archives = slices.DeleteFunc(c.archives, func(archive *cachedArchive) bool { return archive == oldest })
 	}
 }
 
@@ -146,23 +146,23 @@
 }
 
 // getOrAdd returns the archive with an ID and adds an empty one if there is none.
-func (p *archiveCache) getOrAdd(id uint64) *cachedArchive {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	if archive := p.lookup(id); archive != nil {
+func (c *archiveCache) getOrAdd(id uint64) *cachedArchive {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if archive := c.lookup(id); archive != nil {
 		return archive
 	}
-	archive := &cachedArchive{id: id, used: p.now()}
-	p.archives = append(p.archives, archive)
+	archive := &cachedArchive{id: id, used: c.now()}
+	c.archives = append(c.archives, archive)
 	return archive
 }
 
 // lookup returns the archive with an ID, or nil, and drops expired archives. The caller
 // holds p.mu.
-func (p *archiveCache) lookup(id uint64) *cachedArchive {
-	now := p.now()
-	p.archives = slices.DeleteFunc(p.archives, func(archive *cachedArchive) bool { return now.Sub(archive.used) > archiveRetention })
-	for _, archive := range p.archives {
+func (c *archiveCache) lookup(id uint64) *cachedArchive {
+	now := c.now()
+	c.archives = slices.DeleteFunc(c.archives, func(archive *cachedArchive) bool { return now.Sub(archive.used) > archiveRetention })
+	for _, archive := range c.archives {
 		if archive.id == id {
 			archive.used = now
 			return archive
@@ -172,10 +172,10 @@
 }
 
 // piece returns a piece of an archive and whether the cache has it.
-func (p *archiveCache) piece(params PieceParams) ([]byte, bool) {
-	p.mu.Lock()
-	archive := p.lookup(params.ID)
-	p.mu.Unlock()
+func (c *archiveCache) piece(params PieceParams) ([]byte, bool) {
+	c.mu.Lock()
+	archive := c.lookup(params.ID)
+	c.mu.Unlock()
 	if archive == nil || params.Offset < 0 || params.Offset > len(archive.data) {
 		return nil, false
 	}
--- a/internal/mesh/service.go
+++ b/internal/mesh/service.go
@@ -235,8 +235,8 @@
 	own.Epoch, own.Broken = s.State.NextEpoch(own), false
 	own.Address, own.DataCentre, own.Incarnation = s.Address, s.DataCentre, s.Self.Incarnation
 	// A process that has just started knows no hosts yet and keeps the witnesses of its
-	// record. The same goes for a record that the store has lost.
-	if _, wanted, lost := s.State.UnverifiedRecord(); lost && len(wanted) > 0 {
+	// record. The same applies to a record that the store has lost.
+	if _, wanted, needsCheck := s.State.UnverifiedRecord(); needsCheck && len(wanted) > 0 {
 		own.Witnesses = wanted
 	} else if witnesses, _ := s.State.ChooseWitnesses(s.Now()); len(witnesses) > 0 {
 		own.Witnesses = witnesses
@@ -360,9 +360,9 @@
 	}
 }
 
-// backOffStore suspends calls by maintainLease after one failed. A host without a lease
-// called the store five times a second for the length of an outage. It gives no orders
-// meanwhile, and loses at most the pause.
+// backOffStore suspends calls by maintainLease after one failed. Without it, a host without
+// a lease called the store five times a second throughout an outage. Such a host gives no
+// orders, and the pause delays its registration by at most watcherRetryPause.
 func (s *Service) backOffStore() {
 	s.storeBackoff = min(max(loopInterval, 2*s.storeBackoff), watcherRetryPause)
 	s.storeRetryAt = s.Now().Add(s.storeBackoff)
--- a/internal/mesh/spread.go
+++ b/internal/mesh/spread.go
@@ -58,18 +58,18 @@
 const maxSources = 4
 
 func newFreshness(replicas map[string]*registry.Replica, now func() time.Time) *freshness {
-	s := &freshness{now: now, kinds: make(map[string]*kindFreshness, len(replicas))}
+	f := &freshness{now: now, kinds: make(map[string]*kindFreshness, len(replicas))}
 	for kind, replica := range replicas {
-		s.kinds[kind] = &kindFreshness{replica: replica}
+		f.kinds[kind] = &kindFreshness{replica: replica}
 	}
-	return s
+	return f
 }
 
 // confirm records that a replica is complete up to asOf.
-func (s *freshness) confirm(kind string, asOf time.Time) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.kinds[kind].confirm(asOf)
+func (f *freshness) confirm(kind string, asOf time.Time) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.kinds[kind].confirm(asOf)
 }
 
 func (k *kindFreshness) confirm(asOf time.Time) {
@@ -78,29 +78,29 @@
 	}
 }
 
-func (s *freshness) listedStale(kind string) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.kinds[kind].staleListAt = s.now()
+func (f *freshness) listedStale(kind string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.kinds[kind].staleListAt = f.now()
 }
 
 // ageForFallback returns the age that decides when a host asks the store itself. A stale
 // listing counts as current, since the watching hosts announce what it lacks.
-func (s *freshness) ageForFallback(kind string) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := s.kinds[kind]
-	age := k.age(s.now())
+func (f *freshness) ageForFallback(kind string) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	k := f.kinds[kind]
+	age := k.age(f.now())
 	if !k.staleListAt.IsZero() {
-		age = min(age, s.now().Sub(k.staleListAt))
+		age = min(age, f.now().Sub(k.staleListAt))
 	}
 	return age
 }
 
-func (s *freshness) age(kind string) time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.kinds[kind].age(s.now())
+func (f *freshness) age(kind string) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.kinds[kind].age(f.now())
 }
 
 func (k *kindFreshness) age(now time.Time) time.Duration {
@@ -111,39 +111,39 @@
 }
 
 // behind reports whether newer records are known to exist, and for how long.
-func (s *freshness) behind(kind string) (since time.Duration, ok bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := s.kinds[kind]
+func (f *freshness) behind(kind string) (duration time.Duration, ok bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	k := f.kinds[kind]
 	if !k.isBehind() {
 		return 0, false
 	}
-	return s.now().Sub(k.missingSince), true
+	return f.now().Sub(k.missingSince), true
 }
 
 func (k *kindFreshness) isBehind() bool { return k.replica.Position().Before(k.missing) }
 
 // silence returns the time since another host last sent anything.
-func (s *freshness) silence() time.Duration {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.now().Sub(s.lastContact)
+func (f *freshness) silence() time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.now().Sub(f.lastContact)
 }
 
 // confirmedSince reports whether the store confirmed a kind of record as of a time after
 // moment.
-func (s *freshness) confirmedSince(kind string, moment time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return s.kinds[kind].asOf.After(moment)
+func (f *freshness) confirmedSince(kind string, moment time.Time) bool {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.kinds[kind].asOf.After(moment)
 }
 
-func (s *freshness) known() map[string]KnownVersion {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	known := make(map[string]KnownVersion, len(s.kinds))
-	for kind, k := range s.kinds {
-		known[kind] = KnownVersion{Version: k.replica.Version(), AgeMS: k.age(s.now()).Milliseconds()}
+func (f *freshness) known() map[string]KnownVersion {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	known := make(map[string]KnownVersion, len(f.kinds))
+	for kind, k := range f.kinds {
+		known[kind] = KnownVersion{Version: k.replica.Version(), AgeMS: k.age(f.now()).Milliseconds()}
 	}
 	return known
 }
@@ -157,9 +157,9 @@
 //
 // In an idle fleet nearly everything is known already; sent each time, it would make up
 // most of the bytes between data centres.
-func (s *freshness) newsFor(theirs map[string]KnownVersion) map[string]KnownVersion {
+func (f *freshness) newsFor(theirs map[string]KnownVersion) map[string]KnownVersion {
 	news := map[string]KnownVersion{}
-	for kind, own := range s.known() {
+	for kind, own := range f.known() {
 		known, ok := theirs[kind]
 		same := own.Digest == known.Digest && own.Era == known.Era
 		younger := same && own.AgeMS+minAgeGain.Milliseconds() <= known.AgeMS
@@ -171,31 +171,31 @@
 }
 
 // expectEra records that the store answered in an era later than the replica's.
-func (s *freshness) expectEra(kind string, era registry.Era) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := s.kinds[kind]
+func (f *freshness) expectEra(kind string, era registry.Era) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	k := f.kinds[kind]
 	if at := (registry.Position{Era: era}); !k.isBehind() && k.replica.Position().Before(at) {
-		k.missing, k.missingSince = at, s.now()
+		k.missing, k.missingSince = at, f.now()
 	}
 }
 
 // noteContact records that another host answered or called.
-func (s *freshness) noteContact() {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.lastContact = s.now()
+func (f *freshness) noteContact() {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.lastContact = f.now()
 }
 
 // learn merges the versions that the peer at an address had at a moment, and returns the
 // kinds to fetch.
-func (s *freshness) learn(address string, theirs map[string]KnownVersion, moment time.Time) []string {
-	s.adoptPositions(theirs)
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (f *freshness) learn(address string, theirs map[string]KnownVersion, moment time.Time) []string {
+	f.adoptPositions(theirs)
+	f.mu.Lock()
+	defer f.mu.Unlock()
 	var fetch []string
 	for kind, known := range theirs {
-		k := s.kinds[kind]
+		k := f.kinds[kind]
 		if k == nil {
 			continue
 		}
@@ -205,7 +205,7 @@
 			k.confirm(moment.Add(-time.Duration(known.AgeMS) * time.Millisecond))
 			k.missing = registry.Position{}
 		case own.Before(known.Position):
-			k.addSource(source{address: address, at: known.Position}, s.now())
+			k.addSource(source{address: address, at: known.Position}, f.now())
 			if !k.fetching {
 				k.fetching = true
 				fetch = append(fetch, kind)
@@ -217,9 +217,9 @@
 
 // adoptPositions moves replicas with the same records as a peer's to the peer's position,
 // if it belongs to another era or the store has not confirmed them yet.
-func (s *freshness) adoptPositions(theirs map[string]KnownVersion) {
+func (f *freshness) adoptPositions(theirs map[string]KnownVersion) {
 	for kind, known := range theirs {
-		k := s.kinds[kind]
+		k := f.kinds[kind]
 		if k == nil {
 			continue
 		}
@@ -230,23 +230,23 @@
 }
 
 // addSource remembers a host with newer records.
-func (k *kindFreshness) addSource(by source, now time.Time) {
+func (k *kindFreshness) addSource(added source, now time.Time) {
 	if !k.isBehind() {
-		k.missing, k.missingSince = by.at, now
+		k.missing, k.missingSince = added.at, now
 	}
-	k.sources = slices.DeleteFunc(k.sources, func(known source) bool { return known.address == by.address })
+	k.sources = slices.DeleteFunc(k.sources, func(known source) bool { return known.address == added.address })
 	if len(k.sources) >= maxSources {
 		k.sources = slices.Delete(k.sources, 0, 1)
 	}
-	k.sources = append(k.sources, by)
+	k.sources = append(k.sources, added)
 }
 
 // nextSource removes and returns the host that last announced newer records; it is asked
 // again once it announces them again. If there is none, the fetch ends.
-func (s *freshness) nextSource(kind string) (address string, ok bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	k := s.kinds[kind]
+func (f *freshness) nextSource(kind string) (address string, ok bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	k := f.kinds[kind]
 	own := k.replica.Position()
 	for len(k.sources) > 0 {
 		last := k.sources[len(k.sources)-1]
--- a/internal/mesh/state.go
+++ b/internal/mesh/state.go
@@ -269,11 +269,11 @@
 // MayOrder reports whether this host may send an order to the runner at an address, and
 // returns the fencing token for it.
 //
-// Without this check a host that was suspended or cut off would go on giving orders beside
-// its successor, and the two would load and unload adapters on one runner by different
-// plans. The check suffices because the successor waits for lease, gap and margin after
-// the last sign of this host, and again as long after the store came back without some of
-// the records that hosts act on.
+// Without this check a host that was suspended or cut off would continue to give orders
+// alongside its successor, and the two would load and unload adapters on one runner by
+// different plans. The check suffices because the successor waits for lease, gap and margin
+// after this host's last heartbeat or renewal, and again as long after the store came back
+// without some of the records that hosts act on.
 func (s *State) MayOrder(address string, now time.Time) (token uint64, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/witnesses.go
+++ b/internal/mesh/witnesses.go
@@ -70,8 +70,8 @@
 
 func majority(of int) int { return of/2 + 1 }
 
-// NeedsRenewal reports whether the lease should be renewed in the store because a majority
-// of promises is missing.
+// NeedsRenewal reports whether the lease should be renewed in the store: the promises of a
+// majority are older than half the lease, and the last renewal is older than a third of it.
 func (s *State) NeedsRenewal(now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
