--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -120,13 +120,13 @@
 
 // evictLowest makes room by dropping the model with the lowest rate.
 func (s *shard) evictLowest(now time.Time) {
-	least, found := "", math.Inf(1)
+	lowest, lowestRate := "", math.Inf(1)
 	for model, est := range s.models {
-		if value := est.perSecond(now); value < found {
-			least, found = model, value
+		if value := est.perSecond(now); value < lowestRate {
+			lowest, lowestRate = model, value
 		}
 	}
-	delete(s.models, least)
+	delete(s.models, lowest)
 }
 
 // perSecond estimates the requests per second. It returns the larger of the two
--- a/internal/placing/placing_test.go
+++ b/internal/placing/placing_test.go
@@ -24,8 +24,8 @@
 }
 
 func TestPlain(t *testing.T) {
-	small := func(id string, load int, near bool) Candidate {
-		return Candidate{ID: id, Load: load, Slots: 6, Local: near}
+	small := func(id string, load int, local bool) Candidate {
+		return Candidate{ID: id, Load: load, Slots: 6, Local: local}
 	}
 	must.Eq(t, 1, LeastLoaded([]Candidate{small("a", 3, true), small("b", 1, false)}))
 	must.Eq(t, 1, LeastLoaded([]Candidate{small("a", 1, false), small("b", 1, true)}))
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -274,20 +274,20 @@
 // grants units.
 func TestBucketIsEmptyBeforeOwnershipBegins(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(time.Second), Epoch: 1}
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, right, epoch).Granted)
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, right, epoch.Add(time.Second)).Level)
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, right, epoch.Add(1100*time.Millisecond)).Granted)
+	limit, ownership := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(time.Second), Epoch: 1}
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch).Granted)
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch.Add(time.Second)).Level)
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch.Add(1100*time.Millisecond)).Granted)
 }
 
 // After a limit is lowered to a tenth, the units above the new burst are not granted.
 func TestLoweredLimit(t *testing.T) {
 	c := NewCounter()
-	right := Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, Limit{Rate: 1000, Burst: 1000}, right, epoch).Granted)
+	ownership := Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, Limit{Rate: 1000, Burst: 1000}, ownership, epoch).Granted)
 	low := Limit{Rate: 100, Burst: 100}
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, right, epoch).Granted)
-	answer := c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, right, epoch)
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, ownership, epoch).Granted)
+	answer := c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, ownership, epoch)
 	must.Eq(t, 0, answer.Granted)
 	must.Eq(t, time.Second, answer.RetryAfter)
 }
@@ -296,25 +296,25 @@
 // wait until its cost is refilled.
 func TestRequestBeyondTheBurst(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 300, c.Grant(GrantRequest{Key: workspace, Cost: 300}, limit, right, epoch).Granted)
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, right, epoch.Add(1990*time.Millisecond)).Granted)
-	must.Eq(t, 1, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, right, epoch.Add(2020*time.Millisecond)).Granted)
+	limit, ownership := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 300, c.Grant(GrantRequest{Key: workspace, Cost: 300}, limit, ownership, epoch).Granted)
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, ownership, epoch.Add(1990*time.Millisecond)).Granted)
+	must.Eq(t, 1, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, ownership, epoch.Add(2020*time.Millisecond)).Granted)
 }
 
 // Refused callers that retry at the given times all succeed, because the times are spaced by
 // their costs.
 func TestRefusedCallersSucceedAfterRetryAfter(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 1000, c.Grant(GrantRequest{Key: workspace, Cost: 1000}, limit, right, epoch).Granted)
+	limit, ownership := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 1000, c.Grant(GrantRequest{Key: workspace, Cost: 1000}, limit, ownership, epoch).Granted)
 	for i := range 5 {
-		wait := c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, right, epoch).RetryAfter
+		wait := c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, ownership, epoch).RetryAfter
 		must.Eq(t, time.Duration(i+1)*500*time.Millisecond, wait)
 	}
 	for i := range 5 {
 		at := epoch.Add(time.Duration(i+1)*500*time.Millisecond + time.Millisecond)
-		must.Eq(t, 500, c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, right, at).Granted)
+		must.Eq(t, 500, c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, ownership, at).Granted)
 	}
 }
 
@@ -333,8 +333,8 @@
 // the time this host owns the part again.
 func TestRetainDropsPartsOfOtherHosts(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, right, epoch)
+	limit, ownership := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch)
 	c.Retain(func(string, int) bool { return true })
 	must.Eq(t, 1, c.Size())
 	c.Retain(func(string, int) bool { return false })
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -94,8 +94,8 @@
 		}
 	}
 	if best != nil {
-		spread := bestWait > weights.ReplicaWait && bestWait > times.Load && joining == nil
-		return Decision{Action: ActionSend, Runner: best.Runner, Wait: bestWait, NeedsReplica: spread, Reason: "resident"}
+		needsReplica := bestWait > weights.ReplicaWait && bestWait > times.Load && joining == nil
+		return Decision{Action: ActionSend, Runner: best.Runner, Wait: bestWait, NeedsReplica: needsReplica, Reason: "resident"}
 	}
 	if joining != nil {
 		return Decision{Action: ActionJoin, Runner: joining.Runner, Wait: times.Load, Reason: "being loaded"}
@@ -117,11 +117,11 @@
 
 // QueueWait estimates how long a request waits for a position in a runner's batch.
 func QueueWait(r Runner, weights Weights, times Times) time.Duration {
-	places := int(float64(r.MaxBatch) * weights.BatchDepth)
-	if r.MaxBatch == 0 || r.Occupancy < places {
+	capacity := int(float64(r.MaxBatch) * weights.BatchDepth)
+	if r.MaxBatch == 0 || r.Occupancy < capacity {
 		return 0
 	}
-	ahead := r.Occupancy - places + 1
+	ahead := r.Occupancy - capacity + 1
 	return times.Service * time.Duration(ahead) / time.Duration(r.MaxBatch)
 }
 
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,12 +23,12 @@
 	leaving := located("r1", residency.SlotResident, 0)
 	leaving.Live = false
 	for _, row := range []struct {
-		name    string
-		located []Located
-		weights Weights
-		action  Action
-		runner  string
-		spread  bool
+		name         string
+		located      []Located
+		weights      Weights
+		action       Action
+		runner       string
+		needsReplica bool
 	}{
 		{"nowhere", nil, PresetStalls, ActionNone, "", false},
 		{"leaving only", []Located{leaving}, PresetStalls, ActionNone, "", false},
@@ -45,7 +45,7 @@
 			got := Choose(row.located, row.weights, testTimes, avoidNone)
 			must.Eq(t, row.action, got.Action)
 			must.Eq(t, row.runner, got.Runner.ID)
-			must.Eq(t, row.spread, got.NeedsReplica)
+			must.Eq(t, row.needsReplica, got.NeedsReplica)
 		})
 	}
 }
