--- a/internal/adapters/controller.go
+++ b/internal/adapters/controller.go
@@ -112,7 +112,7 @@
 	ModelLoads *ModelLoadLimiter
 	HostCount  func() int
 	// OnRestart is called when a runner has restarted under the same instance.
-	OnRestart func(instance string, born int64)
+	OnRestart func(instance string, startedMS int64)
 	// OnSignal is called with what a runner's answer says about the requests it can
 	// take.
 	OnSignal func(runner string, signal *board.Signal)
@@ -213,8 +213,8 @@
 		c.refuseAll(ErrUnresponsive)
 		return syncRetryInterval
 	}
-	if report.Born != 0 && report.Born != c.runner.StartedMS {
-		return c.handleOtherLifetime(report.Born)
+	if report.StartedMS != 0 && report.StartedMS != c.runner.StartedMS {
+		return c.handleOtherLifetime(report.StartedMS)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -249,11 +249,11 @@
 // handleOtherLifetime discards a report of another lifetime of the runner. A later
 // lifetime means that the runner has restarted; an earlier one means that the report
 // was overtaken.
-func (c *Controller) handleOtherLifetime(born int64) time.Duration {
-	c.log.Info("report of another lifetime of the runner ignored", "born", born, "keeper_born", c.runner.StartedMS)
+func (c *Controller) handleOtherLifetime(startedMS int64) time.Duration {
+	c.log.Info("report of another lifetime of the runner ignored", "born", startedMS, "keeper_born", c.runner.StartedMS)
 	c.refuseAll(ErrUnresponsive)
-	if born > c.runner.StartedMS {
-		c.OnRestart(c.runner.Instance, born)
+	if startedMS > c.runner.StartedMS {
+		c.OnRestart(c.runner.Instance, startedMS)
 	}
 	return syncRetryInterval
 }
@@ -327,22 +327,22 @@
 	c.slots.Advance(now)
 	c.updateFetches()
 	c.dropStale(now)
-	w := c.nextPending()
-	if w == nil {
+	load := c.nextPending()
+	if load == nil {
 		return c.planSpareSlot(now)
 	}
-	if !c.mayLoad(w.key) {
+	if !c.mayLoad(load.key) {
 		return task{pause: loadPollInterval}
 	}
-	if _, replaces := c.slots.entries[w.key.Adapter]; replaces || c.slots.Free() > 0 {
-		return task{action: actionLoad, key: w.key}
+	if _, replaces := c.slots.entries[load.key.Adapter]; replaces || c.slots.Free() > 0 {
+		return task{action: actionLoad, key: load.key}
 	}
 	victim, found := c.slots.Victim(now)
-	if !found && now.Before(w.slotExpectedAt.Add(overdueExtension)) {
+	if !found && now.Before(load.slotExpectedAt.Add(overdueExtension)) {
 		return task{pause: loadPollInterval}
 	}
 	if !found {
-		return task{action: actionDrop, key: w.key}
+		return task{action: actionDrop, key: load.key}
 	}
 	return task{action: actionUnload, key: Key{Adapter: victim}}
 }
--- a/internal/adapters/controller_test.go
+++ b/internal/adapters/controller_test.go
@@ -58,8 +58,8 @@
 	return Report{Models: []string{"m"}}, nil
 }
 
-func testRequest(i int, target time.Duration) AdmissionRequest {
-	return AdmissionRequest{Key: testKey(i), PromptTokens: 800, MaxOutputTokens: 100, PromptWait: time.Second, LatencyBudget: target, MaxWait: 2 * time.Second}
+func testRequest(i int, budget time.Duration) AdmissionRequest {
+	return AdmissionRequest{Key: testKey(i), PromptTokens: 800, MaxOutputTokens: 100, PromptWait: time.Second, LatencyBudget: budget, MaxWait: 2 * time.Second}
 }
 
 // For ten seconds, loads are requested twice as fast as the weight store can do them,
@@ -70,7 +70,7 @@
 	const (
 		every  = 125 * time.Millisecond
 		each   = 250 * time.Millisecond
-		target = 450 * time.Millisecond
+		budget = 450 * time.Millisecond
 	)
 	now := epoch
 	c := newTestController(&now, 1000, &fakeEngine{})
@@ -80,17 +80,17 @@
 	for ; now.Before(epoch.Add(10 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		if now.Sub(epoch) >= time.Duration(next)*every {
 			asked[testKey(next)] = now
-			_, _ = c.Admit(testRequest(next, target))
+			_, _ = c.Admit(testRequest(next, budget))
 			next++
 		}
 		if now.Before(free) || len(c.pending) == 0 {
 			continue
 		}
-		w := c.nextPending()
-		c.dropPending(w.key)
-		c.slots.LoadAccepted(w.key, now.Add(each), now)
+		load := c.nextPending()
+		c.dropPending(load.key)
+		c.slots.LoadAccepted(load.key, now.Add(each), now)
 		free = now.Add(each)
-		if free.Sub(asked[w.key]) <= target {
+		if free.Sub(asked[load.key]) <= budget {
 			inTime++
 		}
 	}
@@ -122,12 +122,12 @@
 	now := epoch
 	c := newTestController(&now, 1000, &fakeEngine{})
 	c.StoreLoad = saturatedStore
-	target := initialFetchTime + 100*time.Millisecond
-	_, err := c.Admit(testRequest(1, target))
+	budget := initialFetchTime + 100*time.Millisecond
+	_, err := c.Admit(testRequest(1, budget))
 	must.NoError(t, err)
-	_, err = c.Admit(testRequest(2, target))
+	_, err = c.Admit(testRequest(2, budget))
 	must.ErrorIs(t, err, ErrLoadTooSlow)
-	_, err = c.Admit(testRequest(3, 2*target))
+	_, err = c.Admit(testRequest(3, 2*budget))
 	must.NoError(t, err)
 }
 
@@ -287,7 +287,7 @@
 	slow := times.Estimate(false, StoreLoad{Capacity: 8})
 	must.Greater(t, 2*initialFetchTime, slow)
 	for range 2000 {
-		times.InTime(false)
+		times.LoadAccepted(false)
 	}
 	must.Eq(t, minFetchTime, times.Estimate(false, StoreLoad{Capacity: 8}))
 }
@@ -298,13 +298,13 @@
 func TestWaitForTurnCountsAtASaturatedStore(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
-	target := initialFetchTime + 100*time.Millisecond
+	budget := initialFetchTime + 100*time.Millisecond
 	c.loadAdapter(t.Context(), testKey(1))
-	_, err := c.Admit(testRequest(2, target))
+	_, err := c.Admit(testRequest(2, budget))
 	must.NoError(t, err)
 	c.dropPending(testKey(2))
 	c.StoreLoad = saturatedStore
-	_, err = c.Admit(testRequest(2, target))
+	_, err = c.Admit(testRequest(2, budget))
 	must.ErrorIs(t, err, ErrLoadTooSlow)
 }
 
--- a/internal/adapters/engines.go
+++ b/internal/adapters/engines.go
@@ -54,8 +54,9 @@
 // reportLag.
 type Report struct {
 	Sequence int64
-	// Born is the start time of the reporting process, as in site.Runner.
-	Born int64
+	// StartedMS is the start time of the reporting process in milliseconds, as in
+	// site.Runner; 0 if the report lacks it.
+	StartedMS int64
 	// Busy is set while a model is being loaded or unloaded.
 	Busy     bool
 	Models   []string
--- a/internal/adapters/forecast.go
+++ b/internal/adapters/forecast.go
@@ -35,14 +35,14 @@
 
 // BeginRun records a request that is sent to an adapter.
 func (s *AdapterSlots) BeginRun(adapter site.Adapter, run Run) {
-	p := s.entries[adapter]
-	if p == nil {
+	slot := s.entries[adapter]
+	if slot == nil {
 		return
 	}
-	p.requests++
-	p.lastRun = run
-	p.expectedEnd = laterOf(p.expectedEnd, run.SentAt.Add(time.Duration(s.runtimeFactor*float64(run.Expected))))
-	p.latestEnd = laterOf(p.latestEnd, run.SentAt.Add(run.Max))
+	slot.requests++
+	slot.lastRun = run
+	slot.expectedEnd = laterOf(slot.expectedEnd, run.SentAt.Add(time.Duration(s.runtimeFactor*float64(run.Expected))))
+	slot.latestEnd = laterOf(slot.latestEnd, run.SentAt.Add(run.Max))
 }
 
 func laterOf(a, b time.Time) time.Time {
@@ -55,15 +55,15 @@
 // EndRuns records that requests for an adapter have ended. The runtime factor learns
 // from a request that was the only one for the adapter.
 func (s *AdapterSlots) EndRuns(adapter site.Adapter, requests int, now time.Time) {
-	p := s.entries[adapter]
-	if p == nil {
+	slot := s.entries[adapter]
+	if slot == nil {
 		return
 	}
-	if p.requests == 1 && requests == 1 && p.lastRun.Expected > 0 {
-		ratio := float64(now.Sub(p.lastRun.SentAt)) / float64(p.lastRun.Expected)
+	if slot.requests == 1 && requests == 1 && slot.lastRun.Expected > 0 {
+		ratio := float64(now.Sub(slot.lastRun.SentAt)) / float64(slot.lastRun.Expected)
 		s.runtimeFactor += runtimeWeight * (min(maxRuntimeFactor, max(minRuntimeFactor, ratio)) - s.runtimeFactor)
 	}
-	p.requests = max(0, p.requests-requests)
+	slot.requests = max(0, slot.requests-requests)
 }
 
 // SlotsFreeAt returns when count slots are expected to be free, or false if the free
@@ -74,9 +74,9 @@
 		return now, true
 	}
 	var ends []time.Time
-	for _, p := range s.entries {
-		if p.phase == resident {
-			ends = append(ends, p.freeAt(now))
+	for _, slot := range s.entries {
+		if slot.phase == resident {
+			ends = append(ends, slot.freeAt(now))
 		}
 	}
 	if len(ends) < count {
@@ -87,13 +87,13 @@
 }
 
 // freeAt returns when a resident adapter is expected to be evictable.
-func (p *adapterSlot) freeAt(now time.Time) time.Time {
-	stay := laterOf(now, p.readyAt.Add(minResidence))
-	if p.requests == 0 {
+func (slot *adapterSlot) freeAt(now time.Time) time.Time {
+	stay := laterOf(now, slot.readyAt.Add(minResidence))
+	if slot.requests == 0 {
 		return stay
 	}
-	if p.expectedEnd.Before(now) {
+	if slot.expectedEnd.Before(now) {
 		return laterOf(stay, now.Add(overdueExtension))
 	}
-	return laterOf(stay, p.expectedEnd)
+	return laterOf(stay, slot.expectedEnd)
 }
--- a/internal/adapters/forecast_test.go
+++ b/internal/adapters/forecast_test.go
@@ -10,7 +10,7 @@
 
 // controllerWithBusySlot returns a controller whose only slot is used by one request
 // with the given expected output, and whose runner held adapter 2 recently.
-func controllerWithBusySlot(t *testing.T, now *time.Time, engine Engines, likely int) *Controller {
+func controllerWithBusySlot(t *testing.T, now *time.Time, engine Engines, outputTokens int) *Controller {
 	c := newTestController(now, 1, engine)
 	c.slots.LoadAccepted(testKey(2), *now, *now)
 	c.slots.Unloaded(testAdapter(2))
@@ -18,7 +18,7 @@
 	*now = now.Add(time.Second)
 	c.slots.Advance(*now)
 	ask := testRequest(1, time.Second)
-	ask.MaxOutputTokens, ask.ExpectedOutputTokens = 600, likely
+	ask.MaxOutputTokens, ask.ExpectedOutputTokens = 600, outputTokens
 	_, err := c.Admit(ask)
 	must.NoError(t, err)
 	return c
@@ -83,17 +83,17 @@
 	now := epoch
 	slots := NewAdapterSlots(1)
 	slots.LoadAccepted(testKey(1), now, now)
-	likely := 400 * time.Millisecond
+	expected := 400 * time.Millisecond
 	for range 100 {
 		slots.Advance(now)
-		slots.BeginRun(testAdapter(1), Run{SentAt: now, Expected: likely, Max: time.Minute})
-		now = now.Add(2 * likely)
+		slots.BeginRun(testAdapter(1), Run{SentAt: now, Expected: expected, Max: time.Minute})
+		now = now.Add(2 * expected)
 		slots.EndRuns(testAdapter(1), 1, now)
 	}
-	slots.BeginRun(testAdapter(1), Run{SentAt: now, Expected: likely, Max: time.Minute})
+	slots.BeginRun(testAdapter(1), Run{SentAt: now, Expected: expected, Max: time.Minute})
 	at, ok := slots.SlotsFreeAt(1, now)
 	must.True(t, ok)
-	must.Between(t, 19*likely/10, at.Sub(now), 21*likely/10)
+	must.Between(t, 19*expected/10, at.Sub(now), 21*expected/10)
 	_, ok = slots.SlotsFreeAt(2, now)
 	must.False(t, ok)
 }
--- a/internal/adapters/late_test.go
+++ b/internal/adapters/late_test.go
@@ -12,13 +12,13 @@
 // lossyEngine simulates a runner that loses answers and carries out orders late, even
 // after a restart.
 type lossyEngine struct {
-	capacity int
-	born     int64
-	sequence int64
-	held     map[Key]bool
-	late     []Order
-	lose     bool
-	most     int
+	capacity  int
+	startedMS int64
+	sequence  int64
+	held      map[Key]bool
+	late      []Order
+	lose      bool
+	most      int
 }
 
 func (f *lossyEngine) Order(_ context.Context, _ string, order Order) (OrderAnswer, error) {
@@ -50,13 +50,13 @@
 }
 
 func (f *lossyEngine) restart() {
-	f.born++
+	f.startedMS++
 	f.sequence = 0
 	f.held = map[Key]bool{}
 }
 
 func (f *lossyEngine) Report(context.Context, string) (Report, error) {
-	report := Report{Sequence: f.sequence, Born: f.born, Models: []string{"m"}}
+	report := Report{Sequence: f.sequence, StartedMS: f.startedMS, Models: []string{"m"}}
 	for key := range f.held {
 		report.Adapters = append(report.Adapters, Held{Key: key})
 	}
@@ -81,7 +81,7 @@
 		engine.restart()
 
 		after := newTestController(&now, 3, engine)
-		after.runner = after.runner.WithStart(engine.born)
+		after.runner = after.runner.WithStart(engine.startedMS)
 		after.slots.Inherited = before.unansweredOrders(now)
 		for i := range 8 {
 			_, _ = after.Admit(testRequest(10+i, time.Second))
@@ -120,22 +120,22 @@
 // overtaken, and is ignored.
 func TestReportOfAnotherLifetime(t *testing.T) {
 	for _, test := range []struct {
-		name string
-		born int64
-		told []int64
+		name      string
+		startedMS int64
+		told      []int64
 	}{
 		{"later", 300, []int64{300}},
 		{"earlier", 100, nil},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			now := epoch
-			engine := &lossyEngine{born: test.born, held: map[Key]bool{testKey(1): true}}
+			engine := &lossyEngine{startedMS: test.startedMS, held: map[Key]bool{testKey(1): true}}
 			c := newTestController(&now, 3, engine)
 			c.runner = &site.Runner{ID: "r~200", Instance: "r", StartedMS: 200, Slots: 64}
 			var told []int64
-			c.OnRestart = func(instance string, born int64) {
+			c.OnRestart = func(instance string, startedMS int64) {
 				must.Eq(t, "r", instance)
-				told = append(told, born)
+				told = append(told, startedMS)
 			}
 			must.Eq(t, syncRetryInterval, c.sync(t.Context()))
 			must.Eq(t, test.told, told)
--- a/internal/adapters/loadtime.go
+++ b/internal/adapters/loadtime.go
@@ -124,9 +124,9 @@
 // It is called once for each such load.
 func (t *LoadTimes) TooEarly(recent bool) { t.scale(recent, tooEarlyStep) }
 
-// InTime records an accepted load, which counts as done in time. If it turns out to
+// LoadAccepted records an accepted load, which counts as done in time. If it turns out to
 // take longer than estimated, TooEarly is called for it as well.
-func (t *LoadTimes) InTime(recent bool) { t.scale(recent, inTimeStep) }
+func (t *LoadTimes) LoadAccepted(recent bool) { t.scale(recent, inTimeStep) }
 
 func (t *LoadTimes) scale(recent bool, step float64) {
 	t.mu.Lock()
--- a/internal/adapters/orders.go
+++ b/internal/adapters/orders.go
@@ -58,7 +58,7 @@
 func (c *Controller) loadAdapter(ctx context.Context, key Key) time.Duration {
 	c.mu.Lock()
 	recent := c.slots.HeldRecently(key)
-	took := c.estimateLoad(recent)
+	estimate := c.estimateLoad(recent)
 	c.mu.Unlock()
 	sent := c.Now()
 	outcome := c.orderLoad(ctx, key)
@@ -67,12 +67,12 @@
 	now := c.Now()
 	switch outcome {
 	case OutcomeAccepted:
-		c.slots.LoadAccepted(key, now.Add(took), now)
+		c.slots.LoadAccepted(key, now.Add(estimate), now)
 		if !recent {
 			c.lastFetchAt = now
 		}
 		c.updateFetches()
-		c.Times.InTime(recent)
+		c.Times.LoadAccepted(recent)
 		return 0
 	case OutcomeDone:
 		c.slots.LoadAccepted(key, now, now)
--- a/internal/adapters/owner.go
+++ b/internal/adapters/owner.go
@@ -61,7 +61,7 @@
 	HostCount  func() int
 	ModelLoads ModelLoadLimit
 	// OnRestart is called when a runner has restarted under the same instance.
-	OnRestart func(instance string, born int64)
+	OnRestart func(instance string, startedMS int64)
 	// OnSignal is called with what a runner's answer says about the requests it can
 	// take.
 	OnSignal func(runner string, signal *board.Signal)
@@ -167,9 +167,9 @@
 	o.inheritLateOrders(o.stopAllBut(owned))
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	for id, w := range owned {
+	for id, needed := range owned {
 		if o.controllers[id] == nil {
-			o.start(ctx, w.runner, w.engine)
+			o.start(ctx, needed.runner, needed.engine)
 		}
 	}
 }
--- a/internal/adapters/prefill_test.go
+++ b/internal/adapters/prefill_test.go
@@ -12,12 +12,12 @@
 // given prefill rate, as measured by a small host. Half of the requests wait for
 // other prompts.
 func firstEventTime(draw *rand.Rand, tokens int, perMS float64) time.Duration {
-	reading := time.Duration(float64(tokens) / perMS * float64(time.Millisecond))
+	prefill := time.Duration(float64(tokens) / perMS * float64(time.Millisecond))
 	wait := time.Duration(draw.ExpFloat64() * float64(6*time.Millisecond))
 	if draw.Float64() < 0.5 {
 		wait += time.Duration(draw.ExpFloat64() * float64(40*time.Millisecond))
 	}
-	return firstEventOverhead + reading + wait
+	return firstEventOverhead + prefill + wait
 }
 
 func learnedRate(draw *rand.Rand, answers int, perMS float64) float64 {
@@ -75,12 +75,12 @@
 		slow    = 1.3
 		allowed = 250 * time.Millisecond
 	)
-	longest := func(now *time.Time, answersPerMS float64) time.Duration {
+	longest := func(now *time.Time, learnedPerMS float64) time.Duration {
 		c := newTestController(now, 4, &fakeEngine{})
 		c.TypicalPrefill = func() float64 { return 1e6 / 38.7 }
 		draw := rand.New(rand.NewPCG(1, 1))
 		for range 40 {
-			c.ObservePrefill(PrefillPerToken(tokens, firstEventTime(draw, tokens, answersPerMS)))
+			c.ObservePrefill(PrefillPerToken(tokens, firstEventTime(draw, tokens, learnedPerMS)))
 		}
 		var sent []time.Time
 		for range prompts {
--- a/internal/adapters/queue.go
+++ b/internal/adapters/queue.go
@@ -30,21 +30,21 @@
 // While the weight store is not saturated, several fetches run in parallel. When they
 // were assumed to run one after the other, a request whose adapter was loaded after
 // 290 ms was told to ask again after 580, too late to be on time.
-func (c *Controller) timeUntilLoaded(w *pendingLoad, now time.Time) time.Duration {
-	own := c.idleLoadTime(w.key)
-	inTime := !w.dueAt.Before(now.Add(own))
+func (c *Controller) timeUntilLoaded(load *pendingLoad, now time.Time) time.Duration {
+	own := c.idleLoadTime(load.key)
+	inTime := !load.dueAt.Before(now.Add(own))
 	var reloads time.Duration
 	fetches := 0
 	for _, other := range c.pending {
 		switch {
-		case other == w || !c.precedes(other, w, inTime, now):
+		case other == load || !c.precedes(other, load, inTime, now):
 		case c.slots.HeldRecently(other.key):
 			reloads += c.idleLoadTime(other.key)
 		default:
 			fetches++
 		}
 	}
-	if c.slots.HeldRecently(w.key) {
+	if c.slots.HeldRecently(load.key) {
 		return reloads + own
 	}
 	store := c.StoreLoad()
@@ -75,25 +75,25 @@
 	return c.Times.Estimate(c.slots.HeldRecently(key), StoreLoad{})
 }
 
-// precedes reports whether the load other goes before the load w; inTime tells whether
-// w can be done in time. Reloads, which need nothing from the weight store, go first.
-func (c *Controller) precedes(other, w *pendingLoad, inTime bool, now time.Time) bool {
-	if reload := c.slots.HeldRecently(other.key); reload != c.slots.HeldRecently(w.key) {
+// precedes reports whether other goes before load; inTime tells whether load can be
+// done in time. Reloads, which need nothing from the weight store, go first.
+func (c *Controller) precedes(other, load *pendingLoad, inTime bool, now time.Time) bool {
+	if reload := c.slots.HeldRecently(other.key); reload != c.slots.HeldRecently(load.key) {
 		return reload
 	}
 	otherInTime := !other.dueAt.Before(now.Add(c.idleLoadTime(other.key)))
 	if otherInTime != inTime {
 		return otherInTime
 	}
-	if !inTime && other.requests != w.requests {
+	if !inTime && other.requests != load.requests {
 		// None of these requests will be on time. The adapter that most of them wait
 		// for is also the one most likely to be requested next.
-		return other.requests > w.requests
+		return other.requests > load.requests
 	}
-	if !other.dueAt.Equal(w.dueAt) {
-		return other.dueAt.Before(w.dueAt)
+	if !other.dueAt.Equal(load.dueAt) {
+		return other.dueAt.Before(load.dueAt)
 	}
-	return other.seq < w.seq
+	return other.seq < load.seq
 }
 
 // requestLoad requests an adapter and returns when it is loaded; c.mu must be held. A
@@ -103,16 +103,16 @@
 		c.slots.Touch(ask.Key.Adapter, now)
 		return readyAt, nil
 	}
-	w := c.findPending(ask.Key)
-	known := w != nil
+	load := c.findPending(ask.Key)
+	known := load != nil
 	if !known {
 		if err := c.checkHeldElsewhere(ask); err != nil {
 			return time.Time{}, err
 		}
 		c.lastSeq++
-		w = &pendingLoad{key: ask.Key, dueAt: now.Add(ask.LatencyBudget), seq: c.lastSeq}
+		load = &pendingLoad{key: ask.Key, dueAt: now.Add(ask.LatencyBudget), seq: c.lastSeq}
 	}
-	loadTime := c.timeUntilLoaded(w, now)
+	loadTime := c.timeUntilLoaded(load, now)
 	if loadTime > c.maxLoadWait(ask) {
 		return time.Time{}, ErrLoadTooSlow
 	}
@@ -122,14 +122,14 @@
 			return time.Time{}, ErrNoFreeSlot
 		}
 		loadTime += wait
-		w.slotExpectedAt = now.Add(wait)
-		c.pending = append(c.pending, w)
+		load.slotExpectedAt = now.Add(wait)
+		c.pending = append(c.pending, load)
 		c.wakeUp()
 	}
-	w.lastAskedAt = now
-	w.usefulUntil = now.Add(ask.MaxWait)
+	load.lastAskedAt = now
+	load.usefulUntil = now.Add(ask.MaxWait)
 	if !ask.Waited {
-		w.requests++
+		load.requests++
 	}
 	return now.Add(loadTime), nil
 }
@@ -158,7 +158,7 @@
 // simulated days of slotLeft this raised the served share from 0.741 to 0.777, with a
 // tenth fewer fetches. Other requests are sent on: with a wait for a slot as a last
 // resort the served share was 0.748.
-func (c *Controller) slotWait(ask AdmissionRequest, took time.Duration, now time.Time) (time.Duration, bool) {
+func (c *Controller) slotWait(ask AdmissionRequest, loadTime time.Duration, now time.Time) (time.Duration, bool) {
 	if c.slotLeft(now) {
 		return 0, true
 	}
@@ -167,7 +167,7 @@
 	}
 	at, ok := c.slots.SlotsFreeAt(1+len(c.pending), now)
 	wait := at.Sub(now)
-	if !ok || wait > c.estimateLoad(false) || wait+took > ask.LatencyBudget {
+	if !ok || wait > c.estimateLoad(false) || wait+loadTime > ask.LatencyBudget {
 		return 0, false
 	}
 	return wait, true
@@ -232,9 +232,9 @@
 }
 
 func (c *Controller) findPending(key Key) *pendingLoad {
-	for _, w := range c.pending {
-		if w.key == key {
-			return w
+	for _, load := range c.pending {
+		if load.key == key {
+			return load
 		}
 	}
 	return nil
@@ -249,10 +249,10 @@
 func (c *Controller) nextPending() *pendingLoad {
 	var best *pendingLoad
 	now := c.Now()
-	for _, w := range c.pending {
+	for _, load := range c.pending {
 		inTime := best != nil && !best.dueAt.Before(now.Add(c.idleLoadTime(best.key)))
-		if best == nil || c.precedes(w, best, inTime, now) {
-			best = w
+		if best == nil || c.precedes(load, best, inTime, now) {
+			best = load
 		}
 	}
 	return best
@@ -264,14 +264,14 @@
 
 // dropStale drops loads that are done or no longer needed; c.mu must be held.
 func (c *Controller) dropStale(now time.Time) {
-	c.pending = slices.DeleteFunc(c.pending, func(w *pendingLoad) bool {
-		_, there := c.slots.Ready(w.key)
-		return there || now.After(w.usefulUntil) || now.Sub(w.lastAskedAt) > c.timeUntilLoaded(w, now)+staleAfter
+	c.pending = slices.DeleteFunc(c.pending, func(load *pendingLoad) bool {
+		_, there := c.slots.Ready(load.key)
+		return there || now.After(load.usefulUntil) || now.Sub(load.lastAskedAt) > c.timeUntilLoaded(load, now)+staleAfter
 	})
 }
 
 func (c *Controller) dropPending(key Key) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.pending = slices.DeleteFunc(c.pending, func(w *pendingLoad) bool { return w.key == key })
+	c.pending = slices.DeleteFunc(c.pending, func(load *pendingLoad) bool { return load.key == key })
 }
--- a/internal/adapters/slots.go
+++ b/internal/adapters/slots.go
@@ -112,9 +112,9 @@
 func (s *AdapterSlots) Advance(now time.Time) {
 	s.Unanswered.expire(now)
 	s.Inherited.expire(now)
-	for _, p := range s.entries {
-		if p.phase == loading && !now.Before(p.readyAt) {
-			p.phase = resident
+	for _, slot := range s.entries {
+		if slot.phase == loading && !now.Before(slot.readyAt) {
+			slot.phase = resident
 		}
 	}
 }
@@ -122,25 +122,25 @@
 // Ready reports whether an adapter is resident or being loaded, and from when it can
 // be used.
 func (s *AdapterSlots) Ready(key Key) (time.Time, bool) {
-	p := s.entries[key.Adapter]
-	if p == nil || p.phase == inDoubt || p.phase == unloading {
+	slot := s.entries[key.Adapter]
+	if slot == nil || slot.phase == inDoubt || slot.phase == unloading {
 		return time.Time{}, false
 	}
-	if key.Version != 0 && p.version < key.Version {
+	if key.Version != 0 && slot.version < key.Version {
 		return time.Time{}, false
 	}
-	return p.readyAt, true
+	return slot.readyAt, true
 }
 
 // InProgress returns the number of adapters being loaded, and how many of these are
 // fetched from the weight store.
 func (s *AdapterSlots) InProgress() (all, fetched int) {
-	for _, p := range s.entries {
-		if p.phase != loading && p.phase != inDoubt {
+	for _, slot := range s.entries {
+		if slot.phase != loading && slot.phase != inDoubt {
 			continue
 		}
 		all++
-		if !p.reload {
+		if !slot.reload {
 			fetched++
 		}
 	}
@@ -151,8 +151,8 @@
 // or ruled out yet.
 func (s *AdapterSlots) InDoubt() int {
 	count := 0
-	for _, p := range s.entries {
-		if p.phase == inDoubt {
+	for _, slot := range s.entries {
+		if slot.phase == inDoubt {
 			count++
 		}
 	}
@@ -163,8 +163,8 @@
 // running at a time.
 func (s *AdapterSlots) FetchingAt(at time.Time) int {
 	count := 0
-	for _, p := range s.entries {
-		if p.phase == inDoubt || p.phase == loading && !p.reload && p.readyAt.After(at) {
+	for _, slot := range s.entries {
+		if slot.phase == inDoubt || slot.phase == loading && !slot.reload && slot.readyAt.After(at) {
 			count++
 		}
 	}
@@ -179,8 +179,8 @@
 
 // Touch records that an adapter was requested.
 func (s *AdapterSlots) Touch(adapter site.Adapter, now time.Time) {
-	if p := s.entries[adapter]; p != nil && now.After(p.usedAt) {
-		p.usedAt = now
+	if slot := s.entries[adapter]; slot != nil && now.After(slot.usedAt) {
+		slot.usedAt = now
 	}
 }
 
@@ -188,11 +188,11 @@
 // and no request is expected to use it. An adapter in use can't be unloaded before
 // its last request ends. Until then its slot would not be free, and new requests for
 // it would be rejected.
-func (p *adapterSlot) idle(now time.Time) bool {
-	if p.phase != resident || now.Sub(p.readyAt) < minResidence {
+func (slot *adapterSlot) idle(now time.Time) bool {
+	if slot.phase != resident || now.Sub(slot.readyAt) < minResidence {
 		return false
 	}
-	return p.requests == 0 || now.After(p.latestEnd)
+	return slot.requests == 0 || now.After(slot.latestEnd)
 }
 
 // Victim returns the least recently used idle adapter.
@@ -200,12 +200,12 @@
 	var victim site.Adapter
 	var oldest time.Time
 	found := false
-	for adapter, p := range s.entries {
-		if !p.idle(now) {
+	for adapter, slot := range s.entries {
+		if !slot.idle(now) {
 			continue
 		}
-		if !found || p.usedAt.Before(oldest) || (p.usedAt.Equal(oldest) && adapter.String() < victim.String()) {
-			victim, oldest, found = adapter, p.usedAt, true
+		if !found || slot.usedAt.Before(oldest) || (slot.usedAt.Equal(oldest) && adapter.String() < victim.String()) {
+			victim, oldest, found = adapter, slot.usedAt, true
 		}
 	}
 	return victim, found
@@ -214,8 +214,8 @@
 // IdleCount returns the number of adapters that can be evicted.
 func (s *AdapterSlots) IdleCount(now time.Time) int {
 	count := 0
-	for _, p := range s.entries {
-		if p.idle(now) {
+	for _, slot := range s.entries {
+		if slot.idle(now) {
 			count++
 		}
 	}
@@ -244,9 +244,9 @@
 // UnloadAccepted records an accepted unload that waits for requests to end.
 func (s *AdapterSlots) UnloadAccepted(adapter site.Adapter, now time.Time) {
 	s.Sequence++
-	if p := s.entries[adapter]; p != nil {
-		p.phase = unloading
-		p.orderedAt = now
+	if slot := s.entries[adapter]; slot != nil {
+		slot.phase = unloading
+		slot.orderedAt = now
 	}
 }
 
@@ -267,28 +267,28 @@
 // supposed reload, for as long as a fetch takes. first is set for the first such
 // request of a load only.
 func (s *AdapterSlots) RequestTooEarly(adapter site.Adapter, fetch time.Duration, now time.Time) (first Underestimate, underWay bool) {
-	p := s.entries[adapter]
-	if p == nil || p.phase == inDoubt || p.phase == unloading || now.Sub(p.orderedAt) > maxLoadDuration {
+	slot := s.entries[adapter]
+	if slot == nil || slot.phase == inDoubt || slot.phase == unloading || now.Sub(slot.orderedAt) > maxLoadDuration {
 		return NoUnderestimate, false
 	}
-	if !p.underestimated {
+	if !slot.underestimated {
 		first = FetchUnderestimated
-		if p.reload {
+		if slot.reload {
 			first = ReloadUnderestimated
 		}
 	}
-	p.underestimated = true
-	if p.phase == loading && p.readyAt.After(now) {
+	slot.underestimated = true
+	if slot.phase == loading && slot.readyAt.After(now) {
 		// Another request was rejected a moment ago.
 		return first, true
 	}
-	more := max(minEarlyRetry, time.Duration(earlyRetryShare*float64(now.Sub(p.orderedAt))))
-	if p.reload {
+	more := max(minEarlyRetry, time.Duration(earlyRetryShare*float64(now.Sub(slot.orderedAt))))
+	if slot.reload {
 		// The runner no longer had the adapter in memory.
-		p.reload = false
-		more = max(more, p.orderedAt.Add(fetch).Sub(now))
+		slot.reload = false
+		more = max(more, slot.orderedAt.Add(fetch).Sub(now))
 	}
-	p.setLoading(now.Add(more))
+	slot.setLoading(now.Add(more))
 	return first, true
 }
 
@@ -303,16 +303,16 @@
 	ReloadUnderestimated
 )
 
-func (p *adapterSlot) setLoading(readyAt time.Time) {
-	p.phase = loading
-	p.readyAt = readyAt
+func (slot *adapterSlot) setLoading(readyAt time.Time) {
+	slot.phase = loading
+	slot.readyAt = readyAt
 }
 
 // drop frees an adapter's slot and remembers the adapter as recently held.
 func (s *AdapterSlots) drop(adapter site.Adapter) {
 	left := Key{Adapter: adapter}
-	if p := s.entries[adapter]; p != nil {
-		left.Version = p.version
+	if slot := s.entries[adapter]; slot != nil {
+		left.Version = slot.version
 	}
 	delete(s.entries, adapter)
 	s.clock++
@@ -350,34 +350,34 @@
 		seen[h.Adapter] = true
 		s.applyHeld(h, incomingReadyAt, now)
 	}
-	for adapter, p := range s.entries {
-		if !seen[adapter] && now.Sub(p.orderedAt) > lag {
+	for adapter, slot := range s.entries {
+		if !seen[adapter] && now.Sub(slot.orderedAt) > lag {
 			s.drop(adapter)
 		}
 	}
 }
 
 func (s *AdapterSlots) applyHeld(h Held, incomingReadyAt, now time.Time) {
-	p := s.entries[h.Adapter]
-	if p == nil {
-		p = &adapterSlot{usedAt: now.Add(-assumedIdle), version: h.Version, readyAt: now.Add(-minResidence)}
-		s.entries[h.Adapter] = p
+	slot := s.entries[h.Adapter]
+	if slot == nil {
+		slot = &adapterSlot{usedAt: now.Add(-assumedIdle), version: h.Version, readyAt: now.Add(-minResidence)}
+		s.entries[h.Adapter] = slot
 		if h.Incoming {
-			p.phase = loading
-			p.readyAt = incomingReadyAt
+			slot.phase = loading
+			slot.readyAt = incomingReadyAt
 			return
 		}
-		p.phase = resident
+		slot.phase = resident
 		return
 	}
-	p.version = max(p.version, h.Version)
-	if p.phase == inDoubt && h.Incoming {
-		p.setLoading(incomingReadyAt)
+	slot.version = max(slot.version, h.Version)
+	if slot.phase == inDoubt && h.Incoming {
+		slot.setLoading(incomingReadyAt)
 		return
 	}
-	if p.phase == inDoubt {
-		p.phase = resident
-		p.readyAt = now
+	if slot.phase == inDoubt {
+		slot.phase = resident
+		slot.readyAt = now
 	}
 }
 
