--- a/internal/adapters/controller.go
+++ b/internal/adapters/controller.go
@@ -264,7 +264,8 @@
 	return c.Times.Estimate(recent, c.StoreLoad().withOneMoreFetch())
 }
 
-// loadModel orders the load of the base model and waits for it.
+// loadModel orders the load of the base model and returns the pause until its result
+// is read or the load is ordered again.
 func (c *Controller) loadModel(ctx context.Context) time.Duration {
 	if wait := c.ModelLoads.Take(c.Now(), c.spec.LoadsPerSecond, c.HostCount()); wait > 0 {
 		return min(wait, modelPollInterval)
@@ -347,6 +348,8 @@
 	return task{action: actionUnload, key: Key{Adapter: victim}}
 }
 
+// planSpareSlot returns the unload that frees a slot in advance, or a pause; c.mu must
+// be held.
 func (c *Controller) planSpareSlot(now time.Time) task {
 	if c.slots.Free() >= spareSlots {
 		return task{pause: idleInterval}
--- a/internal/adapters/engines.go
+++ b/internal/adapters/engines.go
@@ -61,7 +61,7 @@
 	Busy     bool
 	Models   []string
 	Adapters []Held
-	// Signal is what the runner tells about the requests it can take, nil if it did
+	// Signal is what the runner says about the requests it can take, nil if it did
 	// not answer.
 	Signal *board.Signal
 }
@@ -69,7 +69,7 @@
 // OrderAnswer is a runner's answer to an order.
 type OrderAnswer struct {
 	Outcome Outcome
-	// Signal is what the runner tells about the requests it can take, nil if it did
+	// Signal is what the runner says about the requests it can take, nil if it did
 	// not answer.
 	Signal *board.Signal
 }
--- a/internal/adapters/late_test.go
+++ b/internal/adapters/late_test.go
@@ -16,9 +16,11 @@
 	startedMS int64
 	sequence  int64
 	held      map[Key]bool
-	late      []Order
-	lose      bool
-	most      int
+	// late holds the orders that got no answer because lose was set.
+	late []Order
+	lose bool
+	// most is the largest number of adapters held at a time.
+	most int
 }
 
 func (f *lossyEngine) Order(_ context.Context, _ string, order Order) (OrderAnswer, error) {
--- a/internal/adapters/modelloads_test.go
+++ b/internal/adapters/modelloads_test.go
@@ -10,7 +10,8 @@
 
 // All runners of a deployment come back empty at once, and each host loads the base
 // model on each of its own. In any window the loads of all hosts stay within the
-// weight store's limit, and all runners get their model.
+// weight store's limit, or at one per host if there are more hosts than that, and all
+// runners get their model.
 func TestModelLoadsWithinTheBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := ModelLoadLimit{Window: 5 * time.Second, Overshoot: 1.1}
--- a/internal/adapters/orders.go
+++ b/internal/adapters/orders.go
@@ -8,7 +8,8 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// order gives one order to the runner.
+// order sends one order to the runner for the current sequence number. The order
+// counts as unanswered until an answer arrives.
 func (c *Controller) order(ctx context.Context, load bool, key Key) Outcome {
 	now := c.Now()
 	token, ok := c.Authority.MayOrder(c.runner.Address, now)
@@ -55,6 +56,8 @@
 	return late
 }
 
+// loadAdapter orders the load of an adapter, records its outcome and returns the pause
+// after it.
 func (c *Controller) loadAdapter(ctx context.Context, key Key) time.Duration {
 	c.mu.Lock()
 	recent := c.slots.HeldRecently(key)
@@ -111,6 +114,8 @@
 	return syncRetryInterval
 }
 
+// unload orders the unload of an adapter, records its outcome and returns the pause
+// after it.
 func (c *Controller) unload(ctx context.Context, adapter site.Adapter) time.Duration {
 	outcome := c.order(ctx, false, Key{Adapter: adapter})
 	c.mu.Lock()
--- a/internal/adapters/pacer_test.go
+++ b/internal/adapters/pacer_test.go
@@ -36,14 +36,14 @@
 		sent = append(sent, p.Admit(tokens, epoch))
 	}
 	for i, from := range sent {
-		read := 0
+		prefillTokens := 0
 		for _, at := range sent[i:] {
 			if at.Sub(from) < allowed {
-				read += tokens
+				prefillTokens += tokens
 			}
 		}
-		pause := time.Duration((steps*stepMS + float64(read)/perMilli) * float64(time.Millisecond))
-		must.LessEq(t, allowed, pause, must.Sprintf("window from prompt %d reads %d tokens", i, read))
+		pause := time.Duration((steps*stepMS + float64(prefillTokens)/perMilli) * float64(time.Millisecond))
+		must.LessEq(t, allowed, pause, must.Sprintf("window from prompt %d has prefill of %d tokens", i, prefillTokens))
 	}
 }
 
--- a/internal/adapters/prefill_test.go
+++ b/internal/adapters/prefill_test.go
@@ -90,13 +90,13 @@
 		}
 		var pause time.Duration
 		for i, from := range sent {
-			read := 0
+			prefillTokens := 0
 			for _, at := range sent[i:] {
 				if at.Sub(from) < allowed {
-					read += tokens
+					prefillTokens += tokens
 				}
 			}
-			pause = max(pause, time.Duration((5*5.9+float64(read)/38.7)*slow*float64(time.Millisecond)))
+			pause = max(pause, time.Duration((5*5.9+float64(prefillTokens)/38.7)*slow*float64(time.Millisecond)))
 		}
 		return pause
 	}
