--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -31,8 +31,8 @@
 	hourScoreGain   = 64
 	hourScoreMax    = 255
 	hourScoreLikely = 96
-	// A model's rate is rising if it exceeds risingMinRate requests per second over
-	// fastDecay, and risingFactor times the rate over slowDecay.
+	// A model's rate is rising if it is at least risingMinRate requests per second over
+	// fastDecay, and more than risingFactor times the rate over slowDecay.
 	risingFactor  = 2
 	risingMinRate = 0.1
 )
