--- a/internal/adapters/engines.go
+++ b/internal/adapters/engines.go
@@ -54,13 +54,14 @@
 // reportLag.
 type Report struct {
 	Sequence int64
-	// Born is the start time of the reporting process, as in site.Runner.
-	Born int64
+	// StartedMS is the start time of the reporting process in milliseconds, as in
+	// site.Runner; 0 if the report lacks it.
+	StartedMS int64
 	// Busy is set while a model is being loaded or unloaded.
 	Busy     bool
 	Models   []string
 	Adapters []Held
-	// Signal is what the runner tells about the requests it can take, nil if it did
+	// Signal is what the runner says about the requests it can take, nil if it did
 	// not answer.
 	Signal *board.Signal
 }
@@ -68,7 +69,7 @@
 // OrderAnswer is a runner's answer to an order.
 type OrderAnswer struct {
 	Outcome Outcome
-	// Signal is what the runner tells about the requests it can take, nil if it did
+	// Signal is what the runner says about the requests it can take, nil if it did
 	// not answer.
 	Signal *board.Signal
 }
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -31,8 +31,8 @@
 	hourScoreGain   = 64
 	hourScoreMax    = 255
 	hourScoreLikely = 96
-	// A model's rate is rising if it exceeds risingMinRate requests per second over
-	// fastDecay, and risingFactor times the rate over slowDecay.
+	// A model's rate is rising if it is at least risingMinRate requests per second over
+	// fastDecay, and more than risingFactor times the rate over slowDecay.
 	risingFactor  = 2
 	risingMinRate = 0.1
 )
@@ -120,13 +120,13 @@
 
 // evictLowest makes room by dropping the model with the lowest rate.
 func (s *shard) evictLowest(now time.Time) {
-	least, found := "", math.Inf(1)
+	lowest, lowestRate := "", math.Inf(1)
 	for model, est := range s.models {
-		if value := est.perSecond(now); value < found {
-			least, found = model, value
+		if value := est.perSecond(now); value < lowestRate {
+			lowest, lowestRate = model, value
 		}
 	}
-	delete(s.models, least)
+	delete(s.models, lowest)
 }
 
 // perSecond estimates the requests per second. It returns the larger of the two
