--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// budgetReserve lets a quiet host retry at all; budgetMost bounds what a busy
+// initialRetryTokens lets a quiet host retry at all; maxRetryTokens bounds what a busy
 // one saves up.
 const (
-	budgetReserve = 3
-	budgetMost    = 100
+	initialRetryTokens = 3
+	maxRetryTokens     = 100
 )
 
 // RetryBudget bounds second tries to a share of first tries, over the whole host:
@@ -24,18 +24,18 @@
 
 // NewRetryBudget makes a budget; share is the second tries allowed for each first.
 func NewRetryBudget(share float64) *RetryBudget {
-	return &RetryBudget{share: share, tokens: budgetReserve}
+	return &RetryBudget{share: share, tokens: initialRetryTokens}
 }
 
-// First counts a first try.
-func (b *RetryBudget) First() {
+// AddRequest counts a first try.
+func (b *RetryBudget) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(budgetMost, b.tokens+b.share)
+	b.tokens = min(maxRetryTokens, b.tokens+b.share)
 }
 
-// Retry takes one second try, if the budget allows it.
-func (b *RetryBudget) Retry() bool {
+// TryRetry takes one second try, if the budget allows it.
+func (b *RetryBudget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -54,9 +54,9 @@
 }
 
 const (
-	breakerFailures = 3
-	breakerFirst    = time.Second
-	breakerMost     = 30 * time.Second
+	failuresToOpen = 3
+	minOpenTime    = time.Second
+	maxOpenTime    = 30 * time.Second
 )
 
 // Breakers leave targets alone that keep failing, and try each again after a
@@ -76,21 +76,21 @@
 // NewBreakers makes breakers that are all closed.
 func NewBreakers() *Breakers { return &Breakers{targets: map[string]*breaker{}} }
 
-// Avoid says whether a target is left alone now.
-func (b *Breakers) Avoid(target string, now time.Time) bool {
+// IsOpen says whether a target is left alone now.
+func (b *Breakers) IsOpen(target string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.targets[target]
-	return t != nil && t.failures >= breakerFailures && (t.probing || now.Before(t.until))
+	return t != nil && t.failures >= failuresToOpen && (t.probing || now.Before(t.until))
 }
 
-// Enter is called before a target is used. After its time of rest a failed
+// Allow is called before a target is used. After its time of rest a failed
 // target gets one request; until that one has ended, others stay away.
-func (b *Breakers) Enter(target string, now time.Time) bool {
+func (b *Breakers) Allow(target string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.targets[target]
-	if t == nil || t.failures < breakerFailures {
+	if t == nil || t.failures < failuresToOpen {
 		return true
 	}
 	if t.probing || now.Before(t.until) {
@@ -100,8 +100,8 @@
 	return true
 }
 
-// Leave notes how a use ended.
-func (b *Breakers) Leave(target string, healthy bool, now time.Time) {
+// Record notes how a use ended.
+func (b *Breakers) Record(target string, healthy bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if healthy {
@@ -115,9 +115,9 @@
 	}
 	t.failures++
 	t.probing = false
-	if t.failures >= breakerFailures {
-		rest := min(breakerFirst<<min(t.opens, 10), breakerMost)
+	if t.failures >= failuresToOpen {
+		openTime := min(minOpenTime<<min(t.opens, 10), maxOpenTime)
 		t.opens++
-		t.until = now.Add(rest)
+		t.until = now.Add(openTime)
 	}
 }
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -81,22 +81,22 @@
 	cfg  Config
 	deps Deps
 	ids  sequence
-	// stopped ends once this host gives no more orders and its successors have
+	// handoverCtx ends once this host gives no more orders and its successors have
 	// had time to take over.
-	stopped context.Context
-	stop    context.CancelFunc
+	handoverCtx context.Context
+	endHandover context.CancelFunc
 }
 
 // New makes a dispatcher.
 func New(cfg Config, deps Deps) *Dispatcher {
 	d := &Dispatcher{cfg: cfg, deps: deps}
-	d.stopped, d.stop = context.WithCancel(context.Background())
+	d.handoverCtx, d.endHandover = context.WithCancel(context.Background())
 	return d
 }
 
-// successorTime is what a successor needs to take a runner over that was given
+// takeoverTime is what a successor needs to take a runner over that was given
 // away: a heartbeat to learn of it and a conditional update.
-const successorTime = time.Second
+const takeoverTime = time.Second
 
 // HandoverDone says that this host has given its runners away. Requests that wait
 // for a load go on with the successors; where there are none by then, they are
@@ -104,7 +104,7 @@
 //
 // Without it, requests that waited on the only host of a deployment when it was
 // told to stop got no answer until their limit of half a minute passed.
-func (d *Dispatcher) HandoverDone() { time.AfterFunc(successorTime, d.stop) }
+func (d *Dispatcher) HandoverDone() { time.AfterFunc(takeoverTime, d.endHandover) }
 
 // Request is an admitted caller's request.
 type Request struct {
@@ -135,21 +135,21 @@
 // nil after a whole answer, else a *Refusal with the verdict.
 func (d *Dispatcher) Complete(ctx context.Context, req Request, pass func(engine.Piece) error) *Refusal {
 	trace := d.deps.Traces.Begin(req.ID, req.Caller, req.Model, time.Now())
-	refusal := d.guarded(ctx, req, trace, func(ctx context.Context) *Refusal {
+	refusal := d.admitAndClaim(ctx, req, trace, func(ctx context.Context) *Refusal {
 		d.deps.Demand.Count(req.Model, time.Now())
-		return d.attempts(ctx, req, trace, pass)
+		return d.runAttempts(ctx, req, trace, pass)
 	})
 	trace.End(refusal, time.Now())
-	d.deps.Metrics.Ended(refusal)
+	d.deps.Metrics.CountRequest(refusal)
 	return refusal
 }
 
-// guarded runs a request inside its place at the gate and its claim. The gate
+// admitAndClaim runs a request inside its place at the gate and its claim. The gate
 // comes first: what it turns away in an overload costs the object API nothing,
 // and leaves no claim behind.
-func (d *Dispatcher) guarded(ctx context.Context, req Request, trace *Trace, run func(ctx context.Context) *Refusal) *Refusal {
-	return d.gated(ctx, req, trace, func(ctx context.Context) *Refusal {
-		claim, refusal := d.claim(ctx, req, trace)
+func (d *Dispatcher) admitAndClaim(ctx context.Context, req Request, trace *Trace, run func(ctx context.Context) *Refusal) *Refusal {
+	return d.admit(ctx, req, trace, func(ctx context.Context) *Refusal {
+		claim, refusal := d.claimKey(ctx, req, trace)
 		if refusal != nil {
 			return refusal
 		}
@@ -168,8 +168,8 @@
 	return refusal.Verdict
 }
 
-// claim takes the idempotency key of a request that may run only once.
-func (d *Dispatcher) claim(ctx context.Context, req Request, trace *Trace) (*claims.Claim, *Refusal) {
+// claimKey takes the idempotency key of a request that may run only once.
+func (d *Dispatcher) claimKey(ctx context.Context, req Request, trace *Trace) (*claims.Claim, *Refusal) {
 	if req.Idempotent || req.IdempotencyKey == "" {
 		return nil, nil
 	}
@@ -182,35 +182,35 @@
 	return claim, nil
 }
 
-func (d *Dispatcher) gated(ctx context.Context, req Request, trace *Trace, run func(ctx context.Context) *Refusal) *Refusal {
+func (d *Dispatcher) admit(ctx context.Context, req Request, trace *Trace, run func(ctx context.Context) *Refusal) *Refusal {
 	entered := time.Now()
-	if err := d.deps.Gate.Enter(ctx, Entrant{Caller: req.Caller, Weight: req.Weight, Priority: req.Priority}); err != nil {
+	if err := d.deps.Gate.Acquire(ctx, AdmissionRequest{Caller: req.Caller, Weight: req.Weight, Priority: req.Priority}); err != nil {
 		return gateRefusal(err)
 	}
 	admitted := time.Now()
-	d.deps.Metrics.Queued(admitted.Sub(entered))
+	d.deps.Metrics.ObserveQueueTime(admitted.Sub(entered))
 	trace.Note("admitted", admitted)
-	defer func() { d.deps.Gate.Leave(time.Since(admitted)) }()
+	defer func() { d.deps.Gate.Release(time.Since(admitted)) }()
 	return run(ctx)
 }
 
-// tries is the state of one request over its attempts.
-type tries struct {
-	avoided map[string]bool
-	loads   int
+// attemptState is the state of one request over its attempts.
+type attemptState struct {
+	avoidTargets map[string]bool
+	failedLoads  int
 	// mayHaveRun: one of the tries so far may have run.
 	mayHaveRun bool
 }
 
-// note takes a failed try in.
-func (s *tries) note(failure *engine.Failure) {
+// recordFailure takes a failed try in.
+func (s *attemptState) recordFailure(failure *engine.Failure) {
 	s.mayHaveRun = s.mayHaveRun || failure.Verdict() != verdict.NotRun
 }
 
-// final gives the answer over all tries. A last try that did not run says
+// finalRefusal gives the answer over all tries. A last try that did not run says
 // nothing of those before it: told "not run" on its word, a caller would
 // believe that of a request that ran.
-func (s *tries) final(refusal *Refusal) *Refusal {
+func (s *attemptState) finalRefusal(refusal *Refusal) *Refusal {
 	if !s.mayHaveRun || refusal.Verdict != verdict.NotRun {
 		return refusal
 	}
@@ -220,35 +220,35 @@
 	return &whole
 }
 
-// attempts tries the request until it has an answer, or another try is not
+// runAttempts tries the request until it has an answer, or another try is not
 // safe, not likely to help, or not within the budget.
-func (d *Dispatcher) attempts(ctx context.Context, req Request, trace *Trace, pass func(engine.Piece) error) *Refusal {
-	d.deps.Budget.First()
-	state := &tries{avoided: map[string]bool{}}
+func (d *Dispatcher) runAttempts(ctx context.Context, req Request, trace *Trace, pass func(engine.Piece) error) *Refusal {
+	d.deps.Budget.AddRequest()
+	state := &attemptState{avoidTargets: map[string]bool{}}
 	for attempt := 1; ; attempt++ {
 		spot, refusal := d.reserve(ctx, req, state, trace)
 		if refusal != nil {
-			return state.final(refusal)
+			return state.finalRefusal(refusal)
 		}
 		failure := d.attempt(ctx, req, spot, trace, pass)
 		if failure == nil {
 			return nil
 		}
-		state.note(failure)
+		state.recordFailure(failure)
 		if req.DiscardPieces != nil {
 			failure.Delivered = 0
 		}
 		if !failure.MayRetry(req.Idempotent) || attempt == maxAttempts {
-			return state.final(failureRefusal(failure))
+			return state.finalRefusal(failureRefusal(failure))
 		}
 		// A missing model is this side's stale knowledge, not the target's
 		// failure: it does not count against the budget.
-		if failure.Code != engine.CodeNotLoaded && !d.deps.Budget.Retry() {
+		if failure.Code != engine.CodeNotLoaded && !d.deps.Budget.TryRetry() {
 			trace.Note("no further try: retry budget used up", time.Now())
-			return state.final(failureRefusal(failure))
+			return state.finalRefusal(failureRefusal(failure))
 		}
-		state.avoided[spot.runner.ID] = failure.Code != engine.CodeNotLoaded
-		d.deps.Metrics.Retried()
+		state.avoidTargets[spot.runner.ID] = failure.Code != engine.CodeNotLoaded
+		d.deps.Metrics.CountRetry()
 		if req.DiscardPieces != nil {
 			req.DiscardPieces()
 		}
@@ -256,7 +256,7 @@
 }
 
 // attempt makes one try on a reserved runner.
-func (d *Dispatcher) attempt(ctx context.Context, req Request, spot spot, trace *Trace, pass func(engine.Piece) error) *engine.Failure {
+func (d *Dispatcher) attempt(ctx context.Context, req Request, spot reservation, trace *Trace, pass func(engine.Piece) error) *engine.Failure {
 	runner := spot.runner
 	started := time.Now()
 	trace.Sent(runner.ID, started)
@@ -270,31 +270,31 @@
 	failure := d.deps.Engines.Complete(ctx, call, func(piece engine.Piece) error {
 		if first {
 			first = false
-			d.deps.Metrics.FirstPiece(time.Since(started))
+			d.deps.Metrics.ObserveFirstPiece(time.Since(started))
 			trace.Note("first piece", time.Now())
 		}
 		return pass(piece)
 	})
 	d.deps.Table.Finished(runner.ID)
-	d.settle(ctx, req, spot, failure, trace)
+	d.finishAttempt(ctx, req, spot, failure, trace)
 	return failure
 }
 
-// settle ends an attempt: it gives the pin's use back and tells the breaker
+// finishAttempt ends an attempt: it gives the pin's use back and tells the breaker
 // and the owner what was learned.
-func (d *Dispatcher) settle(ctx context.Context, req Request, spot spot, failure *engine.Failure, trace *Trace) {
+func (d *Dispatcher) finishAttempt(ctx context.Context, req Request, spot reservation, failure *engine.Failure, trace *Trace) {
 	now := time.Now()
 	clean := failure == nil || failure.Verdict() == verdict.NotRun
 	if ret, due := d.deps.Holder.EndUse(spot.runner.ID, req.Model, clean, now); due {
-		d.giveBack(ctx, spot.runner.ID, ret)
+		d.returnPin(ctx, spot.runner.ID, ret)
 	}
-	d.deps.Breakers.Leave(spot.runner.ID, healthy(failure), now)
+	d.deps.Breakers.Record(spot.runner.ID, healthy(failure), now)
 	if failure == nil {
 		return
 	}
 	trace.Note(spot.runner.ID+": "+failure.Error(), now)
 	if failure.Code == engine.CodeNotLoaded {
-		d.missing(ctx, spot.runner, req.Model)
+		d.reportMissing(ctx, spot.runner, req.Model)
 	}
 }
 
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -15,28 +15,28 @@
 	maxQueue int
 	maxWait  time.Duration
 
-	mu      sync.Mutex
-	limit   int
-	inUse   int
-	queue   fairQueue
-	service time.Duration
+	mu              sync.Mutex
+	limit           int
+	inUse           int
+	queue           fairQueue
+	meanServiceTime time.Duration
 }
 
-// FullError refuses a request that could not be served in time.
-type FullError struct {
+// OverloadError refuses a request that could not be served in time.
+type OverloadError struct {
 	RetryAfter time.Duration
 	Waiting    int
 }
 
 // Error implements error.
-func (e *FullError) Error() string {
+func (e *OverloadError) Error() string {
 	return fmt.Sprintf("no place in time: %d requests wait; try again in %s", e.Waiting, e.RetryAfter.Round(time.Second))
 }
 
 // NewGate makes a gate with a limit; service is the usual time of a request
 // until one has been measured.
-func NewGate(limit, maxQueue int, maxWait, service time.Duration) *Gate {
-	return &Gate{limit: limit, maxQueue: maxQueue, maxWait: maxWait, service: service, queue: newFairQueue()}
+func NewGate(limit, maxQueue int, maxWait, defaultServiceTime time.Duration) *Gate {
+	return &Gate{limit: limit, maxQueue: maxQueue, maxWait: maxWait, meanServiceTime: defaultServiceTime, queue: newFairQueue()}
 }
 
 // SetLimit changes the number of requests admitted at a time.
@@ -44,20 +44,20 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = max(1, limit)
-	g.admit()
+	g.admitLocked()
 }
 
-// Entrant is a request at the gate.
-type Entrant struct {
+// AdmissionRequest is a request at the gate.
+type AdmissionRequest struct {
 	Caller   string
 	Weight   int
 	Priority int
 }
 
-// Enter waits for a place. It refuses at once, with the time after which to
+// Acquire waits for a place. It refuses at once, with the time after which to
 // come again, a request that would wait too long.
-func (g *Gate) Enter(ctx context.Context, entrant Entrant) error {
-	waiter, err := g.join(entrant)
+func (g *Gate) Acquire(ctx context.Context, entrant AdmissionRequest) error {
+	waiter, err := g.admitOrEnqueue(entrant)
 	if err != nil || waiter == nil {
 		return err
 	}
@@ -69,61 +69,61 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
-		err = &FullError{RetryAfter: g.expected(entrant.Priority), Waiting: g.Waiting()}
+		err = &OverloadError{RetryAfter: g.expectedWait(entrant.Priority), Waiting: g.Waiting()}
 	}
-	if g.giveUp(waiter) {
+	if g.abandon(waiter) {
 		return err
 	}
 	// The place was given at the same moment.
 	return nil
 }
 
-func (g *Gate) join(entrant Entrant) (*waiter, error) {
+func (g *Gate) admitOrEnqueue(request AdmissionRequest) (*waiter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inUse < g.limit && g.queue.len() == 0 {
 		g.inUse++
 		return nil, nil
 	}
-	expected := g.expectedLocked(entrant.Priority)
+	expected := g.expectedWaitLocked(request.Priority)
 	if g.queue.len() >= g.maxQueue || expected > g.maxWait {
-		return nil, &FullError{RetryAfter: max(time.Second, expected), Waiting: g.queue.len()}
+		return nil, &OverloadError{RetryAfter: max(time.Second, expected), Waiting: g.queue.len()}
 	}
-	return g.queue.push(entrant), nil
+	return g.queue.push(request), nil
 }
 
-// expectedLocked estimates a wait from the requests of the same or a higher
+// expectedWaitLocked estimates a wait from the requests of the same or a higher
 // priority that are ahead.
-func (g *Gate) expectedLocked(priority int) time.Duration {
-	ahead := g.queue.ahead(priority) + 1
-	return g.service * time.Duration(ahead) / time.Duration(max(1, g.limit))
+func (g *Gate) expectedWaitLocked(priority int) time.Duration {
+	ahead := g.queue.countAhead(priority) + 1
+	return g.meanServiceTime * time.Duration(ahead) / time.Duration(max(1, g.limit))
 }
 
-func (g *Gate) expected(priority int) time.Duration {
+func (g *Gate) expectedWait(priority int) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return max(time.Second, g.expectedLocked(priority))
+	return max(time.Second, g.expectedWaitLocked(priority))
 }
 
-func (g *Gate) giveUp(w *waiter) bool {
+func (g *Gate) abandon(w *waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.remove(w)
 }
 
-// serviceWeight smooths the mean time of a request.
-const serviceWeight = 32
+// meanSmoothing smooths the mean time of a request.
+const meanSmoothing = 32
 
-// Leave gives a place back; took is how long it was held.
-func (g *Gate) Leave(took time.Duration) {
+// Release gives a place back; took is how long it was held.
+func (g *Gate) Release(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inUse--
-	g.service += (took - g.service) / serviceWeight
-	g.admit()
+	g.meanServiceTime += (took - g.meanServiceTime) / meanSmoothing
+	g.admitLocked()
 }
 
-func (g *Gate) admit() {
+func (g *Gate) admitLocked() {
 	for g.inUse < g.limit && g.queue.len() > 0 {
 		g.inUse++
 		close(g.queue.pop().admitted)
@@ -144,36 +144,36 @@
 	return g.queue.len()
 }
 
-// Service gives the mean time of a request.
-func (g *Gate) Service() time.Duration {
+// MeanServiceTime gives the mean time of a request.
+func (g *Gate) MeanServiceTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.service
+	return g.meanServiceTime
 }
 
 // fairQueue orders waiters by priority and, within one, by start-time fair
 // queueing: each caller's requests are tagged as if callers were served in
 // turn, in proportion to their weights.
 type fairQueue struct {
-	virtual float64
-	finish  map[string]float64
-	waiting []*waiter
+	virtualTime float64
+	finishTags  map[string]float64
+	waiting     []*waiter
 }
 
 type waiter struct {
-	entrant  Entrant
-	start    float64
+	entrant  AdmissionRequest
+	startTag float64
 	admitted chan struct{}
 }
 
-func newFairQueue() fairQueue { return fairQueue{finish: map[string]float64{}} }
+func newFairQueue() fairQueue { return fairQueue{finishTags: map[string]float64{}} }
 
 func (q *fairQueue) len() int { return len(q.waiting) }
 
-func (q *fairQueue) push(entrant Entrant) *waiter {
-	start := max(q.virtual, q.finish[entrant.Caller])
-	q.finish[entrant.Caller] = start + 1/float64(max(1, entrant.Weight))
-	w := &waiter{entrant: entrant, start: start, admitted: make(chan struct{})}
+func (q *fairQueue) push(entrant AdmissionRequest) *waiter {
+	start := max(q.virtualTime, q.finishTags[entrant.Caller])
+	q.finishTags[entrant.Caller] = start + 1/float64(max(1, entrant.Weight))
+	w := &waiter{entrant: entrant, startTag: start, admitted: make(chan struct{})}
 	at, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiters)
 	for at < len(q.waiting) && compareWaiters(q.waiting[at], w) == 0 {
 		at++
@@ -186,9 +186,9 @@
 	switch {
 	case a.entrant.Priority != b.entrant.Priority:
 		return b.entrant.Priority - a.entrant.Priority
-	case a.start < b.start:
+	case a.startTag < b.startTag:
 		return -1
-	case a.start > b.start:
+	case a.startTag > b.startTag:
 		return 1
 	default:
 		return 0
@@ -198,11 +198,11 @@
 func (q *fairQueue) pop() *waiter {
 	first := q.waiting[0]
 	q.waiting = q.waiting[1:]
-	q.virtual = max(q.virtual, first.start)
+	q.virtualTime = max(q.virtualTime, first.startTag)
 	if len(q.waiting) == 0 {
 		// Nobody waits: past use is forgotten, and the table stays small.
-		clear(q.finish)
-		q.virtual = 0
+		clear(q.finishTags)
+		q.virtualTime = 0
 	}
 	return first
 }
@@ -216,8 +216,8 @@
 	return true
 }
 
-// ahead counts the waiters that a newcomer of a priority could not overtake.
-func (q *fairQueue) ahead(priority int) int {
+// countAhead counts the waiters that a newcomer of a priority could not overtake.
+func (q *fairQueue) countAhead(priority int) int {
 	count := 0
 	for _, w := range q.waiting {
 		if w.entrant.Priority >= priority {
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -16,12 +16,12 @@
 	budget := NewRetryBudget(0.2)
 	retries := 0
 	for range 1000 {
-		budget.First()
-		if budget.Retry() {
+		budget.AddRequest()
+		if budget.TryRetry() {
 			retries++
 		}
 	}
-	must.LessEq(t, 1000/5+budgetReserve, retries)
+	must.LessEq(t, 1000/5+initialRetryTokens, retries)
 	must.GreaterEq(t, 1000/5, retries)
 }
 
@@ -30,22 +30,22 @@
 	// goes to it and all others stay away until that one has ended.
 	now := time.Unix(0, 0)
 	b := NewBreakers()
-	for range breakerFailures {
-		must.True(t, b.Enter("r", now))
-		b.Leave("r", false, now)
+	for range failuresToOpen {
+		must.True(t, b.Allow("r", now))
+		b.Record("r", false, now)
 	}
-	must.False(t, b.Enter("r", now))
-	now = now.Add(breakerFirst)
-	must.True(t, b.Enter("r", now))
-	must.False(t, b.Enter("r", now))
-	must.True(t, b.Avoid("r", now))
-	b.Leave("r", false, now)
-	must.False(t, b.Enter("r", now.Add(breakerFirst)))
-	now = now.Add(2 * breakerFirst)
-	must.True(t, b.Enter("r", now))
-	b.Leave("r", true, now)
-	must.True(t, b.Enter("r", now))
-	must.True(t, b.Enter("r", now))
+	must.False(t, b.Allow("r", now))
+	now = now.Add(minOpenTime)
+	must.True(t, b.Allow("r", now))
+	must.False(t, b.Allow("r", now))
+	must.True(t, b.IsOpen("r", now))
+	b.Record("r", false, now)
+	must.False(t, b.Allow("r", now.Add(minOpenTime)))
+	now = now.Add(2 * minOpenTime)
+	must.True(t, b.Allow("r", now))
+	b.Record("r", true, now)
+	must.True(t, b.Allow("r", now))
+	must.True(t, b.Allow("r", now))
 }
 
 func TestBurstOfOneCallerDoesNotStarveAnother(t *testing.T) {
@@ -53,10 +53,10 @@
 	// gets the next place but one, and from then on every second.
 	q := newFairQueue()
 	for range 100 {
-		q.push(Entrant{Caller: "digests"})
+		q.push(AdmissionRequest{Caller: "digests"})
 	}
 	for range 3 {
-		q.push(Entrant{Caller: "gauge"})
+		q.push(AdmissionRequest{Caller: "gauge"})
 	}
 	var order []string
 	for range 6 {
@@ -68,8 +68,8 @@
 
 func TestPriorityGoesFirst(t *testing.T) {
 	q := newFairQueue()
-	q.push(Entrant{Caller: "a", Priority: 0})
-	q.push(Entrant{Caller: "b", Priority: 5})
+	q.push(AdmissionRequest{Caller: "a", Priority: 0})
+	q.push(AdmissionRequest{Caller: "b", Priority: 5})
 	must.Eq(t, "b", q.pop().entrant.Caller)
 }
 
@@ -79,13 +79,13 @@
 	// that waits and is not admitted in time is refused at that time.
 	synctest.Test(t, func(t *testing.T) {
 		gate := NewGate(1, 10, 3*time.Second, 2*time.Second)
-		must.NoError(t, gate.Enter(context.Background(), Entrant{Caller: "a"}))
+		must.NoError(t, gate.Acquire(context.Background(), AdmissionRequest{Caller: "a"}))
 		waited := make(chan error, 1)
-		go func() { waited <- gate.Enter(context.Background(), Entrant{Caller: "a"}) }()
+		go func() { waited <- gate.Acquire(context.Background(), AdmissionRequest{Caller: "a"}) }()
 		synctest.Wait()
 		began := time.Now()
-		err := gate.Enter(context.Background(), Entrant{Caller: "a"})
-		var full *FullError
+		err := gate.Acquire(context.Background(), AdmissionRequest{Caller: "a"})
+		var full *OverloadError
 		must.True(t, errors.As(err, &full))
 		must.Eq(t, 0, time.Since(began))
 		must.Eq(t, 4*time.Second, full.RetryAfter)
@@ -99,9 +99,9 @@
 		gate := NewGate(2, 10, time.Minute, time.Second)
 		for i := range 8 {
 			go func() {
-				must.NoError(t, gate.Enter(context.Background(), Entrant{Caller: "a"}))
+				must.NoError(t, gate.Acquire(context.Background(), AdmissionRequest{Caller: "a"}))
 				time.Sleep(time.Duration(i+1) * time.Second)
-				gate.Leave(time.Second)
+				gate.Release(time.Second)
 			}()
 		}
 		time.Sleep(time.Minute)
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -11,8 +11,8 @@
 
 // Bounds of the histograms, in microseconds.
 const (
-	histogramLeast  = 1
-	histogramMost   = int64(10 * time.Minute / time.Microsecond)
+	histogramMin    = 1
+	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 2
 )
 
@@ -32,9 +32,9 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.hist == nil {
-		h.hist = hdrhistogram.New(histogramLeast, histogramMost, histogramDigits)
+		h.hist = hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 	}
-	_ = h.hist.RecordValue(max(histogramLeast, min(histogramMost, d.Microseconds())))
+	_ = h.hist.RecordValue(max(histogramMin, min(histogramMax, d.Microseconds())))
 }
 
 // Quantiles are a histogram's figures, in milliseconds.
@@ -60,8 +60,8 @@
 	}
 }
 
-// Ended counts a request by its verdict.
-func (m *Metrics) Ended(refusal *Refusal) {
+// CountRequest counts a request by its verdict.
+func (m *Metrics) CountRequest(refusal *Refusal) {
 	switch verdictOf(refusal) {
 	case verdict.Ran:
 		m.ran.Add(1)
@@ -72,20 +72,20 @@
 	}
 }
 
-// Retried counts a second try.
-func (m *Metrics) Retried() { m.retries.Add(1) }
+// CountRetry counts a second try.
+func (m *Metrics) CountRetry() { m.retries.Add(1) }
 
-// Queued records a wait for a place.
-func (m *Metrics) Queued(d time.Duration) { m.queue.record(d) }
+// ObserveQueueTime records a wait for a place.
+func (m *Metrics) ObserveQueueTime(d time.Duration) { m.queue.record(d) }
 
-// Stalled records a wait for a load.
-func (m *Metrics) Stalled(d time.Duration) {
+// ObserveLoadStall records a wait for a load.
+func (m *Metrics) ObserveLoadStall(d time.Duration) {
 	m.stalls.Add(1)
 	m.stall.record(d)
 }
 
-// FirstPiece records the time from sending to the first piece.
-func (m *Metrics) FirstPiece(d time.Duration) { m.first.record(d) }
+// ObserveFirstPiece records the time from sending to the first piece.
+func (m *Metrics) ObserveFirstPiece(d time.Duration) { m.first.record(d) }
 
 // MetricsSnapshot are the metrics as they are shown.
 type MetricsSnapshot struct {
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -15,10 +15,10 @@
 const (
 	methodPlace  = "route.place"
 	placeTimeout = 500 * time.Millisecond
-	// placeMemory is how long a home answers alike for one model: by then the
+	// placementTTL is how long a home answers alike for one model: by then the
 	// load shows in the owners' heartbeats.
-	placeMemory = 3 * time.Second
-	placeLimit  = 4096
+	placementTTL  = 3 * time.Second
+	maxPlacements = 4096
 )
 
 // HomeHost gives the member that keeps a model's demand and chooses where it is
@@ -31,12 +31,12 @@
 
 // Placer chooses where models are loaded: at their home for all hosts.
 type Placer struct {
-	self    string
-	table   *routing.Table
-	members *fleet.Members
-	peers   Peers
-	weights routing.Weights
-	usual   time.Duration
+	self            string
+	table           *routing.Table
+	members         *fleet.Members
+	peers           Peers
+	weights         routing.Weights
+	defaultLoadTime time.Duration
 
 	mu     sync.Mutex
 	recent map[string]placement
@@ -49,8 +49,8 @@
 
 // NewPlacer makes a placer; usual is the time of a load where no member that
 // orders loads tells a better one.
-func NewPlacer(self string, table *routing.Table, members *fleet.Members, peers Peers, weights routing.Weights, usual time.Duration) *Placer {
-	return &Placer{self: self, table: table, members: members, peers: peers, weights: weights, usual: usual, recent: map[string]placement{}}
+func NewPlacer(self string, table *routing.Table, members *fleet.Members, peers Peers, weights routing.Weights, defaultLoadTime time.Duration) *Placer {
+	return &Placer{self: self, table: table, members: members, peers: peers, weights: weights, defaultLoadTime: defaultLoadTime, recent: map[string]placement{}}
 }
 
 type placeParams struct {
@@ -68,7 +68,7 @@
 func (p *Placer) Register(mux *peer.Mux) {
 	peer.Handle(mux, methodPlace, func(_ context.Context, _ peer.Identity, params placeParams) (placeResult, error) {
 		times := routing.Times{Load: time.Duration(params.LoadMS) * time.Millisecond}
-		return placeResult{Runner: p.placeHere(params, times, time.Now())}, nil
+		return placeResult{Runner: p.placeLocal(params, times, time.Now())}, nil
 	})
 }
 
@@ -78,15 +78,15 @@
 	home := HomeHost(model, p.members.Candidates("", time.Now()))
 	runner := ""
 	if home != "" && home != p.self {
-		runner = p.placeThere(ctx, home, params)
+		runner = p.placeRemote(ctx, home, params)
 	}
 	if runner == "" {
-		runner = p.placeHere(params, times, time.Now())
+		runner = p.placeLocal(params, times, time.Now())
 	}
 	return p.table.Get(runner)
 }
 
-func (p *Placer) placeThere(ctx context.Context, home string, params placeParams) string {
+func (p *Placer) placeRemote(ctx context.Context, home string, params placeParams) string {
 	member, ok := p.members.Get(home)
 	if !ok {
 		return ""
@@ -100,15 +100,15 @@
 	return result.Runner
 }
 
-func (p *Placer) placeHere(params placeParams, times routing.Times, now time.Time) string {
+func (p *Placer) placeLocal(params placeParams, times routing.Times, now time.Time) string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	last, ok := p.recent[params.Model]
-	if ok && now.Sub(last.at) < placeMemory && !params.Avoid[last.runner] {
+	if ok && now.Sub(last.at) < placementTTL && !params.Avoid[last.runner] {
 		return last.runner
 	}
 	avoid := func(id string) bool { return params.Avoid[id] }
-	runners := slices.DeleteFunc(p.withPlacements(p.table.All(params.Base), now), func(r routing.Runner) bool {
+	runners := slices.DeleteFunc(p.addRecentPlacements(p.table.All(params.Base), now), func(r routing.Runner) bool {
 		return !p.members.Alive(r.Owner, now)
 	})
 	runner, ok := routing.Place(params.Model, runners, p.weights, times, avoid)
@@ -119,12 +119,12 @@
 	return runner.ID
 }
 
-// withPlacements counts the loads placed lately that do not show in the
+// addRecentPlacements counts the loads placed lately that do not show in the
 // owners' words yet, so that a burst of cold models spreads.
-func (p *Placer) withPlacements(runners []routing.Runner, now time.Time) []routing.Runner {
+func (p *Placer) addRecentPlacements(runners []routing.Runner, now time.Time) []routing.Runner {
 	placed := map[string]int{}
 	for _, recent := range p.recent {
-		if now.Sub(recent.at) < placeMemory/6 {
+		if now.Sub(recent.at) < placementTTL/6 {
 			placed[recent.runner]++
 		}
 	}
@@ -137,11 +137,11 @@
 }
 
 func (p *Placer) remember(model, runner string, now time.Time) {
-	if len(p.recent) >= placeLimit {
+	if len(p.recent) >= maxPlacements {
 		clear(p.recent)
 	}
 	for old, recent := range p.recent {
-		if now.Sub(recent.at) >= placeMemory {
+		if now.Sub(recent.at) >= placementTTL {
 			delete(p.recent, old)
 		}
 	}
@@ -150,7 +150,7 @@
 
 // PlacePrefetch chooses the runner for a load that nobody waits for.
 func (d *Dispatcher) PlacePrefetch(ctx context.Context, model, base string) (routing.Runner, bool) {
-	return d.deps.Placer.Place(ctx, model, base, nil, d.times(time.Now()))
+	return d.deps.Placer.Place(ctx, model, base, nil, d.expectedTimes(time.Now()))
 }
 
 // ExpectedLoadTime gives the time until a load asked for now would be done, as the
@@ -160,5 +160,5 @@
 	if member, ok := p.members.Get(host); ok && member.LoadWaitMS > 0 {
 		return time.Duration(member.LoadWaitMS) * time.Millisecond
 	}
-	return p.usual
+	return p.defaultLoadTime
 }
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -44,19 +44,19 @@
 // Error implements error.
 func (r *Refusal) Error() string { return r.Code + ": " + r.Message + " (" + r.Verdict.String() + ")" }
 
-func notRun(code, message string, retryAfter time.Duration) *Refusal {
+func notRunRefusal(code, message string, retryAfter time.Duration) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Code: code, Message: message, Verdict: verdict.NotRun, RetryAfter: retryAfter}
 }
 
 func gateRefusal(err error) *Refusal {
-	var full *FullError
+	var full *OverloadError
 	if errors.As(err, &full) {
 		return &Refusal{
 			Status: http.StatusTooManyRequests, Code: CodeOverloaded, Message: full.Error(),
 			Verdict: verdict.NotRun, RetryAfter: full.RetryAfter,
 		}
 	}
-	return notRun(CodeCallerGone, "the caller went away", 0)
+	return notRunRefusal(CodeCallerGone, "the caller went away", 0)
 }
 
 func claimRefusal(err error) *Refusal {
@@ -65,9 +65,9 @@
 		return &Refusal{Status: http.StatusConflict, Code: CodeDuplicate, Message: duplicate.Error(), Verdict: duplicate.Earlier}
 	}
 	if errors.Is(err, context.Canceled) {
-		return notRun(CodeCallerGone, "the caller went away", 0)
+		return notRunRefusal(CodeCallerGone, "the caller went away", 0)
 	}
-	return notRun(CodeClaim, err.Error(), retryLater)
+	return notRunRefusal(CodeClaim, err.Error(), retryLater)
 }
 
 // failureRefusal turns the last attempt's failure into the caller's answer.
@@ -96,5 +96,5 @@
 	return prefix + "-" + strconv.FormatInt(s.last.Add(1), 10)
 }
 
-// turn gives a number that moves on, for taking targets in turn.
-func (s *sequence) turn() int { return int(s.last.Add(1) & 0xffff) }
+// roundRobin gives a number that moves on, for taking targets in roundRobin.
+func (s *sequence) roundRobin() int { return int(s.last.Add(1) & 0xffff) }
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -14,61 +14,61 @@
 const (
 	// maxLoadFailures is the number of runners on which a load is tried.
 	maxLoadFailures = 3
-	viewPause       = 50 * time.Millisecond
-	tellTimeout     = time.Second
-	// residentWait bounds the wait for a pin on a model that should be resident.
-	residentWait = 2 * time.Second
+	staleViewDelay  = 50 * time.Millisecond
+	notifyTimeout   = time.Second
+	// maxResidentWait bounds the wait for a pin on a model that should be resident.
+	maxResidentWait = 2 * time.Second
 )
 
-// spot is a runner on which this request holds a use of a pin.
-type spot struct {
+// reservation is a runner on which this request holds a use of a pin.
+type reservation struct {
 	runner routing.Runner
 }
 
 // reserve finds a runner that has the model, or has one load it, and takes a
 // use of a pin there.
-func (d *Dispatcher) reserve(ctx context.Context, req Request, state *tries, trace *Trace) (spot, *Refusal) {
+func (d *Dispatcher) reserve(ctx context.Context, req Request, state *attemptState, trace *Trace) (reservation, *Refusal) {
 	began := time.Now()
 	deadline := began.Add(d.cfg.MaxWait)
-	stalled := false
+	waitedForLoad := false
 	for {
 		now := time.Now()
 		if ctx.Err() != nil {
-			return spot{}, notRun(CodeCallerGone, "the caller went away", 0)
+			return reservation{}, notRunRefusal(CodeCallerGone, "the caller went away", 0)
 		}
 		if !now.Before(deadline) {
-			return spot{}, notRun(CodeNoRunner, "no runner could take the request in time", retrySoon)
+			return reservation{}, notRunRefusal(CodeNoRunner, "no runner could take the request in time", retrySoon)
 		}
 		decision := d.decide(ctx, req, state, now)
-		found, refusal := d.follow(ctx, req, decision, state, deadline, trace)
+		found, refusal := d.execute(ctx, req, decision, state, deadline, trace)
 		if refusal != nil {
-			return spot{}, refusal
+			return reservation{}, refusal
 		}
-		stalled = stalled || decision.Action != routing.ActionSend
+		waitedForLoad = waitedForLoad || decision.Action != routing.ActionSend
 		if found {
-			if stalled {
-				d.deps.Metrics.Stalled(time.Since(began))
+			if waitedForLoad {
+				d.deps.Metrics.ObserveLoadStall(time.Since(began))
 				trace.Note("waited for a load on "+decision.Runner.ID, time.Now())
 			}
-			return spot{runner: decision.Runner}, nil
+			return reservation{runner: decision.Runner}, nil
 		}
 	}
 }
 
 // decide chooses among what this host knows; for a model that is nowhere, the
 // model's home chooses, so that hosts do not load it in several places.
-func (d *Dispatcher) decide(ctx context.Context, req Request, state *tries, now time.Time) routing.Decision {
-	times := d.times(now)
+func (d *Dispatcher) decide(ctx context.Context, req Request, state *attemptState, now time.Time) routing.Decision {
+	times := d.expectedTimes(now)
 	located := d.reachable(req.Model, now)
-	avoid := func(id string) bool { return state.avoided[id] || d.deps.Breakers.Avoid(id, now) }
+	avoid := func(id string) bool { return state.avoidTargets[id] || d.deps.Breakers.IsOpen(id, now) }
 	decision := routing.Choose(located, d.cfg.Weights, times, avoid)
 	if decision.NeedsReplica {
-		d.spread(ctx, req, decision.Runner.ID)
+		d.requestReplica(ctx, req, decision.Runner.ID)
 	}
 	if decision.Action != routing.ActionNone {
 		return decision
 	}
-	runner, ok := d.deps.Placer.Place(ctx, req.Model, req.Base, state.avoided, times)
+	runner, ok := d.deps.Placer.Place(ctx, req.Model, req.Base, state.avoidTargets, times)
 	if !ok {
 		return decision
 	}
@@ -85,76 +85,76 @@
 	})
 }
 
-// times gives the measured times that expected waits are made from.
-func (d *Dispatcher) times(now time.Time) routing.Times {
-	return routing.Times{Service: d.deps.Gate.Service(), Load: d.deps.Placer.ExpectedLoadTime(now)}
+// expectedTimes gives the measured expectedTimes that expected waits are made from.
+func (d *Dispatcher) expectedTimes(now time.Time) routing.Times {
+	return routing.Times{Service: d.deps.Gate.MeanServiceTime(), Load: d.deps.Placer.ExpectedLoadTime(now)}
 }
 
-// follow carries a decision out. It reports true once a use is taken; false
+// execute carries a decision out. It reports true once a use is taken; false
 // means that knowledge was stale and another decision is due.
-func (d *Dispatcher) follow(ctx context.Context, req Request, decision routing.Decision, state *tries, deadline time.Time, trace *Trace) (bool, *Refusal) {
+func (d *Dispatcher) execute(ctx context.Context, req Request, decision routing.Decision, state *attemptState, deadline time.Time, trace *Trace) (bool, *Refusal) {
 	runner := decision.Runner
-	orphaned := decision.Action == routing.ActionNone || runner.Owner == d.cfg.Self.Host
-	if orphaned && d.stopped.Err() != nil {
-		return false, notRun(CodeStopping, "this host is stopping and no other gives the runner orders", 0)
+	needsOwnOrders := decision.Action == routing.ActionNone || runner.Owner == d.cfg.Self.Host
+	if needsOwnOrders && d.handoverCtx.Err() != nil {
+		return false, notRunRefusal(CodeStopping, "this host is stopping and no other gives the runner orders", 0)
 	}
 	if decision.Action == routing.ActionNone {
 		// Every runner has been tried or none is known: all may be tried again.
-		clear(state.avoided)
-		timing.Sleep(ctx, viewPause)
+		clear(state.avoidTargets)
+		timing.Sleep(ctx, staleViewDelay)
 		return false, nil
 	}
-	if d.use(ctx, runner.ID, req.Model) {
+	if d.tryUse(ctx, runner.ID, req.Model) {
 		return true, nil
 	}
 	wait := time.Until(deadline)
 	if decision.Action == routing.ActionSend {
-		wait = min(wait, residentWait)
+		wait = min(wait, maxResidentWait)
 	} else if decision.Wait > wait {
-		return false, notRun(CodeLoadQueue, "the adapter could not be loaded in time", decision.Wait)
+		return false, notRunRefusal(CodeLoadQueue, "the adapter could not be loaded in time", decision.Wait)
 	}
 	result, err := d.acquire(ctx, req, runner, wait)
 	if err != nil {
 		trace.Note("owner "+runner.Owner+" of "+runner.ID+" does not answer: "+err.Error(), time.Now())
-		timing.Sleep(ctx, viewPause)
+		timing.Sleep(ctx, staleViewDelay)
 		return false, nil
 	}
-	if result.Pin != nil && d.deps.Holder.AcceptGrant(*result.Pin, time.Now()) && d.use(ctx, runner.ID, req.Model) {
+	if result.Pin != nil && d.deps.Holder.AcceptGrant(*result.Pin, time.Now()) && d.tryUse(ctx, runner.ID, req.Model) {
 		return true, nil
 	}
-	return false, d.refused(ctx, runner.ID, result.Refusal, state)
+	return false, d.handleRefusal(ctx, runner.ID, result.Refusal, state)
 }
 
-// use takes a use of a pin and the breaker's leave to try the runner.
-func (d *Dispatcher) use(ctx context.Context, runner, model string) bool {
+// tryUse takes a tryUse of a pin and the breaker's leave to try the runner.
+func (d *Dispatcher) tryUse(ctx context.Context, runner, model string) bool {
 	now := time.Now()
 	if !d.deps.Holder.BeginUse(runner, model) {
 		return false
 	}
-	if d.deps.Breakers.Enter(runner, now) {
+	if d.deps.Breakers.Allow(runner, now) {
 		return true
 	}
 	if ret, due := d.deps.Holder.EndUse(runner, model, true, now); due {
-		d.giveBack(ctx, runner, ret)
+		d.returnPin(ctx, runner, ret)
 	}
 	return false
 }
 
-// refused takes an owner's refusal in: it is tried elsewhere, or given up.
-func (d *Dispatcher) refused(ctx context.Context, runner string, refusal control.Refusal, state *tries) *Refusal {
+// handleRefusal takes an owner's refusal in: it is tried elsewhere, or given up.
+func (d *Dispatcher) handleRefusal(ctx context.Context, runner string, refusal control.Refusal, state *attemptState) *Refusal {
 	switch refusal {
 	case control.RefusedLoadBackoff:
-		return notRun(CodeAdapterFails, "loads of this adapter keep failing and are put off", retryLater)
+		return notRunRefusal(CodeAdapterFails, "loads of this adapter keep failing and are put off", retryLater)
 	case control.RefusedLoadFailed:
-		state.loads++
-		state.avoided[runner] = true
-		if state.loads >= maxLoadFailures {
-			return notRun(CodeAdapterFails, "the adapter could not be loaded", retryLater)
+		state.failedLoads++
+		state.avoidTargets[runner] = true
+		if state.failedLoads >= maxLoadFailures {
+			return notRunRefusal(CodeAdapterFails, "the adapter could not be loaded", retryLater)
 		}
 	case control.RefusedInDoubt:
-		state.avoided[runner] = true
+		state.avoidTargets[runner] = true
 	default:
-		timing.Sleep(ctx, viewPause)
+		timing.Sleep(ctx, staleViewDelay)
 	}
 	return nil
 }
@@ -165,10 +165,10 @@
 	if runner.Owner == d.cfg.Self.Host {
 		ctx, cancel := context.WithCancel(ctx)
 		defer cancel()
-		defer context.AfterFunc(d.stopped, cancel)()
+		defer context.AfterFunc(d.handoverCtx, cancel)()
 		return d.deps.Owner.Acquire(ctx, d.cfg.Self, params)
 	}
-	ctx, cancel := context.WithTimeout(ctx, wait+tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, wait+notifyTimeout)
 	defer cancel()
 	var result control.AcquireResult
 	stop := d.cancelWhenSilent(ctx, cancel, runner.Owner)
@@ -180,7 +180,7 @@
 // cancelWhenSilent gives a long call up when its peer is no longer heard: the
 // caller's request must not wait for an owner that has died.
 func (d *Dispatcher) cancelWhenSilent(ctx context.Context, cancel context.CancelFunc, host string) func() {
-	ticker := time.NewTicker(silenceCheck)
+	ticker := time.NewTicker(silenceCheckInterval)
 	done := make(chan struct{})
 	go func() {
 		defer ticker.Stop()
@@ -201,16 +201,16 @@
 	return func() { close(done) }
 }
 
-const silenceCheck = 250 * time.Millisecond
+const silenceCheckInterval = 250 * time.Millisecond
 
 func (d *Dispatcher) addressOf(host string) string {
 	member, _ := d.deps.Members.Get(host)
 	return member.Address
 }
 
-// spread asks for another copy of a busy model; nobody waits for it.
-func (d *Dispatcher) spread(ctx context.Context, req Request, busy string) {
-	runner, ok := d.deps.Placer.Place(ctx, req.Model, req.Base, map[string]bool{busy: true}, d.times(time.Now()))
+// requestReplica asks for another copy of a busy model; nobody waits for it.
+func (d *Dispatcher) requestReplica(ctx context.Context, req Request, busy string) {
+	runner, ok := d.deps.Placer.Place(ctx, req.Model, req.Base, map[string]bool{busy: true}, d.expectedTimes(time.Now()))
 	if !ok || runner.ID == busy {
 		return
 	}
@@ -223,31 +223,31 @@
 		d.deps.Owner.Prefetch(runner.ID, model, value)
 		return
 	}
-	d.tell(ctx, runner.Owner, control.MethodPrefetch, control.PrefetchParams{Runner: runner.ID, Model: model, Value: value})
+	d.notify(ctx, runner.Owner, control.MethodPrefetch, control.PrefetchParams{Runner: runner.ID, Model: model, Value: value})
 }
 
-// giveBack returns a pin to the owner of its runner.
-func (d *Dispatcher) giveBack(ctx context.Context, runner string, ret residency.PinReturn) {
+// returnPin returns a pin to the owner of its runner.
+func (d *Dispatcher) returnPin(ctx context.Context, runner string, ret residency.PinReturn) {
 	owner, _ := d.deps.Table.Get(runner)
 	if owner.Owner == d.cfg.Self.Host {
 		d.deps.Owner.ReturnPins(d.cfg.Self.Host, []residency.PinReturn{ret})
 		return
 	}
-	d.tell(ctx, owner.Owner, control.MethodReturn, control.ReturnParams{Returns: []residency.PinReturn{ret}})
+	d.notify(ctx, owner.Owner, control.MethodReturn, control.ReturnParams{Returns: []residency.PinReturn{ret}})
 }
 
-// missing drops the pin on a model that the engine does not have, and tells
+// reportMissing drops the pin on a model that the engine does not have, and tells
 // the owner, whose last report may still say otherwise.
-func (d *Dispatcher) missing(ctx context.Context, runner routing.Runner, model string) {
+func (d *Dispatcher) reportMissing(ctx context.Context, runner routing.Runner, model string) {
 	if ret, due := d.deps.Holder.Drop(runner.ID, model); due {
-		d.giveBack(ctx, runner.ID, ret)
+		d.returnPin(ctx, runner.ID, ret)
 	}
 	params := control.MissingParams{Runner: runner.ID, Model: model}
 	if runner.Owner == d.cfg.Self.Host {
 		d.deps.Owner.ModelMissing(params)
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, tellTimeout)
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	// Waited for, so that the next decision finds the owner informed.
 	if err := d.deps.Peers.Call(ctx, d.addressOf(runner.Owner), control.MethodMissing, params, nil); err != nil {
@@ -255,10 +255,10 @@
 	}
 }
 
-// tell sends a message that nothing waits for. A lost return only keeps its
+// notify sends a message that nothing waits for. A lost return only keeps its
 // pin out until the owner recalls it.
-func (d *Dispatcher) tell(ctx context.Context, host, method string, params any) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), tellTimeout)
+func (d *Dispatcher) notify(ctx context.Context, host, method string, params any) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), notifyTimeout)
 	go func() {
 		defer cancel()
 		if err := d.deps.Peers.Call(ctx, d.addressOf(host), method, params, nil); err != nil {
@@ -270,6 +270,6 @@
 // ReturnIdlePins returns the pins that have not been used since a time.
 func (d *Dispatcher) ReturnIdlePins(ctx context.Context, since time.Time) {
 	for _, ret := range d.deps.Holder.ReturnIdle(since) {
-		d.giveBack(ctx, ret.Pin.Runner, ret)
+		d.returnPin(ctx, ret.Pin.Runner, ret)
 	}
 }
--- a/internal/dispatch/services.go
+++ b/internal/dispatch/services.go
@@ -18,8 +18,8 @@
 		}
 	}
 	for offset := range hosts {
-		host := hosts[(d.ids.turn()+offset)%len(hosts)]
-		if d.deps.Breakers.Enter(host.ID, now) {
+		host := hosts[(d.ids.roundRobin()+offset)%len(hosts)]
+		if d.deps.Breakers.Allow(host.ID, now) {
 			return host, true
 		}
 	}
@@ -29,21 +29,21 @@
 // Service serves a request to a plain service.
 func (d *Dispatcher) Service(ctx context.Context, req Request, call plain.Call) (answer plain.Answer, refusal *Refusal) {
 	trace := d.deps.Traces.Begin(req.ID, req.Caller, "service/"+req.Service, time.Now())
-	refusal = d.guarded(ctx, req, trace, func(ctx context.Context) *Refusal {
+	refusal = d.admitAndClaim(ctx, req, trace, func(ctx context.Context) *Refusal {
 		var failed *Refusal
-		answer, failed = d.serviceAttempts(ctx, req, call, trace)
+		answer, failed = d.runServiceAttempts(ctx, req, call, trace)
 		return failed
 	})
 	trace.End(refusal, time.Now())
-	d.deps.Metrics.Ended(refusal)
+	d.deps.Metrics.CountRequest(refusal)
 	return answer, refusal
 }
 
-func (d *Dispatcher) serviceAttempts(ctx context.Context, req Request, call plain.Call, trace *Trace) (plain.Answer, *Refusal) {
-	d.deps.Budget.First()
-	state := &tries{avoided: map[string]bool{}}
+func (d *Dispatcher) runServiceAttempts(ctx context.Context, req Request, call plain.Call, trace *Trace) (plain.Answer, *Refusal) {
+	d.deps.Budget.AddRequest()
+	state := &attemptState{avoidTargets: map[string]bool{}}
 	for range maxAttempts {
-		host, ok := d.serviceHost(req.Service, state.avoided)
+		host, ok := d.serviceHost(req.Service, state.avoidTargets)
 		if !ok {
 			break
 		}
@@ -51,16 +51,16 @@
 		call.Address = host.Address
 		call.Idempotent = req.Idempotent
 		answer, failure := d.deps.Services.Do(ctx, call)
-		d.deps.Breakers.Leave(host.ID, healthy(failure), time.Now())
+		d.deps.Breakers.Record(host.ID, healthy(failure), time.Now())
 		if failure == nil {
 			return answer, nil
 		}
 		trace.Note(host.ID+": "+failure.Error(), time.Now())
-		state.note(failure)
-		if !failure.MayRetry(req.Idempotent) || !d.deps.Budget.Retry() {
-			return answer, state.final(failureRefusal(failure))
+		state.recordFailure(failure)
+		if !failure.MayRetry(req.Idempotent) || !d.deps.Budget.TryRetry() {
+			return answer, state.finalRefusal(failureRefusal(failure))
 		}
-		state.avoided[host.ID] = true
+		state.avoidTargets[host.ID] = true
 	}
-	return plain.Answer{}, state.final(notRun(CodeNoTarget, "no host of the service can take the request", retrySoon))
+	return plain.Answer{}, state.finalRefusal(notRunRefusal(CodeNoTarget, "no host of the service can take the request", retrySoon))
 }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	traceLimit = 4096
-	noteLimit  = 32
+	maxTraces = 4096
+	maxNotes  = 32
 )
 
 // Traces keeps why the last requests went where they went, for operators'
 // question after one of them. It is safe for concurrent use.
 type Traces struct {
-	mu    sync.Mutex
-	ring  []*Trace
-	byID  map[string]*Trace
-	place int
+	mu   sync.Mutex
+	ring []*Trace
+	byID map[string]*Trace
+	next int
 }
 
 // Trace is the story of one request.
@@ -54,7 +54,7 @@
 
 // NewTraces makes an empty collection.
 func NewTraces() *Traces {
-	return &Traces{ring: make([]*Trace, traceLimit), byID: map[string]*Trace{}}
+	return &Traces{ring: make([]*Trace, maxTraces), byID: map[string]*Trace{}}
 }
 
 // Begin begins a request's story; the oldest one is dropped for it.
@@ -62,12 +62,12 @@
 	trace := &Trace{id: id, caller: caller, model: model, began: now}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if old := t.ring[t.place]; old != nil && t.byID[old.id] == old {
+	if old := t.ring[t.next]; old != nil && t.byID[old.id] == old {
 		delete(t.byID, old.id)
 	}
-	t.ring[t.place] = trace
+	t.ring[t.next] = trace
 	t.byID[id] = trace
-	t.place = (t.place + 1) % traceLimit
+	t.next = (t.next + 1) % maxTraces
 	return trace
 }
 
@@ -79,7 +79,7 @@
 	if trace == nil {
 		return TraceReport{}, false
 	}
-	return trace.story(), true
+	return trace.report(), true
 }
 
 // Note adds an event.
@@ -90,7 +90,7 @@
 }
 
 func (t *Trace) noteLocked(text string, now time.Time) {
-	if len(t.notes) < noteLimit {
+	if len(t.notes) < maxNotes {
 		t.notes = append(t.notes, Note{AfterMS: milliseconds(now.Sub(t.began)), Text: text})
 	}
 }
@@ -121,7 +121,7 @@
 	}
 }
 
-func (t *Trace) story() TraceReport {
+func (t *Trace) report() TraceReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	story := TraceReport{
