--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -49,7 +49,7 @@
 	waited   bool
 	sends    int
 	engine   *engine
-	run      *run
+	run      *engineRun
 	first    time.Time
 	lastSeen time.Time
 	gap      time.Duration
@@ -57,11 +57,11 @@
 	tried    map[string]bool
 }
 
-// generate creates the requests of a kind, one after the other.
-func (sim *simulation) generate(kind *KindConfig) {
+// generateRequests creates the requests of a kind, one after the other.
+func (sim *simulation) generateRequests(kind *KindConfig) {
 	rate := kind.PerS * sim.loadFactor(kind.Name)
 	if rate <= 0 {
-		sim.clock.after(time.Second, func() { sim.generate(kind) })
+		sim.clock.after(time.Second, func() { sim.generateRequests(kind) })
 		return
 	}
 	sim.clock.after(seconds(sim.demand.ExpFloat64()/rate), func() {
@@ -69,7 +69,7 @@
 			return
 		}
 		sim.newRequest(kind)
-		sim.generate(kind)
+		sim.generateRequests(kind)
 	})
 }
 
@@ -98,7 +98,7 @@
 	}
 	r.output = max(1, lognormal(sim.demand, kind.Events, outputSpread)*sim.cfg.Engines.Stride)
 	sim.result.countAsked(r)
-	r.begin()
+	r.startAttempt()
 }
 
 // zipf draws a popularity rank. Rank k, counted from 1, has a weight of 1 / k^s; the result
@@ -119,8 +119,8 @@
 	return max(1, int(mean*math.Exp(spread*rng.NormFloat64()-spread*spread/2)))
 }
 
-// begin starts an attempt at a random host.
-func (r *request) begin() {
+// startAttempt starts an attempt at a random host.
+func (r *request) startAttempt() {
 	sim := r.sim
 	r.host = sim.hosts[sim.choices.IntN(len(sim.hosts))]
 	r.arrived = sim.clock.now
@@ -136,7 +136,7 @@
 		r.placeByReference()
 		return
 	}
-	r.place()
+	r.startSearch()
 }
 
 // timeLeft returns the time within which it is still useful to send the request.
@@ -146,8 +146,8 @@
 	return min(r.arrived.Add(silence-sendReserve).Sub(now), r.begun.Add(seconds(r.kind.DeadlineS)).Sub(now))
 }
 
-// place ranks the runners for the request's key and starts the search.
-func (r *request) place() {
+// startSearch ranks the runners for the request's key and starts the search.
+func (r *request) startSearch() {
 	key := r.key.PlacementKey()
 	if r.key.Name == "" {
 		key = "any" + strconv.Itoa(r.sim.choices.IntN(1<<20))
@@ -158,7 +158,7 @@
 		r.runners = slices.Clone(r.runners)
 		slices.SortStableFunc(r.runners, func(a, b *site.Runner) int { return r.distance(a) - r.distance(b) })
 	}
-	r.next()
+	r.askNext()
 }
 
 // distance returns 0 for a runner in the host's data centre and 1 for any other.
@@ -169,8 +169,8 @@
 	return 1
 }
 
-// next asks the owner of the next runner in the search for admission.
-func (r *request) next() {
+// askNext asks the owner of the next runner in the search for admission.
+func (r *request) askNext() {
 	sim := r.sim
 	for {
 		step, last, more := r.search.Next(sim.choices.Float64())
@@ -234,7 +234,7 @@
 		}
 	}
 	r.search.Refused(busy, errors.Is(err, adapters.ErrHeldElsewhere), named)
-	r.next()
+	r.askNext()
 }
 
 func (r *request) admitted(runner *site.Runner, admitted adapters.AdmissionResult) {
@@ -243,7 +243,7 @@
 	if pause > r.timeLeft() {
 		r.releaseAdmission(runner, admitted)
 		r.search.Refused(false, false, nil)
-		r.next()
+		r.askNext()
 		return
 	}
 	if !r.waited && !r.step.Home && r.key.Name != "" && sim.policy == Product {
@@ -299,7 +299,7 @@
 	r.suspectSilence(runner)
 	sim.clock.after(delay, func() {
 		e := sim.byID[runner.ID]
-		sent := &run{key: r.key, unread: r.prompt, remaining: r.output}
+		sent := &engineRun{key: r.key, unread: r.prompt, remaining: r.output}
 		sent.event = func() { sim.clock.after(delay, func() { r.event(sent, runner) }) }
 		sent.ended = func(whole bool) {
 			sim.clock.after(delay, func() {
@@ -359,7 +359,7 @@
 	r.sim.result.countFailed(r)
 }
 
-func (r *request) event(sent *run, runner *site.Runner) {
+func (r *request) event(sent *engineRun, runner *site.Runner) {
 	if r.finished || r.run != sent {
 		return
 	}
@@ -373,7 +373,7 @@
 	r.lastSeen = now
 }
 
-func (r *request) end(sent *run, runner *site.Runner, whole bool) {
+func (r *request) end(sent *engineRun, runner *site.Runner, whole bool) {
 	if r.finished || r.run != sent {
 		return
 	}
@@ -392,7 +392,7 @@
 
 // notRun continues after an engine did not run the request: it tries another runner if the
 // retry budget allows.
-func (r *request) notRun(sent *run, runner *site.Runner, why refusal) {
+func (r *request) notRun(sent *engineRun, runner *site.Runner, why refusal) {
 	if r.finished || r.run != sent {
 		return
 	}
@@ -409,14 +409,14 @@
 	}
 	if why != notLoaded {
 		r.tried[runner.ID] = true
-		r.place()
+		r.startSearch()
 		return
 	}
 	if k := sim.controllers[runner.ID]; k != nil {
 		k.AdapterMissing(r.key.Adapter)
 		sim.scheduleStep(k, 0)
 	}
-	sim.clock.after(missingPause, r.place)
+	sim.clock.after(missingPause, r.startSearch)
 }
 
 // retryOrRefuse tells the caller to retry later, which it does once.
@@ -429,5 +429,5 @@
 		return
 	}
 	r.retried = true
-	sim.clock.after(retryAfter, r.begin)
+	sim.clock.after(retryAfter, r.startAttempt)
 }
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -20,8 +20,8 @@
 	// cached holds the adapters that load fast, the most recent last.
 	cached   []adapters.Key
 	sequence int64
-	running  []*run
-	waiting  []*run
+	running  []*engineRun
+	waiting  []*engineRun
 	stepping bool
 	silent   bool
 	gone     bool
@@ -31,8 +31,8 @@
 	filled int
 }
 
-// run is a request on an engine.
-type run struct {
+// engineRun is a request on an engine.
+type engineRun struct {
 	key adapters.Key
 	// unread and context count prompt tokens before and after prefill; context includes
 	// generated tokens. remaining counts the tokens still to generate.
@@ -125,7 +125,7 @@
 }
 
 func (e *engine) uses(key adapters.Key) bool {
-	for _, runs := range [][]*run{e.running, e.waiting} {
+	for _, runs := range [][]*engineRun{e.running, e.waiting} {
 		for _, r := range runs {
 			if r.key == key {
 				return true
@@ -172,7 +172,7 @@
 }
 
 // submit hands the engine a request.
-func (e *engine) submit(r *run) refusal {
+func (e *engine) submit(r *engineRun) refusal {
 	switch {
 	case e.gone:
 		return unreachable
@@ -185,18 +185,18 @@
 		return queueFull
 	}
 	e.waiting = append(e.waiting, r)
-	e.start()
+	e.startStep()
 	return accepted
 }
 
 // cancel removes a request whose caller has left.
-func (e *engine) cancel(r *run) {
+func (e *engine) cancel(r *engineRun) {
 	e.running = removeRun(e.running, r)
 	e.waiting = removeRun(e.waiting, r)
 	e.finishEvictions()
 }
 
-func removeRun(runs []*run, r *run) []*run {
+func removeRun(runs []*engineRun, r *engineRun) []*engineRun {
 	for i, other := range runs {
 		if other == r {
 			return append(runs[:i:i], runs[i+1:]...)
@@ -214,7 +214,7 @@
 	}
 }
 
-func (e *engine) start() {
+func (e *engine) startStep() {
 	if e.stepping || e.silent || e.gone {
 		return
 	}
@@ -226,15 +226,15 @@
 		return
 	}
 	e.stepping = true
-	batch := append([]*run(nil), e.running...)
+	batch := append([]*engineRun(nil), e.running...)
 	read := e.prefill(batch)
 	e.steps++
 	e.filled += len(batch)
-	e.sim.clock.after(e.stepTime(batch, read), func() { e.step(batch) })
+	e.sim.clock.after(e.stepTime(batch, read), func() { e.endStep(batch) })
 }
 
 // prefill reads prompts, in batch order, and returns the number of tokens read.
-func (e *engine) prefill(batch []*run) int {
+func (e *engine) prefill(batch []*engineRun) int {
 	budget := e.cfg.Chunk
 	for _, r := range batch {
 		part := min(budget, r.unread)
@@ -245,7 +245,7 @@
 	return e.cfg.Chunk - budget
 }
 
-func (e *engine) stepTime(batch []*run, read int) time.Duration {
+func (e *engine) stepTime(batch []*engineRun, read int) time.Duration {
 	tokens := 0
 	for _, r := range batch {
 		tokens += r.context
@@ -254,8 +254,8 @@
 	return millis(ms)
 }
 
-// step completes a step: each request whose prompt is read gains one token.
-func (e *engine) step(batch []*run) {
+// endStep completes a step: each request whose prompt is read gains one token.
+func (e *engine) endStep(batch []*engineRun) {
 	e.stepping = false
 	if e.gone || e.silent {
 		return
@@ -276,10 +276,10 @@
 		}
 	}
 	e.finishEvictions()
-	e.start()
+	e.startStep()
 }
 
-func (e *engine) runs(r *run) bool {
+func (e *engine) runs(r *engineRun) bool {
 	for _, other := range e.running {
 		if other == r {
 			return true
@@ -294,7 +294,7 @@
 	for _, f := range e.incoming {
 		e.sim.store.cancel(f)
 	}
-	lost := append(append([]*run(nil), e.running...), e.waiting...)
+	lost := append(append([]*engineRun(nil), e.running...), e.waiting...)
 	e.running, e.waiting = nil, nil
 	for _, r := range lost {
 		r.ended(false)
--- a/internal/experiment/weightstore.go
+++ b/internal/experiment/weightstore.go
@@ -22,7 +22,7 @@
 	done func()
 }
 
-// startFetch starts a startFetch.
+// startFetch starts a fetch.
 func (s *weightStore) startFetch(done func()) *fetch {
 	s.advance()
 	f := &fetch{left: s.load, done: done}
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -214,7 +214,7 @@
 	spec := adapters.Spec{Model: site.Model{Name: modelName}, Capacity: sim.cfg.Engines.Places, LoadsPerSecond: sim.cfg.Store.LoadsPerS}
 	k := &controller{centre: runner.DataCentre, Controller: adapters.NewController(runner, spec, adapters.ControllerDeps{
 		OnSignal: func(string, *board.Signal) {},
-		Holder:   "owner", Engines: engineAPI{sim}, Authority: soleOwner{}, Times: sim.timesOf(runner), StoreLoad: sim.storeLoad, RunnerView: sim.view, Utilization: sim.utilization, TypicalPrefill: unknownPrefill,
+		Holder:   "owner", Engines: engineAPI{sim}, Authority: soleOwner{}, Times: sim.ownerLoadTimes(runner), StoreLoad: sim.storeLoad, RunnerView: sim.ownerView, Utilization: sim.utilization, TypicalPrefill: unknownPrefill,
 		ModelLoads: adapters.NewModelLoadLimiter(adapters.ModelLoadLimit{}), HostCount: func() int { return sim.cfg.Hosts },
 		Now: func() time.Time { return sim.clock.now }, Log: hclog.NewNullLogger(),
 	})}
@@ -222,8 +222,8 @@
 	sim.scheduleStep(k, 0)
 }
 
-// timesOf returns what the owner of a runner has learnt about load times.
-func (sim *simulation) timesOf(runner *site.Runner) *adapters.LoadTimes {
+// ownerLoadTimes returns what the owner of a runner has learnt about load times.
+func (sim *simulation) ownerLoadTimes(runner *site.Runner) *adapters.LoadTimes {
 	var near []string
 	for _, h := range sim.hosts {
 		if h.centre == runner.DataCentre {
@@ -263,8 +263,8 @@
 	return adapters.StoreLoad{Fetches: len(sim.store.active), Capacity: share * float64(len(sim.runners)), PerRunner: share}
 }
 
-// view returns the owners' view of a runner.
-func (sim *simulation) view(runner string, now time.Time) board.View {
+// ownerView returns the owners' view of a runner.
+func (sim *simulation) ownerView(runner string, now time.Time) board.View {
 	view := sim.ownerBoard.View(runner, now)
 	view.Load = sim.load[runner]
 	return view
@@ -292,7 +292,7 @@
 func (sim *simulation) schedule() {
 	sim.clock.at(sim.started, func() {
 		for i := range sim.cfg.Kinds {
-			sim.generate(&sim.cfg.Kinds[i])
+			sim.generateRequests(&sim.cfg.Kinds[i])
 		}
 	})
 	for _, shift := range sim.cfg.Shifts {
@@ -357,7 +357,7 @@
 		e.silent = true
 		sim.clock.after(seconds(fault.ForS), func() {
 			e.silent = false
-			e.start()
+			e.startStep()
 		})
 	}
 }
@@ -366,7 +366,7 @@
 func (sim *simulation) stopHosts(fault FaultConfig) {
 	sim.hostsDown = true
 	for _, e := range sim.engines {
-		for _, r := range append(append([]*run(nil), e.running...), e.waiting...) {
+		for _, r := range append(append([]*engineRun(nil), e.running...), e.waiting...) {
 			r.ended(false)
 		}
 		e.running, e.waiting = nil, nil
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -7,7 +7,7 @@
 )
 
 // WeightStore is a stand-in for the weight store: it records when loads began, and slows
-// them down when there are more than it serves at full speed.
+// down those beyond the number that it serves at full speed.
 type WeightStore struct {
 	mu       sync.Mutex
 	parallel int
--- a/spec/era.go
+++ b/spec/era.go
@@ -344,8 +344,8 @@
 func (s *EraState) mayBreakLease(g EraSafeguards, h int) bool {
 	host, other := &s.Hosts[h], 1-h
 	silent := s.Now-host.OtherHeard >= eraSilence
-	over := host.OtherEndedEpoch >= host.Known.Epoch[other]
-	return silent && (over || s.settled(g, h)) && !host.Known.Broken[other] && host.Known.HostRevision[other] == s.Store.HostRevision[other]
+	ended := host.OtherEndedEpoch >= host.Known.Epoch[other]
+	return silent && (ended || s.settled(g, h)) && !host.Known.Broken[other] && host.Known.HostRevision[other] == s.Store.HostRevision[other]
 }
 
 func (s *EraState) breakLease(h int) {
