--- a/internal/entry/backpressure.go
+++ b/internal/entry/backpressure.go
@@ -46,7 +46,7 @@
 // LimitResult is the result of a request for permission.
 type LimitResult struct {
 	Granted bool `json:"granted,omitempty"`
-	// WaitMS is the time until to ask again, if it is not granted.
+	// WaitMS is the time after which to ask again if it is not granted.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 	// Limit is the limit as the counting host knows it.
 	Limit board.LimitReport `json:"limit"`
@@ -73,8 +73,8 @@
 
 func limitKey(instance string, _ int) string { return limitPrefix + instance }
 
-func newBackpressure(host string, state *mesh.State, pool *peer.Pool, b *board.Board, known *directory.Directory, now func() time.Time, log hclog.Logger) *backpressure {
-	return &backpressure{board: b, directory: known, pool: pool, counting: newLeasedCounter(host, state, limitKey), now: now, log: log}
+func newBackpressure(host string, state *mesh.State, pool *peer.Pool, b *board.Board, d *directory.Directory, now func() time.Time, log hclog.Logger) *backpressure {
+	return &backpressure{board: b, directory: d, pool: pool, counting: newLeasedCounter(host, state, limitKey), now: now, log: log}
 }
 
 func (p *backpressure) register(mux *peer.Mux) {
@@ -163,7 +163,7 @@
 }
 
 // takeFromLimit asks the counting host of the runner's limit for permission to send one
-// request. If it is refused, the returned duration is the time until to ask again.
+// request. If it is refused, the returned duration is the time after which to ask again.
 func (p *backpressure) takeFromLimit(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
 	params := LimitParams{Instance: runner.Instance, Limit: p.board.LimitReportFor(runner.ID, p.now())}
 	host, address := p.counting.countingHost(runner.Instance, 0)
@@ -178,7 +178,7 @@
 		result, err = p.call(ctx, address, params)
 	}
 	if err != nil {
-		p.noteUncounted(runner, host, err)
+		p.noteTakeFailure(runner, host, err)
 		return limitRetryPause, false
 	}
 	p.applyPeerLimit(result.Limit, host)
@@ -195,7 +195,7 @@
 	return result, err
 }
 
-func (p *backpressure) noteUncounted(runner *site.Runner, host string, err error) {
+func (p *backpressure) noteTakeFailure(runner *site.Runner, host string, err error) {
 	if !peer.IsRefusal(err) && host != p.counting.host {
 		p.backoff.set(host, p.now().Add(ownerBackoff))
 	}
--- a/internal/entry/owners.go
+++ b/internal/entry/owners.go
@@ -102,7 +102,8 @@
 }
 
 // locateOwner returns a runner's owner and the owner's address, which is empty for
-// this host. It fails if there is no owner or if it failed less than ownerBackoff ago.
+// this host. It fails if there is no owner, if its address is unknown, or if a call to it
+// failed less than ownerBackoff ago.
 func (o *ownerClient) locateOwner(runner *site.Runner) (host, address string, err error) {
 	host, ok := o.mesh.OwnerOf(runner.Address)
 	if !ok {
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -79,9 +79,9 @@
 	usages   quota.UsageByWorkspace
 }
 
-func newQuotaManager(host string, state *mesh.State, pool *peer.Pool, known *directory.Directory, tolerance quota.Tolerance, now func() time.Time, log hclog.Logger) *quotaManager {
+func newQuotaManager(host string, state *mesh.State, pool *peer.Pool, d *directory.Directory, tolerance quota.Tolerance, now func() time.Time, log hclog.Logger) *quotaManager {
 	return &quotaManager{
-		host: host, mesh: state, pool: pool, directory: known, tolerance: tolerance,
+		host: host, mesh: state, pool: pool, directory: d, tolerance: tolerance,
 		counting: newLeasedCounter(host, state, quota.PartKey), allowances: quota.NewAllowances(), now: now, log: log,
 	}
 }
--- a/internal/entry/status_test.go
+++ b/internal/entry/status_test.go
@@ -19,9 +19,9 @@
 	}
 }
 
-func (s *peerStatuses) receive(t *testing.T, host string, told status) {
+func (s *peerStatuses) receive(t *testing.T, host string, sent status) {
 	t.Helper()
-	raw, err := json.Marshal(told)
+	raw, err := json.Marshal(sent)
 	must.NoError(t, err)
 	s.ReceiveStatus(host, raw)
 }
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -28,19 +28,19 @@
 type testDialect struct{}
 
 func (testDialect) ParseRequest(header http.Header) (forward.RequestMetadata, error) {
-	ask := forward.RequestMetadata{ID: header.Get("Id")}
-	if ask.ID == "" {
-		return ask, errors.New("no ID")
+	metadata := forward.RequestMetadata{ID: header.Get("Id")}
+	if metadata.ID == "" {
+		return metadata, errors.New("no ID")
 	}
-	ask.KeyDigest, ask.HasKey = credential.BearerDigest(header["Authorization"])
+	metadata.KeyDigest, metadata.HasKey = credential.BearerDigest(header["Authorization"])
 	if text := header.Get("Patience"); text != "" {
-		patience, err := time.ParseDuration(text)
+		timeout, err := time.ParseDuration(text)
 		if err != nil {
-			return ask, errors.Wrap(err, "patience")
+			return metadata, errors.Wrap(err, "patience")
 		}
-		ask.ClientTimeout = patience
+		metadata.ClientTimeout = timeout
 	}
-	return ask, nil
+	return metadata, nil
 }
 
 func (testDialect) SetRequestHeaders(_, _ http.Header, _ forward.RequestMetadata, _ forward.Attempt) {
--- a/internal/ingress/keys_test.go
+++ b/internal/ingress/keys_test.go
@@ -27,11 +27,11 @@
 // request then belongs to the key's workspace; a public route is open to all.
 func TestKeyOpensItsRoutes(t *testing.T) {
 	for name, test := range map[string]struct {
-		workspaces *site.Workspaces
-		text       string
-		status     int
-		workspace  string
-		checked    bool
+		workspaces   *site.Workspaces
+		text         string
+		status       int
+		workspace    string
+		keysEnforced bool
 	}{
 		"its key":                       {harbourWorkspaces(), postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusOK, "harbour", true},
 		"another key":                   {harbourWorkspaces(), postWithAuthorization("/a/x", "Bearer other", 3), http.StatusUnauthorized, "", true},
@@ -55,7 +55,7 @@
 					return
 				}
 				must.Eq(t, test.workspace, e.served[0].WorkspaceName())
-				must.Eq(t, test.checked, e.served[0].Caller.KeysEnforced)
+				must.Eq(t, test.keysEnforced, e.served[0].Caller.KeysEnforced)
 			})
 		})
 	}
--- a/internal/mesh/breaking.go
+++ b/internal/mesh/breaking.go
@@ -8,8 +8,8 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// Vote reports whether this host agrees to break the lease of a peer as it stands in the
-// record at a position. After that it no longer promises to keep that lease.
+// Vote reports whether this host agrees to break the lease that a peer's record holds at a
+// position. If it agrees, it no longer promises to keep that lease.
 func (s *State) Vote(host string, at registry.Position, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/mesh/delay.go
+++ b/internal/mesh/delay.go
@@ -14,9 +14,9 @@
 // need not agree, only run at the same rate: a message's delay is its transit time beyond
 // that of the fastest recent message.
 //
-// What a message says is as old as the message. Heartbeats that a host reads after a
-// suspension, or that were queued on a full link, would otherwise pass for current and
-// keep the host from asking the store. It is safe for concurrent use.
+// The content of a message is as old as the message. Without an estimate, heartbeats that a
+// host reads after a suspension, or that were queued on a full link, would count as current
+// and keep the host from asking the store. It is safe for concurrent use.
 type delays struct {
 	mu     sync.Mutex
 	byHost map[string]*offsetWindow
--- a/internal/mesh/delay_test.go
+++ b/internal/mesh/delay_test.go
@@ -20,13 +20,13 @@
 	now := time.Unix(5000, 0)
 	for _, offset := range []time.Duration{7 * time.Hour, -3 * time.Hour} {
 		for i := range 200 {
-			way := time.Millisecond + time.Duration(rng.IntN(3))*time.Millisecond
+			transit := time.Millisecond + time.Duration(rng.IntN(3))*time.Millisecond
 			waited := time.Duration(0)
 			if i > 0 && i%7 == 0 {
 				waited = time.Duration(rng.IntN(5000)) * time.Millisecond
 			}
 			sent := now.Add(offset).UnixMilli()
-			now = now.Add(way + waited)
+			now = now.Add(transit + waited)
 			must.Between(t, waited-3*time.Millisecond, d.estimate("h", sent, now), waited+3*time.Millisecond)
 			now = now.Add(300 * time.Millisecond)
 		}
--- a/internal/mesh/join.go
+++ b/internal/mesh/join.go
@@ -10,8 +10,8 @@
 
 const (
 	// silenceBeforeQuery is how long a host waits without contact before it queries peers:
-	// two heartbeats, which leaves half of the two seconds in which a configuration takes
-	// effect.
+	// two heartbeats of a large fleet, which leaves half of the two seconds in which a
+	// configuration must take effect.
 	silenceBeforeQuery = 900 * time.Millisecond
 	// queryInterval is the minimum time between two queries, of about 0.5 KB each.
 	queryInterval = 400 * time.Millisecond
--- a/internal/registry/follow_test.go
+++ b/internal/registry/follow_test.go
@@ -27,16 +27,16 @@
 	return Changes{}, &objectapi.Error{Op: "watch", Cause: objectapi.ErrUnavailable}
 }
 
-func callsWhileDown(t *testing.T, patience time.Duration, known uint64) int {
+func callsWhileDown(t *testing.T, maxPause time.Duration, revision uint64) int {
 	store := &downStore{}
 	synctest.Test(t, func(t *testing.T) {
 		replica := NewReplica()
-		if known > 0 {
-			replica.Listed(nil, at(known))
+		if revision > 0 {
+			replica.Listed(nil, at(revision))
 		}
 		follower := &Follower{
 			Store: store, Kind: "k", Sink: replica, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
-			MaxRetryPause: func() time.Duration { return patience },
+			MaxRetryPause: func() time.Duration { return maxPause },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
@@ -244,13 +244,13 @@
 		replica := NewReplica()
 		replica.Listed(nil, at(7))
 		begun := time.Now()
-		told := 2 * time.Second
+		reachedAfter := 2 * time.Second
 		follower := &Follower{
 			Store: store, Kind: "k", Sink: replica, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
 			MaxRetryPause: func() time.Duration { return 20 * time.Second },
 			WatchDelay: func() time.Duration {
-				if since := time.Since(begun); since > told {
-					return told + time.Second - since
+				if since := time.Since(begun); since > reachedAfter {
+					return reachedAfter + time.Second - since
 				}
 				return 0
 			},
--- a/internal/registry/history.go
+++ b/internal/registry/history.go
@@ -7,7 +7,8 @@
 // history records what changed in a replica after which revision. It is not safe for
 // concurrent use.
 type history struct {
-	// changedAt is a revision by which each record had its present content.
+	// changedAt holds, by record name, a revision at which the record already had its
+	// present content.
 	changedAt map[string]uint64
 	// removals are all removals after from, in the order in which this replica learned of
 	// them.
--- a/internal/serve/answer.go
+++ b/internal/serve/answer.go
@@ -42,7 +42,7 @@
 	l.writePlain(status, reason)
 }
 
-// fail answers that the request may have run.
+// fail answers that the request may have run, or refuses it if no runner has run it.
 func (l *lifecycle) fail(reason string) {
 	if l.mayHaveRunCount == 0 && (l.failure == nil || l.failure.Verdict == verdict.NotRun) {
 		l.refuse(retryAfterShort, reason)
--- a/internal/serve/charge_test.go
+++ b/internal/serve/charge_test.go
@@ -45,14 +45,14 @@
 	return answer
 }
 
-var toldTokens = forward.TokenCounts{Tokens: 900, Present: true}
+var declaredTokens = forward.TokenCounts{Tokens: 900, Present: true}
 
 // A workspace has used up its quota. The caller gets 429 with Retry-After, and no runner is
 // asked for admission or sent anything.
 func TestRequestOverQuotaIsNotSent(t *testing.T) {
 	withTestEnv(t, 1, func(w *testEnv) {
 		w.server.Quotas = &fakeQuotas{outcome: ChargeRefused}
-		answer := w.serveWorkspace(toldTokens)
+		answer := w.serveWorkspace(declaredTokens)
 		must.Eq(t, http.StatusTooManyRequests, answer.Code)
 		must.Eq(t, "1.25", answer.Header().Get("Retry-After"))
 		must.SliceEmpty(t, w.owners.asked)
@@ -64,7 +64,7 @@
 func TestRequestWithUnknownQuota(t *testing.T) {
 	withTestEnv(t, 1, func(w *testEnv) {
 		w.server.Quotas = &fakeQuotas{outcome: ChargeUnknown}
-		answer := w.serveWorkspace(toldTokens)
+		answer := w.serveWorkspace(declaredTokens)
 		must.Eq(t, http.StatusServiceUnavailable, answer.Code)
 		must.SliceEmpty(t, w.sentVersions)
 	})
@@ -76,7 +76,7 @@
 	for name, test := range map[string]struct {
 		counted forward.TokenCounts
 		cost    float64
-	}{"tokens told": {toldTokens, 900}, "none told": {forward.TokenCounts{}, 200}} {
+	}{"tokens told": {declaredTokens, 900}, "none told": {forward.TokenCounts{}, 200}} {
 		t.Run(name, func(t *testing.T) {
 			withTestEnv(t, 1, func(w *testEnv) {
 				q := &fakeQuotas{outcome: ChargeGranted}
@@ -108,7 +108,7 @@
 			rw.Header().Set("Content-Type", eventStreamType)
 			_, _ = rw.Write([]byte("id: 1\ndata: piece\n\n"))
 		}
-		must.Eq(t, http.StatusOK, w.serveWorkspace(toldTokens).Code)
+		must.Eq(t, http.StatusOK, w.serveWorkspace(declaredTokens).Code)
 		must.Len(t, 2, w.sentVersions)
 		must.Len(t, 1, q.charged)
 		must.Eq(t, 0, q.refunded)
@@ -139,7 +139,7 @@
 				q := &fakeQuotas{outcome: ChargeGranted}
 				w.server.Quotas = q
 				refuse(w)
-				must.Eq(t, http.StatusServiceUnavailable, w.serveWorkspace(toldTokens).Code)
+				must.Eq(t, http.StatusServiceUnavailable, w.serveWorkspace(declaredTokens).Code)
 				must.Eq(t, 1, q.refunded)
 			})
 		})
--- a/internal/serve/choose.go
+++ b/internal/serve/choose.go
@@ -23,7 +23,8 @@
 	return l.placeOnEngine(ctx, RankRunners(l.placementKey(), WithModel(runners, l.key.Model)))
 }
 
-// reasonAllBarred is the answer to callers when all runners ask for fewer requests.
+// reasonAllBarred is the answer to callers while the rate limits and pauses of all runners
+// allow no request.
 const reasonAllBarred = "all runners take no request at the moment"
 
 func (l *lifecycle) placePlain(runners []*site.Runner) bool {
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -66,10 +66,10 @@
 	return forward.RequestMetadata{}, nil
 }
 
-func (testDialect) SetRequestHeaders(header, _ http.Header, ask forward.RequestMetadata, send forward.Attempt) {
-	header.Set("Id", ask.ID)
-	header.Set(versionHeader, fmt.Sprint(send.AdapterVersion))
-	header.Set(instanceHeader, send.Instance)
+func (testDialect) SetRequestHeaders(header, _ http.Header, metadata forward.RequestMetadata, attempt forward.Attempt) {
+	header.Set("Id", metadata.ID)
+	header.Set(versionHeader, fmt.Sprint(attempt.AdapterVersion))
+	header.Set(instanceHeader, attempt.Instance)
 }
 
 func (testDialect) ParseResponse(_ int, header http.Header) forward.ResponseMetadata {
@@ -194,9 +194,9 @@
 }
 
 // serveAdapter serves one request for an adapter and returns its answer.
-func (w *testEnv) serveAdapter(adapter string, patience time.Duration) *httptest.ResponseRecorder {
+func (w *testEnv) serveAdapter(adapter string, timeout time.Duration) *httptest.ResponseRecorder {
 	route := &site.Route{
-		Name: "live", Kind: site.Streaming, Timeout: patience, TargetLatency: 600 * time.Millisecond, TargetGap: 250 * time.Millisecond,
+		Name: "live", Kind: site.Streaming, Timeout: timeout, TargetLatency: 600 * time.Millisecond, TargetGap: 250 * time.Millisecond,
 		MaxAttempts: 1, Targets: []site.Target{{Service: llm, Weight: 1}},
 	}
 	request := &forward.Request{
