--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -226,9 +226,9 @@
 // reports to three others, so the size of a report must be bounded.
 func TestSizeOfQuarantineMessages(t *testing.T) {
 	runner := "i-" + strings.Repeat("f", 10) + "~1700000000000"
-	cut, err := json.Marshal(TruncationParams{Content: poison, Runner: runner, AgeMS: 1000, LastedMS: 12000})
+	truncation, err := json.Marshal(TruncationParams{Content: poison, Runner: runner, AgeMS: 1000, LastedMS: 12000})
 	must.NoError(t, err)
-	must.LessEq(t, 110, len(cut), must.Sprint(string(cut)))
+	must.LessEq(t, 110, len(truncation), must.Sprint(string(truncation)))
 	entry := quarantine.Entry{Content: poison, Round: 1, AgeMS: 600_000, ElapsedMS: 12_000}
 	for range 8 {
 		entry.Crashes = append(entry.Crashes, quarantine.Crash{Runner: runner, AgeMS: 600_000})
--- a/internal/ingress/recorder.go
+++ b/internal/ingress/recorder.go
@@ -59,8 +59,8 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	header, _, whole := bytes.Cut(r.recorded, []byte("\r\n\r\n"))
-	if !whole {
+	header, _, complete := bytes.Cut(r.recorded, []byte("\r\n\r\n"))
+	if !complete {
 		return framingUnknown
 	}
 	for _, line := range bytes.Split(bytes.ToLower(header), []byte("\n")) {
--- a/internal/mesh/delay_test.go
+++ b/internal/mesh/delay_test.go
@@ -46,16 +46,16 @@
 	replica := s.Kinds["k"]
 	replica.Listed([]registry.Record{{Name: "a", Revision: 1, Spec: json.RawMessage("1")}}, registry.Position{Revision: 1})
 	from := peer.Identity{Host: "h1"}
-	beat := func(sent time.Time) {
+	receiveHeartbeat := func(sent time.Time) {
 		_, err := s.handleHeartbeat(t.Context(), from, Heartbeat{Address: "h1:1", SentMS: sent.UnixMilli(), Known: map[string]KnownVersion{"k": {Version: replica.Version()}}})
 		must.NoError(t, err)
 	}
-	beat(now)
+	receiveHeartbeat(now)
 	now = now.Add(time.Second)
-	beat(now)
+	receiveHeartbeat(now)
 	must.Eq(t, 0, s.freshness.age("k"))
 	sent := now.Add(100 * time.Millisecond)
 	now = now.Add(3100 * time.Millisecond)
-	beat(sent)
+	receiveHeartbeat(sent)
 	must.Eq(t, 3*time.Second, s.freshness.age("k"))
 }
--- a/internal/mesh/service.go
+++ b/internal/mesh/service.go
@@ -88,7 +88,7 @@
 	Seeds []string
 	State *State
 	Store registry.Store
-	// Kinds are the replicas that hosts pass on to each other.
+	// Kinds are the replicas, by kind, whose records hosts fetch from each other.
 	Kinds    map[string]*registry.Replica
 	Pool     *peer.Pool
 	Statuses StatusExchange
--- a/internal/registry/replica.go
+++ b/internal/registry/replica.go
@@ -288,8 +288,8 @@
 // records when the era changes.
 func (r *Replica) AdoptPosition(theirs Version) bool {
 	return r.update(func() ([]Change, bool, bool) {
-		news := theirs.Era != r.position.Era || r.position.Revision == 0
-		if !r.populated || !news || r.digest != theirs.Digest || !r.position.Before(theirs.Position) {
+		needed := theirs.Era != r.position.Era || r.position.Revision == 0
+		if !r.populated || !needed || r.digest != theirs.Digest || !r.position.Before(theirs.Position) {
 			return nil, false, false
 		}
 		r.setPosition(theirs.Position)
--- a/internal/serve/attempt.go
+++ b/internal/serve/attempt.go
@@ -216,12 +216,12 @@
 	for {
 		n, err := answer.Body.Read(chunk)
 		held = append(held, chunk[:n]...)
-		if whole := completeEventsLen(held); whole > 0 {
+		if length := completeEventsLen(held); length > 0 {
 			l.resetSilence(silence)
-			if failure := l.writeEvents(answer, flusher, held[:whole]); failure != nil {
+			if failure := l.writeEvents(answer, flusher, held[:length]); failure != nil {
 				return failure
 			}
-			held = append(held[:0], held[whole:]...)
+			held = append(held[:0], held[length:]...)
 		}
 		if err == io.EOF && len(held) == 0 && l.headerWritten {
 			l.complete = true
--- a/internal/serve/quarantine_test.go
+++ b/internal/serve/quarantine_test.go
@@ -92,8 +92,8 @@
 		due, _ := w.server.Quarantine.TakeDue(time.Now().Add(time.Second), w.server.Board.RespondedSince)
 		must.Len(t, 2, due)
 		must.NotEq(t, due[0].Runner, due[1].Runner)
-		for _, cut := range due {
-			must.Eq(t, contentOf(w.request()).Fingerprint(), cut.Content)
+		for _, truncation := range due {
+			must.Eq(t, contentOf(w.request()).Fingerprint(), truncation.Content)
 		}
 		w.quarantineRequest()
 		must.Eq(t, http.StatusServiceUnavailable, w.serveRepeatable().Code)
--- a/internal/serve/world_test.go
+++ b/internal/serve/world_test.go
@@ -86,16 +86,16 @@
 	released int
 }
 
-func (o *fakeOwners) Admit(_ context.Context, runner *site.Runner, ask adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
+func (o *fakeOwners) Admit(_ context.Context, runner *site.Runner, request adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.asked = append(o.asked, ask)
+	o.asked = append(o.asked, request)
 	if len(o.admissions) == 0 {
 		return adapters.AdmissionResult{At: time.Now()}, nil
 	}
 	answer := o.admissions[0]
 	o.admissions = o.admissions[1:]
-	return answer(runner, ask)
+	return answer(runner, request)
 }
 
 func (o *fakeOwners) Release(*site.Runner, site.Adapter) {
