--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// initialRetryTokens lets a quiet host retry at all; maxRetryTokens bounds what a busy
-// one saves up.
+// initialRetryTokens lets an idle host retry at all. maxRetryTokens bounds what
+// a busy host accumulates.
 const (
 	initialRetryTokens = 3
 	maxRetryTokens     = 100
 )
 
-// RetryBudget bounds second tries to a share of first tries, over the whole host:
-// a failing target is not beaten further by everybody's retries.
+// RetryBudget limits the retries of the whole host to a share of its requests,
+// so that retries do not overload a failing target further.
 type RetryBudget struct {
 	share float64
 
@@ -22,19 +22,19 @@
 	denied int64
 }
 
-// NewRetryBudget makes a budget; share is the second tries allowed for each first.
+// NewRetryBudget returns a budget that allows share retries per request.
 func NewRetryBudget(share float64) *RetryBudget {
 	return &RetryBudget{share: share, tokens: initialRetryTokens}
 }
 
-// AddRequest counts a first try.
+// AddRequest counts the first attempt of a request.
 func (b *RetryBudget) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.tokens = min(maxRetryTokens, b.tokens+b.share)
 }
 
-// TryRetry takes one second try, if the budget allows it.
+// TryRetry takes one retry, if the budget allows it.
 func (b *RetryBudget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -46,7 +46,7 @@
 	return true
 }
 
-// Denied gives the second tries that were not made.
+// Denied returns the number of retries that were denied.
 func (b *RetryBudget) Denied() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,8 +59,9 @@
 	maxOpenTime    = 30 * time.Second
 )
 
-// Breakers leave targets alone that keep failing, and try each again after a
-// while with a single request. It is safe for concurrent use.
+// Breakers are circuit breakers, one per target: a target that keeps failing is
+// avoided, and probed with a single request after a while. Breakers is safe for
+// concurrent use.
 type Breakers struct {
 	mu      sync.Mutex
 	targets map[string]*breaker
@@ -73,10 +74,10 @@
 	probing  bool
 }
 
-// NewBreakers makes breakers that are all closed.
+// NewBreakers returns breakers that are all closed.
 func NewBreakers() *Breakers { return &Breakers{targets: map[string]*breaker{}} }
 
-// IsOpen says whether a target is left alone now.
+// IsOpen reports whether a target is avoided now.
 func (b *Breakers) IsOpen(target string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -84,8 +85,9 @@
 	return t != nil && t.failures >= failuresToOpen && (t.probing || now.Before(t.until))
 }
 
-// Allow is called before a target is used. After its time of rest a failed
-// target gets one request; until that one has ended, others stay away.
+// Allow reports whether a target may be used now, and is called before each
+// use. After the breaker's open time one request probes the target; until it
+// has ended, the others stay away.
 func (b *Breakers) Allow(target string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -100,7 +102,7 @@
 	return true
 }
 
-// Record notes how a use ended.
+// Record records the result of a use.
 func (b *Breakers) Record(target string, healthy bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,6 +1,6 @@
-// Package dispatch carries one request through its life: admitted, routed,
-// sent, streamed, ended, with a verdict. The verdict decides about another
-// try, and nothing else does.
+// Package dispatch serves a request from admission to its final verdict: it
+// admits, routes and sends the request and streams the answer. The verdict
+// alone decides whether another attempt is made.
 package dispatch
 
 import (
@@ -19,17 +19,17 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// Engines makes attempts on engines.
+// Engines sends completions to engines.
 type Engines interface {
 	Complete(ctx context.Context, call engine.Call, pass func(engine.Piece) error) *engine.Failure
 }
 
-// Services makes attempts on plain services.
+// Services sends requests to plain services.
 type Services interface {
 	Do(ctx context.Context, call plain.Call) (plain.Answer, *engine.Failure)
 }
 
-// Owner is this host's own side as an owner of runners.
+// Owner is this host in its role as an owner of runners.
 type Owner interface {
 	Acquire(ctx context.Context, from peer.Identity, p control.AcquireParams) (control.AcquireResult, error)
 	ReturnPins(holder string, returns []residency.PinReturn)
@@ -43,19 +43,19 @@
 	CallLong(ctx context.Context, address, method string, params, result any) error
 }
 
-// Demand counts requests.
+// Demand counts requests by model.
 type Demand interface {
 	Count(model string, now time.Time)
 }
 
-// Config sets the dispatcher.
+// Config configures a Dispatcher.
 type Config struct {
 	Self    peer.Identity
 	MaxWait time.Duration
 	Weights routing.Weights
 }
 
-// Deps are what the dispatcher works with.
+// Deps are the dependencies of a Dispatcher.
 type Deps struct {
 	Engines  Engines
 	Services Services
@@ -81,58 +81,60 @@
 	cfg  Config
 	deps Deps
 	ids  sequence
-	// handoverCtx ends once this host gives no more orders and its successors have
-	// had time to take over.
+	// handoverCtx ends once this host sends no more orders and its successors
+	// have had time to take over.
 	handoverCtx context.Context
 	endHandover context.CancelFunc
 }
 
-// New makes a dispatcher.
+// New returns a dispatcher.
 func New(cfg Config, deps Deps) *Dispatcher {
 	d := &Dispatcher{cfg: cfg, deps: deps}
 	d.handoverCtx, d.endHandover = context.WithCancel(context.Background())
 	return d
 }
 
-// takeoverTime is what a successor needs to take a runner over that was given
-// away: a heartbeat to learn of it and a conditional update.
+// takeoverTime is the time that a successor needs to take over a released
+// runner: a heartbeat to learn of it and a conditional update.
 const takeoverTime = time.Second
 
-// HandoverDone says that this host has given its runners away. Requests that wait
-// for a load go on with the successors; where there are none by then, they are
-// refused.
+// HandoverDone records that this host has released its runners. Requests that
+// wait for a load continue with the successors, or are refused if there are
+// none after takeoverTime.
 //
-// Without it, requests that waited on the only host of a deployment when it was
-// told to stop got no answer until their limit of half a minute passed.
+// Without it, requests waiting on the only host of a deployment that was told
+// to stop got no answer until their limit of half a minute had passed.
 func (d *Dispatcher) HandoverDone() { time.AfterFunc(takeoverTime, d.endHandover) }
 
-// Request is an admitted caller's request.
+// Request is an admitted request of a caller.
 type Request struct {
 	ID       string
 	Caller   string
 	Weight   int
 	Priority int
-	// Model is the adapter's versioned name; it stays for the request's life.
+	// Model is the adapter's versioned name. It does not change during the
+	// request.
 	Model string
 	Base  string
-	// Service names a plain service instead.
+	// Service names a plain service, instead of Model.
 	Service string
 	Path    string
 	Body    []byte
-	// Idempotent requests may be tried again after MayHaveRun.
+	// Idempotent requests may be retried after MayHaveRun.
 	Idempotent bool
 	// IdempotencyKey is the caller's idempotency key, or empty.
 	IdempotencyKey string
-	// DiscardPieces, where given, drops the pieces passed on so far: the caller has
-	// seen none of them, so an idempotent request may begin anew.
+	// DiscardPieces, if set, discards the pieces passed on so far. The caller
+	// has seen none of them, so an idempotent request may be started again.
 	DiscardPieces func()
 }
 
-// maxAttempts bounds the tries of one request.
+// maxAttempts bounds the attempts of one request.
 const maxAttempts = 4
 
-// Complete serves a completion and passes the answer's pieces on. It returns
-// nil after a whole answer, else a *Refusal with the verdict.
+// Complete serves a completion and passes the pieces of the answer on. It
+// returns nil after a complete answer, and a *Refusal with the verdict
+// otherwise.
 func (d *Dispatcher) Complete(ctx context.Context, req Request, pass func(engine.Piece) error) *Refusal {
 	trace := d.deps.Traces.Begin(req.ID, req.Caller, req.Model, time.Now())
 	refusal := d.admitAndClaim(ctx, req, trace, func(ctx context.Context) *Refusal {
@@ -144,9 +146,9 @@
 	return refusal
 }
 
-// admitAndClaim runs a request inside its place at the gate and its claim. The gate
-// comes first: what it turns away in an overload costs the object API nothing,
-// and leaves no claim behind.
+// admitAndClaim runs a request between admission and release at the gate, with
+// its idempotency key claimed. The gate comes first: a request that it refuses
+// under overload makes no object API call and leaves no claim behind.
 func (d *Dispatcher) admitAndClaim(ctx context.Context, req Request, trace *Trace, run func(ctx context.Context) *Refusal) *Refusal {
 	return d.admit(ctx, req, trace, func(ctx context.Context) *Refusal {
 		claim, refusal := d.claimKey(ctx, req, trace)
@@ -168,7 +170,7 @@
 	return refusal.Verdict
 }
 
-// claimKey takes the idempotency key of a request that may run only once.
+// claimKey claims the idempotency key of a request that may run only once.
 func (d *Dispatcher) claimKey(ctx context.Context, req Request, trace *Trace) (*claims.Claim, *Refusal) {
 	if req.Idempotent || req.IdempotencyKey == "" {
 		return nil, nil
@@ -194,22 +196,22 @@
 	return run(ctx)
 }
 
-// attemptState is the state of one request over its attempts.
+// attemptState is the state of a request across its attempts.
 type attemptState struct {
 	avoidTargets map[string]bool
 	failedLoads  int
-	// mayHaveRun: one of the tries so far may have run.
+	// mayHaveRun is set if an earlier attempt may have run.
 	mayHaveRun bool
 }
 
-// recordFailure takes a failed try in.
+// recordFailure records a failed attempt.
 func (s *attemptState) recordFailure(failure *engine.Failure) {
 	s.mayHaveRun = s.mayHaveRun || failure.Verdict() != verdict.NotRun
 }
 
-// finalRefusal gives the answer over all tries. A last try that did not run says
-// nothing of those before it: told "not run" on its word, a caller would
-// believe that of a request that ran.
+// finalRefusal returns the refusal over all attempts. If the last attempt did
+// not run, an earlier one may have: a bare "not run" would mislead the caller
+// about a request that did run.
 func (s *attemptState) finalRefusal(refusal *Refusal) *Refusal {
 	if !s.mayHaveRun || refusal.Verdict != verdict.NotRun {
 		return refusal
@@ -220,17 +222,17 @@
 	return &whole
 }
 
-// runAttempts tries the request until it has an answer, or another try is not
-// safe, not likely to help, or not within the budget.
+// runAttempts tries the request until it has an answer, or a retry is unsafe,
+// unlikely to help, or beyond the budget.
 func (d *Dispatcher) runAttempts(ctx context.Context, req Request, trace *Trace, pass func(engine.Piece) error) *Refusal {
 	d.deps.Budget.AddRequest()
 	state := &attemptState{avoidTargets: map[string]bool{}}
 	for attempt := 1; ; attempt++ {
-		spot, refusal := d.reserve(ctx, req, state, trace)
+		reserved, refusal := d.reserve(ctx, req, state, trace)
 		if refusal != nil {
 			return state.finalRefusal(refusal)
 		}
-		failure := d.attempt(ctx, req, spot, trace, pass)
+		failure := d.attempt(ctx, req, reserved, trace, pass)
 		if failure == nil {
 			return nil
 		}
@@ -241,13 +243,13 @@
 		if !failure.MayRetry(req.Idempotent) || attempt == maxAttempts {
 			return state.finalRefusal(failureRefusal(failure))
 		}
-		// A missing model is this side's stale knowledge, not the target's
-		// failure: it does not count against the budget.
+		// A missing model means that this host's view is stale, not that the
+		// target failed: it does not count against the budget.
 		if failure.Code != engine.CodeNotLoaded && !d.deps.Budget.TryRetry() {
 			trace.Note("no further try: retry budget used up", time.Now())
 			return state.finalRefusal(failureRefusal(failure))
 		}
-		state.avoidTargets[spot.runner.ID] = failure.Code != engine.CodeNotLoaded
+		state.avoidTargets[reserved.runner.ID] = failure.Code != engine.CodeNotLoaded
 		d.deps.Metrics.CountRetry()
 		if req.DiscardPieces != nil {
 			req.DiscardPieces()
@@ -255,9 +257,9 @@
 	}
 }
 
-// attempt makes one try on a reserved runner.
-func (d *Dispatcher) attempt(ctx context.Context, req Request, spot reservation, trace *Trace, pass func(engine.Piece) error) *engine.Failure {
-	runner := spot.runner
+// attempt sends the request to a reserved runner once.
+func (d *Dispatcher) attempt(ctx context.Context, req Request, reserved reservation, trace *Trace, pass func(engine.Piece) error) *engine.Failure {
+	runner := reserved.runner
 	started := time.Now()
 	trace.Sent(runner.ID, started)
 	d.deps.Table.Started(runner.ID)
@@ -276,30 +278,30 @@
 		return pass(piece)
 	})
 	d.deps.Table.Finished(runner.ID)
-	d.finishAttempt(ctx, req, spot, failure, trace)
+	d.finishAttempt(ctx, req, reserved, failure, trace)
 	return failure
 }
 
-// finishAttempt ends an attempt: it gives the pin's use back and tells the breaker
-// and the owner what was learned.
-func (d *Dispatcher) finishAttempt(ctx context.Context, req Request, spot reservation, failure *engine.Failure, trace *Trace) {
+// finishAttempt ends an attempt: it ends the use of the pin and informs the
+// breaker and the owner.
+func (d *Dispatcher) finishAttempt(ctx context.Context, req Request, reserved reservation, failure *engine.Failure, trace *Trace) {
 	now := time.Now()
 	clean := failure == nil || failure.Verdict() == verdict.NotRun
-	if ret, due := d.deps.Holder.EndUse(spot.runner.ID, req.Model, clean, now); due {
-		d.returnPin(ctx, spot.runner.ID, ret)
+	if ret, due := d.deps.Holder.EndUse(reserved.runner.ID, req.Model, clean, now); due {
+		d.returnPin(ctx, reserved.runner.ID, ret)
 	}
-	d.deps.Breakers.Record(spot.runner.ID, healthy(failure), now)
+	d.deps.Breakers.Record(reserved.runner.ID, healthy(failure), now)
 	if failure == nil {
 		return
 	}
-	trace.Note(spot.runner.ID+": "+failure.Error(), now)
+	trace.Note(reserved.runner.ID+": "+failure.Error(), now)
 	if failure.Code == engine.CodeNotLoaded {
-		d.reportMissing(ctx, spot.runner, req.Model)
+		d.reportMissing(ctx, reserved.runner, req.Model)
 	}
 }
 
-// healthy says whether an attempt's end speaks for the target: an answer, a
-// refusal of this very request, or a caller that went away.
+// healthy reports whether the attempt shows the target to be healthy: it
+// answered, refused this particular request, or the caller went away.
 func healthy(failure *engine.Failure) bool {
 	if failure == nil || failure.Stage == engine.StageCaller || failure.Code == engine.CodeCallerGone {
 		return true
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Gate admits requests up to a limit and lets the others wait their turn:
-// by priority, and among callers of one priority by fair shares, so that one
-// caller's burst does not starve the rest. It is safe for concurrent use.
+// Gate admits requests up to a limit and queues the others by priority. Callers
+// of one priority get fair shares, so that a burst of one caller does not
+// starve the rest. Gate is safe for concurrent use.
 type Gate struct {
 	maxQueue int
 	maxWait  time.Duration
@@ -22,7 +22,7 @@
 	meanServiceTime time.Duration
 }
 
-// OverloadError refuses a request that could not be served in time.
+// OverloadError refuses a request that cannot be admitted in time.
 type OverloadError struct {
 	RetryAfter time.Duration
 	Waiting    int
@@ -33,13 +33,13 @@
 	return fmt.Sprintf("no place in time: %d requests wait; try again in %s", e.Waiting, e.RetryAfter.Round(time.Second))
 }
 
-// NewGate makes a gate with a limit; service is the usual time of a request
-// until one has been measured.
+// NewGate returns a gate with a limit. defaultServiceTime is the assumed
+// duration of a request until one has been measured.
 func NewGate(limit, maxQueue int, maxWait, defaultServiceTime time.Duration) *Gate {
 	return &Gate{limit: limit, maxQueue: maxQueue, maxWait: maxWait, meanServiceTime: defaultServiceTime, queue: newFairQueue()}
 }
 
-// SetLimit changes the number of requests admitted at a time.
+// SetLimit sets the number of requests admitted at a time.
 func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -47,17 +47,17 @@
 	g.admitLocked()
 }
 
-// AdmissionRequest is a request at the gate.
+// AdmissionRequest describes a request for admission.
 type AdmissionRequest struct {
 	Caller   string
 	Weight   int
 	Priority int
 }
 
-// Acquire waits for a place. It refuses at once, with the time after which to
-// come again, a request that would wait too long.
-func (g *Gate) Acquire(ctx context.Context, entrant AdmissionRequest) error {
-	waiter, err := g.admitOrEnqueue(entrant)
+// Acquire waits for admission. A request that would wait too long is refused at
+// once, with the time after which to retry.
+func (g *Gate) Acquire(ctx context.Context, request AdmissionRequest) error {
+	waiter, err := g.admitOrEnqueue(request)
 	if err != nil || waiter == nil {
 		return err
 	}
@@ -69,12 +69,12 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
-		err = &OverloadError{RetryAfter: g.expectedWait(entrant.Priority), Waiting: g.Waiting()}
+		err = &OverloadError{RetryAfter: g.expectedWait(request.Priority), Waiting: g.Waiting()}
 	}
 	if g.abandon(waiter) {
 		return err
 	}
-	// The place was given at the same moment.
+	// Admitted at the same moment.
 	return nil
 }
 
@@ -92,8 +92,8 @@
 	return g.queue.push(request), nil
 }
 
-// expectedWaitLocked estimates a wait from the requests of the same or a higher
-// priority that are ahead.
+// expectedWaitLocked estimates the wait from the requests ahead, of the same or
+// a higher priority.
 func (g *Gate) expectedWaitLocked(priority int) time.Duration {
 	ahead := g.queue.countAhead(priority) + 1
 	return g.meanServiceTime * time.Duration(ahead) / time.Duration(max(1, g.limit))
@@ -111,10 +111,10 @@
 	return g.queue.remove(w)
 }
 
-// meanSmoothing smooths the mean time of a request.
+// meanSmoothing is the smoothing divisor of the mean service time.
 const meanSmoothing = 32
 
-// Release gives a place back; took is how long it was held.
+// Release ends a request's admission. took is the time since admission.
 func (g *Gate) Release(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -130,30 +130,30 @@
 	}
 }
 
-// InUse gives the number of requests admitted.
+// InUse returns the number of admitted requests.
 func (g *Gate) InUse() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inUse
 }
 
-// Waiting gives the number of requests that wait.
+// Waiting returns the number of queued requests.
 func (g *Gate) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.len()
 }
 
-// MeanServiceTime gives the mean time of a request.
+// MeanServiceTime returns the mean duration of a request.
 func (g *Gate) MeanServiceTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.meanServiceTime
 }
 
-// fairQueue orders waiters by priority and, within one, by start-time fair
-// queueing: each caller's requests are tagged as if callers were served in
-// turn, in proportion to their weights.
+// fairQueue orders waiters by priority and, within a priority, by start-time
+// fair queueing: the requests of each caller are tagged as if callers were
+// served in turn, in proportion to their weights.
 type fairQueue struct {
 	virtualTime float64
 	finishTags  map[string]float64
@@ -161,7 +161,7 @@
 }
 
 type waiter struct {
-	entrant  AdmissionRequest
+	request  AdmissionRequest
 	startTag float64
 	admitted chan struct{}
 }
@@ -170,10 +170,10 @@
 
 func (q *fairQueue) len() int { return len(q.waiting) }
 
-func (q *fairQueue) push(entrant AdmissionRequest) *waiter {
-	start := max(q.virtualTime, q.finishTags[entrant.Caller])
-	q.finishTags[entrant.Caller] = start + 1/float64(max(1, entrant.Weight))
-	w := &waiter{entrant: entrant, startTag: start, admitted: make(chan struct{})}
+func (q *fairQueue) push(request AdmissionRequest) *waiter {
+	start := max(q.virtualTime, q.finishTags[request.Caller])
+	q.finishTags[request.Caller] = start + 1/float64(max(1, request.Weight))
+	w := &waiter{request: request, startTag: start, admitted: make(chan struct{})}
 	at, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiters)
 	for at < len(q.waiting) && compareWaiters(q.waiting[at], w) == 0 {
 		at++
@@ -184,8 +184,8 @@
 
 func compareWaiters(a, b *waiter) int {
 	switch {
-	case a.entrant.Priority != b.entrant.Priority:
-		return b.entrant.Priority - a.entrant.Priority
+	case a.request.Priority != b.request.Priority:
+		return b.request.Priority - a.request.Priority
 	case a.startTag < b.startTag:
 		return -1
 	case a.startTag > b.startTag:
@@ -200,7 +200,7 @@
 	q.waiting = q.waiting[1:]
 	q.virtualTime = max(q.virtualTime, first.startTag)
 	if len(q.waiting) == 0 {
-		// Nobody waits: past use is forgotten, and the table stays small.
+		// The queue is empty: reset the tags, so that the map stays small.
 		clear(q.finishTags)
 		q.virtualTime = 0
 	}
@@ -216,11 +216,12 @@
 	return true
 }
 
-// countAhead counts the waiters that a newcomer of a priority could not overtake.
+// countAhead counts the waiters that a new request of a priority cannot
+// overtake.
 func (q *fairQueue) countAhead(priority int) int {
 	count := 0
 	for _, w := range q.waiting {
-		if w.entrant.Priority >= priority {
+		if w.request.Priority >= priority {
 			count++
 		}
 	}
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -10,9 +10,10 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestBudgetBoundsSecondTries(t *testing.T) {
-	// A target fails every request. Second tries stay a fifth of the first
-	// ones, with a few to spare, so the target is not beaten further.
+func TestRetryBudgetBoundsRetries(t *testing.T) {
+	// A target fails every request. Retries stay within a fifth of the
+	// requests, plus the initial tokens, so that they do not overload the
+	// target further.
 	budget := NewRetryBudget(0.2)
 	retries := 0
 	for range 1000 {
@@ -25,9 +26,9 @@
 	must.GreaterEq(t, 1000/5, retries)
 }
 
-func TestBreakerTriesWithASingleRequest(t *testing.T) {
-	// A target failed three times. It is left alone; after its rest one request
-	// goes to it and all others stay away until that one has ended.
+func TestBreakerProbesWithSingleRequest(t *testing.T) {
+	// A target has failed three times. It is avoided; after the open time one
+	// request probes it, and the others stay away until that one has ended.
 	now := time.Unix(0, 0)
 	b := NewBreakers()
 	for range failuresToOpen {
@@ -49,8 +50,8 @@
 }
 
 func TestBurstOfOneCallerDoesNotStarveAnother(t *testing.T) {
-	// One caller has a hundred requests waiting when another's first comes. It
-	// gets the next place but one, and from then on every second.
+	// One caller has a hundred requests waiting when another's first arrives.
+	// The newcomer gets the second slot, and every second one from then on.
 	q := newFairQueue()
 	for range 100 {
 		q.push(AdmissionRequest{Caller: "digests"})
@@ -60,7 +61,7 @@
 	}
 	var order []string
 	for range 6 {
-		order = append(order, q.pop().entrant.Caller)
+		order = append(order, q.pop().request.Caller)
 	}
 	must.SliceContainsAll(t, []string{"digests", "gauge", "digests", "gauge", "digests", "gauge"}, order)
 	must.Eq(t, "gauge", order[1])
@@ -70,13 +71,13 @@
 	q := newFairQueue()
 	q.push(AdmissionRequest{Caller: "a", Priority: 0})
 	q.push(AdmissionRequest{Caller: "b", Priority: 5})
-	must.Eq(t, "b", q.pop().entrant.Caller)
+	must.Eq(t, "b", q.pop().request.Caller)
 }
 
-func TestGateRefusesEarlyWhatCannotBeServedInTime(t *testing.T) {
-	// All places are taken for long and others wait. A newcomer that would wait
-	// longer than allowed is refused at once and told when to come again; one
-	// that waits and is not admitted in time is refused at that time.
+func TestGateRefusesExcessWaitEarly(t *testing.T) {
+	// All slots are taken for long and others wait. A new request that would
+	// wait longer than allowed is refused at once, with a retry time; one that
+	// is queued and not admitted within the maximum wait is refused then.
 	synctest.Test(t, func(t *testing.T) {
 		gate := NewGate(1, 10, 3*time.Second, 2*time.Second)
 		must.NoError(t, gate.Acquire(context.Background(), AdmissionRequest{Caller: "a"}))
@@ -94,7 +95,7 @@
 	})
 }
 
-func TestGateGivesPlacesOn(t *testing.T) {
+func TestGateAdmitsWaitersOnRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		gate := NewGate(2, 10, time.Minute, time.Second)
 		for i := range 8 {
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -16,7 +16,8 @@
 	histogramDigits = 2
 )
 
-// Metrics counts what happens to requests. It is safe for concurrent use.
+// Metrics counts requests and records their latencies. It is safe for
+// concurrent use.
 type Metrics struct {
 	ran, notRun, mayHaveRun, retries, stalls atomic.Int64
 
@@ -37,7 +38,7 @@
 	_ = h.hist.RecordValue(max(histogramMin, min(histogramMax, d.Microseconds())))
 }
 
-// Quantiles are a histogram's figures, in milliseconds.
+// Quantiles summarize a histogram, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -60,7 +61,7 @@
 	}
 }
 
-// CountRequest counts a request by its verdict.
+// CountRequest counts a finished request by its verdict.
 func (m *Metrics) CountRequest(refusal *Refusal) {
 	switch verdictOf(refusal) {
 	case verdict.Ran:
@@ -72,13 +73,13 @@
 	}
 }
 
-// CountRetry counts a second try.
+// CountRetry counts a retry.
 func (m *Metrics) CountRetry() { m.retries.Add(1) }
 
-// ObserveQueueTime records a wait for a place.
+// ObserveQueueTime records the time a request waited for admission.
 func (m *Metrics) ObserveQueueTime(d time.Duration) { m.queue.record(d) }
 
-// ObserveLoadStall records a wait for a load.
+// ObserveLoadStall records the time a request waited for a load.
 func (m *Metrics) ObserveLoadStall(d time.Duration) {
 	m.stalls.Add(1)
 	m.stall.record(d)
@@ -87,7 +88,7 @@
 // ObserveFirstPiece records the time from sending to the first piece.
 func (m *Metrics) ObserveFirstPiece(d time.Duration) { m.first.record(d) }
 
-// MetricsSnapshot are the metrics as they are shown.
+// MetricsSnapshot holds the metrics at one moment.
 type MetricsSnapshot struct {
 	Ran        int64     `json:"requests_ran"`
 	NotRun     int64     `json:"requests_not_run"`
@@ -99,7 +100,7 @@
 	First      Quantiles `json:"time_to_first_piece"`
 }
 
-// Snapshot gives the metrics.
+// Snapshot returns the current metrics.
 func (m *Metrics) Snapshot() MetricsSnapshot {
 	return MetricsSnapshot{
 		Ran: m.ran.Load(), NotRun: m.notRun.Load(), MayHaveRun: m.mayHaveRun.Load(),
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -15,21 +15,23 @@
 const (
 	methodPlace  = "route.place"
 	placeTimeout = 500 * time.Millisecond
-	// placementTTL is how long a home answers alike for one model: by then the
-	// load shows in the owners' heartbeats.
+	// placementTTL is how long a home gives the same answer for a model: until
+	// then the load shows in the owners' heartbeats.
 	placementTTL  = 3 * time.Second
 	maxPlacements = 4096
 )
 
-// HomeHost gives the member that keeps a model's demand and chooses where it is
-// loaded; all versions of an adapter have one home. It is a hint, not a lease: two homes for a moment cost one extra
-// load, and nothing that must hold depends on it.
+// HomeHost returns the home of a model: the member that tracks its demand and
+// chooses where it is loaded. All versions of an adapter have the same home. It
+// is a hint, not a lease: two homes for a moment cost one extra load, and no
+// guarantee depends on it.
 func HomeHost(model string, candidates []string) string {
 	adapter, _ := inventory.SplitModel(model)
 	return fleet.First("home/"+adapter, candidates)
 }
 
-// Placer chooses where models are loaded: at their home for all hosts.
+// Placer chooses the runners on which models are loaded. A model's home chooses
+// for all hosts.
 type Placer struct {
 	self            string
 	table           *routing.Table
@@ -47,8 +49,8 @@
 	at     time.Time
 }
 
-// NewPlacer makes a placer; usual is the time of a load where no member that
-// orders loads tells a better one.
+// NewPlacer returns a placer. defaultLoadTime is the assumed duration of a load
+// if the load coordinator does not report one.
 func NewPlacer(self string, table *routing.Table, members *fleet.Members, peers Peers, weights routing.Weights, defaultLoadTime time.Duration) *Placer {
 	return &Placer{self: self, table: table, members: members, peers: peers, weights: weights, defaultLoadTime: defaultLoadTime, recent: map[string]placement{}}
 }
@@ -72,16 +74,16 @@
 	})
 }
 
-// Place chooses the runner on which a model is to be loaded.
-func (p *Placer) Place(ctx context.Context, model, base string, avoid map[string]bool, times routing.Times) (routing.Runner, bool) {
-	params := placeParams{Model: model, Base: base, Avoid: avoid, LoadMS: times.Load.Milliseconds()}
+// Place chooses the runner on which to load a model.
+func (p *Placer) Place(ctx context.Context, model, base string, avoid map[string]bool, expected routing.Times) (routing.Runner, bool) {
+	params := placeParams{Model: model, Base: base, Avoid: avoid, LoadMS: expected.Load.Milliseconds()}
 	home := HomeHost(model, p.members.Candidates("", time.Now()))
 	runner := ""
 	if home != "" && home != p.self {
 		runner = p.placeRemote(ctx, home, params)
 	}
 	if runner == "" {
-		runner = p.placeLocal(params, times, time.Now())
+		runner = p.placeLocal(params, expected, time.Now())
 	}
 	return p.table.Get(runner)
 }
@@ -119,8 +121,8 @@
 	return runner.ID
 }
 
-// addRecentPlacements counts the loads placed lately that do not show in the
-// owners' words yet, so that a burst of cold models spreads.
+// addRecentPlacements adds recent placements that the owners' reports do not
+// show yet, so that a burst of cold models is spread.
 func (p *Placer) addRecentPlacements(runners []routing.Runner, now time.Time) []routing.Runner {
 	placed := map[string]int{}
 	for _, recent := range p.recent {
@@ -153,8 +155,8 @@
 	return d.deps.Placer.Place(ctx, model, base, nil, d.expectedTimes(time.Now()))
 }
 
-// ExpectedLoadTime gives the time until a load asked for now would be done, as the
-// member that orders loads last told.
+// ExpectedLoadTime returns the time until a load requested now would be done,
+// as last reported by the load coordinator.
 func (p *Placer) ExpectedLoadTime(now time.Time) time.Duration {
 	host := fleet.First("loading/order", p.members.Candidates("", now))
 	if member, ok := p.members.Get(host); ok && member.LoadWaitMS > 0 {
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// Codes of refusals, as callers read them.
+// Refusal codes, as sent to callers.
 const (
 	CodeNoRunner     = "no_runner"
 	CodeNoTarget     = "no_target"
@@ -26,13 +26,13 @@
 	CodeStopping     = "stopping"
 )
 
-// Times after which a refused caller should come again.
+// Retry delays for refused callers.
 const (
 	retrySoon  = time.Second
 	retryLater = 5 * time.Second
 )
 
-// Refusal is the final answer to a request that got no whole answer.
+// Refusal is the final result of a request without a complete answer.
 type Refusal struct {
 	Status     int
 	Code       string
@@ -70,8 +70,8 @@
 	return notRunRefusal(CodeClaim, err.Error(), retryLater)
 }
 
-// failureRefusal turns the last attempt's failure into the caller's answer.
-// The target's own refusal of the request keeps its status.
+// failureRefusal converts the last attempt's failure into a refusal. If the
+// target itself refused the request, its status is kept.
 func failureRefusal(failure *engine.Failure) *Refusal {
 	refusal := &Refusal{
 		Status: http.StatusBadGateway, Code: failure.Code, Message: failure.Error(),
@@ -96,5 +96,5 @@
 	return prefix + "-" + strconv.FormatInt(s.last.Add(1), 10)
 }
 
-// roundRobin gives a number that moves on, for taking targets in roundRobin.
+// roundRobin returns the next number, for selecting targets in turn.
 func (s *sequence) roundRobin() int { return int(s.last.Add(1) & 0xffff) }
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -12,20 +12,22 @@
 )
 
 const (
-	// maxLoadFailures is the number of runners on which a load is tried.
+	// maxLoadFailures is the number of failed loads, on different runners,
+	// after which a request is refused.
 	maxLoadFailures = 3
 	staleViewDelay  = 50 * time.Millisecond
 	notifyTimeout   = time.Second
-	// maxResidentWait bounds the wait for a pin on a model that should be resident.
+	// maxResidentWait bounds the wait for a pin on a model that should be
+	// resident.
 	maxResidentWait = 2 * time.Second
 )
 
-// reservation is a runner on which this request holds a use of a pin.
+// reservation is a runner on which this request has begun a use of a pin.
 type reservation struct {
 	runner routing.Runner
 }
 
-// reserve finds a runner that has the model, or has one load it, and takes a
+// reserve finds a runner that has the model, or has one load it, and begins a
 // use of a pin there.
 func (d *Dispatcher) reserve(ctx context.Context, req Request, state *attemptState, trace *Trace) (reservation, *Refusal) {
 	began := time.Now()
@@ -55,29 +57,31 @@
 	}
 }
 
-// decide chooses among what this host knows; for a model that is nowhere, the
-// model's home chooses, so that hosts do not load it in several places.
+// decide chooses among the runners that this host knows to have the model. If
+// there are none, the model's home chooses one to load it, so that hosts do not
+// load it in several places.
 func (d *Dispatcher) decide(ctx context.Context, req Request, state *attemptState, now time.Time) routing.Decision {
-	times := d.expectedTimes(now)
+	expected := d.expectedTimes(now)
 	located := d.reachable(req.Model, now)
 	avoid := func(id string) bool { return state.avoidTargets[id] || d.deps.Breakers.IsOpen(id, now) }
-	decision := routing.Choose(located, d.cfg.Weights, times, avoid)
+	decision := routing.Choose(located, d.cfg.Weights, expected, avoid)
 	if decision.NeedsReplica {
 		d.requestReplica(ctx, req, decision.Runner.ID)
 	}
 	if decision.Action != routing.ActionNone {
 		return decision
 	}
-	runner, ok := d.deps.Placer.Place(ctx, req.Model, req.Base, state.avoidTargets, times)
+	runner, ok := d.deps.Placer.Place(ctx, req.Model, req.Base, state.avoidTargets, expected)
 	if !ok {
 		return decision
 	}
-	return routing.Decision{Action: routing.ActionLoad, Runner: runner, Wait: times.Load, Reason: "to be loaded"}
+	return routing.Decision{Action: routing.ActionLoad, Runner: runner, Wait: expected.Load, Reason: "to be loaded"}
 }
 
-// reachable gives the runners that have the model and can be used: those whose
-// owner is heard, and those on which this host has a pin already. An owner that
-// nobody hears keeps its runners for as long as it renews its lease.
+// reachable returns the runners that have the model and can be used: their
+// owner is alive, or this host already has a pin there. The owner of a runner
+// keeps it for as long as it renews its lease, even if no other host hears from
+// it.
 func (d *Dispatcher) reachable(model string, now time.Time) []routing.Located {
 	located := d.deps.Table.RunnersWith(model)
 	return slices.DeleteFunc(located, func(l routing.Located) bool {
@@ -85,13 +89,13 @@
 	})
 }
 
-// expectedTimes gives the measured expectedTimes that expected waits are made from.
+// expectedTimes returns the measured times on which expected waits are based.
 func (d *Dispatcher) expectedTimes(now time.Time) routing.Times {
 	return routing.Times{Service: d.deps.Gate.MeanServiceTime(), Load: d.deps.Placer.ExpectedLoadTime(now)}
 }
 
-// execute carries a decision out. It reports true once a use is taken; false
-// means that knowledge was stale and another decision is due.
+// execute carries a decision out. It returns true once a use has begun; false
+// means that the decision was based on stale knowledge and must be repeated.
 func (d *Dispatcher) execute(ctx context.Context, req Request, decision routing.Decision, state *attemptState, deadline time.Time, trace *Trace) (bool, *Refusal) {
 	runner := decision.Runner
 	needsOwnOrders := decision.Action == routing.ActionNone || runner.Owner == d.cfg.Self.Host
@@ -99,7 +103,7 @@
 		return false, notRunRefusal(CodeStopping, "this host is stopping and no other gives the runner orders", 0)
 	}
 	if decision.Action == routing.ActionNone {
-		// Every runner has been tried or none is known: all may be tried again.
+		// Every runner was tried or none is known: allow all again.
 		clear(state.avoidTargets)
 		timing.Sleep(ctx, staleViewDelay)
 		return false, nil
@@ -125,7 +129,7 @@
 	return false, d.handleRefusal(ctx, runner.ID, result.Refusal, state)
 }
 
-// tryUse takes a tryUse of a pin and the breaker's leave to try the runner.
+// tryUse begins a use of a pin, if the breaker allows the runner.
 func (d *Dispatcher) tryUse(ctx context.Context, runner, model string) bool {
 	now := time.Now()
 	if !d.deps.Holder.BeginUse(runner, model) {
@@ -140,7 +144,8 @@
 	return false
 }
 
-// handleRefusal takes an owner's refusal in: it is tried elsewhere, or given up.
+// handleRefusal handles an owner's refusal: the request is retried elsewhere or
+// refused.
 func (d *Dispatcher) handleRefusal(ctx context.Context, runner string, refusal control.Refusal, state *attemptState) *Refusal {
 	switch refusal {
 	case control.RefusedLoadBackoff:
@@ -159,7 +164,7 @@
 	return nil
 }
 
-// acquire asks the runner's owner, who may be this host, for a pin.
+// acquire requests a pin from the runner's owner, which may be this host.
 func (d *Dispatcher) acquire(ctx context.Context, req Request, runner routing.Runner, wait time.Duration) (control.AcquireResult, error) {
 	params := control.AcquireParams{Runner: runner.ID, Model: req.Model, Priority: req.Priority, WaitMS: wait.Milliseconds()}
 	if runner.Owner == d.cfg.Self.Host {
@@ -177,8 +182,8 @@
 	return result, err
 }
 
-// cancelWhenSilent gives a long call up when its peer is no longer heard: the
-// caller's request must not wait for an owner that has died.
+// cancelWhenSilent cancels a long call when its peer is no longer alive: the
+// caller's request must not wait for a dead owner.
 func (d *Dispatcher) cancelWhenSilent(ctx context.Context, cancel context.CancelFunc, host string) func() {
 	ticker := time.NewTicker(silenceCheckInterval)
 	done := make(chan struct{})
@@ -208,7 +213,7 @@
 	return member.Address
 }
 
-// requestReplica asks for another copy of a busy model; nobody waits for it.
+// requestReplica requests another replica of a busy model. Nobody waits for it.
 func (d *Dispatcher) requestReplica(ctx context.Context, req Request, busy string) {
 	runner, ok := d.deps.Placer.Place(ctx, req.Model, req.Base, map[string]bool{busy: true}, d.expectedTimes(time.Now()))
 	if !ok || runner.ID == busy {
@@ -217,7 +222,7 @@
 	d.Prefetch(ctx, runner, req.Model, 1)
 }
 
-// Prefetch asks a runner's owner for a load that nobody waits for.
+// Prefetch requests a load that nobody waits for from a runner's owner.
 func (d *Dispatcher) Prefetch(ctx context.Context, runner routing.Runner, model string, value float64) {
 	if runner.Owner == d.cfg.Self.Host {
 		d.deps.Owner.Prefetch(runner.ID, model, value)
@@ -236,8 +241,8 @@
 	d.notify(ctx, owner.Owner, control.MethodReturn, control.ReturnParams{Returns: []residency.PinReturn{ret}})
 }
 
-// reportMissing drops the pin on a model that the engine does not have, and tells
-// the owner, whose last report may still say otherwise.
+// reportMissing drops the pin on a model that the engine does not have, and
+// informs the owner, whose last report may still list the model.
 func (d *Dispatcher) reportMissing(ctx context.Context, runner routing.Runner, model string) {
 	if ret, due := d.deps.Holder.Drop(runner.ID, model); due {
 		d.returnPin(ctx, runner.ID, ret)
@@ -249,20 +254,21 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
-	// Waited for, so that the next decision finds the owner informed.
+	// The call is synchronous, so that the next decision finds the owner
+	// informed.
 	if err := d.deps.Peers.Call(ctx, d.addressOf(runner.Owner), control.MethodMissing, params, nil); err != nil {
-		d.deps.Log.Debug("owner not told of a missing model", "runner", runner.ID, "error", err)
+		d.deps.Log.Debug("reporting missing model to owner failed", "runner", runner.ID, "error", err)
 	}
 }
 
-// notify sends a message that nothing waits for. A lost return only keeps its
-// pin out until the owner recalls it.
+// notify sends a message without waiting for the answer. A lost return only
+// keeps its pin held until the owner recalls it.
 func (d *Dispatcher) notify(ctx context.Context, host, method string, params any) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), notifyTimeout)
 	go func() {
 		defer cancel()
 		if err := d.deps.Peers.Call(ctx, d.addressOf(host), method, params, nil); err != nil {
-			d.deps.Log.Debug("peer not told", "peer", host, "method", method, "error", err)
+			d.deps.Log.Debug("notifying peer failed", "peer", host, "method", method, "error", err)
 		}
 	}()
 }
--- a/internal/dispatch/trace.go
+++ b/internal/dispatch/trace.go
@@ -10,8 +10,8 @@
 	maxNotes  = 32
 )
 
-// Traces keeps why the last requests went where they went, for operators'
-// question after one of them. It is safe for concurrent use.
+// Traces keeps the traces of the latest requests, so that operators can see how
+// they were routed. It is safe for concurrent use.
 type Traces struct {
 	mu   sync.Mutex
 	ring []*Trace
@@ -19,7 +19,7 @@
 	next int
 }
 
-// Trace is the story of one request.
+// Trace is the event log of one request.
 type Trace struct {
 	mu      sync.Mutex
 	id      string
@@ -33,13 +33,13 @@
 	notes   []Note
 }
 
-// Note is one event of a request, with the time since its beginning.
+// Note is one event of a request and the time since its start.
 type Note struct {
 	AfterMS float64 `json:"after_ms"`
 	Text    string  `json:"text"`
 }
 
-// TraceReport is a trace as operators read it.
+// TraceReport is a trace as shown to operators.
 type TraceReport struct {
 	ID      string    `json:"id"`
 	Caller  string    `json:"caller"`
@@ -52,12 +52,12 @@
 	Notes   []Note    `json:"notes"`
 }
 
-// NewTraces makes an empty collection.
+// NewTraces returns an empty collection.
 func NewTraces() *Traces {
 	return &Traces{ring: make([]*Trace, maxTraces), byID: map[string]*Trace{}}
 }
 
-// Begin begins a request's story; the oldest one is dropped for it.
+// Begin starts the trace of a request, replacing the oldest one.
 func (t *Traces) Begin(id, caller, model string, now time.Time) *Trace {
 	trace := &Trace{id: id, caller: caller, model: model, began: now}
 	t.mu.Lock()
@@ -71,7 +71,7 @@
 	return trace
 }
 
-// Find gives a request's story.
+// Find returns the trace of a request.
 func (t *Traces) Find(id string) (TraceReport, bool) {
 	t.mu.Lock()
 	trace := t.byID[id]
@@ -95,7 +95,7 @@
 	}
 }
 
-// Sent notes that the request was sent to a target.
+// Sent records that the request was sent to a target.
 func (t *Trace) Sent(target string, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,14 +103,14 @@
 	t.noteLocked("sent to "+target, now)
 }
 
-// Runner gives the target that the request was last sent to.
+// Runner returns the target that the request was last sent to.
 func (t *Trace) Runner() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.runner
 }
 
-// End ends the story.
+// End records the result of the request.
 func (t *Trace) End(refusal *Refusal, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,14 +124,14 @@
 func (t *Trace) report() TraceReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	story := TraceReport{
+	report := TraceReport{
 		ID: t.id, Caller: t.caller, Model: t.model, Began: t.began, Runner: t.runner,
 		Verdict: t.verdict, Refusal: t.refusal, Notes: append([]Note(nil), t.notes...),
 	}
 	if !t.ended.IsZero() {
-		story.TookMS = milliseconds(t.ended.Sub(t.began))
+		report.TookMS = milliseconds(t.ended.Sub(t.began))
 	}
-	return story
+	return report
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d.Microseconds()) / 1000 }
