--- a/internal/adapters/loadtime.go
+++ b/internal/adapters/loadtime.go
@@ -6,127 +6,131 @@
 )
 
 const (
-	// firstLoadTime is what an adapter takes from the weight store, by the
-	// platform's pages (250 to 288 ms), and firstReloadTime what one takes that
-	// the runner held recently, a tenth of it. Where loads take 288 ms, 255 to
-	// begin with had 458 requests late on a grown day of the experiment and 290
-	// has 326; where they take 250 it makes no difference, since the next fetch is
-	// ordered before the one before it should be over.
-	firstLoadTime   = 290 * time.Millisecond
-	firstReloadTime = 30 * time.Millisecond
-	// tooEarlyStep and inTimeStep move an estimate after a load that was not
-	// over in time and after one that was. At rest one load in 23 is met too
-	// early, which costs its request one more try and 40 ms; an estimate that is
-	// too long costs each request the difference, and the runner its loads.
+	// initialFetchTime is the estimate for a load from the weight store, which takes
+	// 250 to 288 ms by the platform's documentation. initialReloadTime is that for an
+	// adapter that the runner held recently, a tenth of it. Where loads take 288 ms,
+	// 458 requests were late on a grown day of the experiment with an initial 255 ms,
+	// and 326 with 290. Where they take 250 ms it makes no difference, since the next
+	// fetch is ordered before the current one should be done.
+	initialFetchTime  = 290 * time.Millisecond
+	initialReloadTime = 30 * time.Millisecond
+	// tooEarlyStep and inTimeStep are the factors applied to an estimate after a load
+	// that took longer and after one that was done in time. In equilibrium one load
+	// in 23 is not done in time, which costs its request another attempt and 40 ms.
+	// An estimate that is too long delays each request by the difference and costs
+	// the runner loads.
 	tooEarlyStep = 1.045
 	inTimeStep   = 0.998
-	// transitShare and transitRate tell how many loads at a time the weight store
-	// serves at full speed, which nothing says outright. The sheets have 8 with 9
-	// runners, 16 with 18 and 64 with 112, and 3.5, 5.8 and 32 loads of base models
-	// a second: the smaller of 0.89 a runner and 2.3 times that rate gives 8, 13
-	// and 74. Too low costs loads, too high only makes each of them longer.
-	transitShare = 0.89
-	transitRate  = 2.3
-	// minLoad, minReload and maxLoad bound the estimates.
-	minLoad   = 100 * time.Millisecond
-	minReload = 10 * time.Millisecond
-	maxLoad   = 3 * time.Second
+	// fetchesPerRunner and fetchesPerLoadRate estimate how many concurrent loads the
+	// weight store serves at full speed, which isn't documented directly. The
+	// platform's sheets have 8 with 9 runners, 16 with 18 and 64 with 112, and 3.5,
+	// 5.8 and 32 loads of base models per second. The smaller of 0.89 per runner and
+	// 2.3 times that rate gives 8, 13 and 74. Too low a value costs loads, too high a
+	// value only makes each load take longer.
+	fetchesPerRunner   = 0.89
+	fetchesPerLoadRate = 2.3
+	// minFetchTime, minReloadTime and maxFetchTime bound the estimates.
+	minFetchTime  = 100 * time.Millisecond
+	minReloadTime = 10 * time.Millisecond
+	maxFetchTime  = 3 * time.Second
 )
 
-// Crowd is the weight store's load, as far as it is known.
-type Crowd struct {
-	// Transit is the number of adapters on their way to the runners that are
-	// known of, Full the part of what the store serves at full speed that falls
-	// to them.
-	Transit int
-	Full    float64
-	// Share is that part for one runner.
-	Share float64
+// StoreLoad is the load of the weight store, as far as it is known.
+type StoreLoad struct {
+	// Fetches is the number of adapters being fetched by all known runners. Capacity
+	// is the number of concurrent fetches, out of those that the store serves at full
+	// speed, that falls to these runners.
+	Fetches  int
+	Capacity float64
+	// PerRunner is the capacity for one runner.
+	PerRunner float64
 }
 
-// factor says how many times as long a load takes.
-func (c Crowd) factor() float64 {
-	if c.Full <= 0 {
+// slowdown returns the factor by which a fetch takes longer than at full speed.
+func (s StoreLoad) slowdown() float64 {
+	if s.Capacity <= 0 {
 		return 1
 	}
-	return max(1, float64(c.Transit)/c.Full)
+	return max(1, float64(s.Fetches)/s.Capacity)
 }
 
-// fewKnown is the part of the weight store below which a host knows too little of
-// the others.
-const fewKnown = 3
+// minKnownCapacity is the capacity below which a host knows too few of the other
+// runners.
+const minKnownCapacity = 3
 
-// withOneMore gives the load once one more adapter is on its way. At a total loss
-// all runners begin to load at once, and a host that knows of its own runner only
-// would otherwise see an idle store. What is known of many runners is taken as it
-// is: counted once more, a load was thought to take 335 ms where it took 281.
-func (c Crowd) withOneMore() Crowd {
-	if c.Full < fewKnown {
-		c.Transit++
+// withOneMoreFetch returns the load with one more fetch running. After a total loss
+// all runners start to load at once, and a host that knows only its own runner would
+// otherwise see an idle store. The load known from many runners is used unchanged:
+// with one more fetch, a load was estimated at 335 ms that took 281.
+func (s StoreLoad) withOneMoreFetch() StoreLoad {
+	if s.Capacity < minKnownCapacity {
+		s.Fetches++
 	}
-	return c
+	return s
 }
 
-// FullShare is the number of loads at a time, per runner, that the weight store
-// serves at full speed.
-func FullShare(loadsPerSecond float64, runners int) float64 {
+// FetchCapacityPerRunner returns the number of concurrent fetches per runner that the
+// weight store serves at full speed.
+func FetchCapacityPerRunner(loadsPerSecond float64, runners int) float64 {
 	if loadsPerSecond <= 0 || runners <= 0 {
-		return transitShare
+		return fetchesPerRunner
 	}
-	return min(transitShare, transitRate*loadsPerSecond/float64(runners))
+	return min(fetchesPerRunner, fetchesPerLoadRate*loadsPerSecond/float64(runners))
 }
 
-// LoadTimes estimates how long loads of adapters take. Runners do not tell
-// when a load is over, so it is learnt from requests that came too early. It is
-// safe for concurrent use.
+// LoadTimes estimates how long loads of adapters take. Runners don't tell when a load
+// is done, so it learns from requests that arrive too early. It is safe for
+// concurrent use.
 type LoadTimes struct {
-	mu    sync.Mutex
-	fresh estimate
-	again estimate
+	mu     sync.Mutex
+	fetch  timeEstimate
+	reload timeEstimate
 }
 
-// estimate is of one kind of load.
-type estimate struct {
-	time        time.Duration
-	least, most time.Duration
+// timeEstimate is the estimate for one kind of load.
+type timeEstimate struct {
+	time     time.Duration
+	min, max time.Duration
 }
 
-// move takes a load into account that was met too early or was over in time.
-func (e *estimate) move(step float64) {
-	moved := time.Duration(float64(e.time) * step)
-	e.time = min(e.most, max(e.least, moved))
+// scale multiplies the estimate by a step, within its bounds.
+func (e *timeEstimate) scale(step float64) {
+	scaled := time.Duration(float64(e.time) * step)
+	e.time = min(e.max, max(e.min, scaled))
 }
 
-// NewLoadTimes makes the estimates to start from.
+// NewLoadTimes returns the initial estimates.
 func NewLoadTimes() *LoadTimes {
 	return &LoadTimes{
-		fresh: estimate{time: firstLoadTime, least: minLoad, most: maxLoad},
-		again: estimate{time: firstReloadTime, least: minReload, most: firstLoadTime},
+		fetch:  timeEstimate{time: initialFetchTime, min: minFetchTime, max: maxFetchTime},
+		reload: timeEstimate{time: initialReloadTime, min: minReloadTime, max: initialFetchTime},
 	}
 }
 
-// Estimate gives the likely time of a load while so much else is on its way.
-func (t *LoadTimes) Estimate(recent bool, crowd Crowd) time.Duration {
+// Estimate returns the expected time of a load at the given load of the store, which
+// doesn't slow down reloads of recently held adapters.
+func (t *LoadTimes) Estimate(recent bool, store StoreLoad) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if recent {
-		return t.again.time
+		return t.reload.time
 	}
-	return min(maxLoad, time.Duration(float64(t.fresh.time)*crowd.factor()))
+	return min(maxFetchTime, time.Duration(float64(t.fetch.time)*store.slowdown()))
 }
 
-// TooEarly notes a request that came before its adapter was there.
-func (t *LoadTimes) TooEarly(recent bool) { t.move(recent, tooEarlyStep) }
+// TooEarly records a request that arrived before its adapter's load was done.
+func (t *LoadTimes) TooEarly(recent bool) { t.scale(recent, tooEarlyStep) }
 
-// InTime notes a load that nobody met too early.
-func (t *LoadTimes) InTime(recent bool) { t.move(recent, inTimeStep) }
+// InTime records a load. Those that turn out to be underestimated are recorded by
+// TooEarly as well.
+func (t *LoadTimes) InTime(recent bool) { t.scale(recent, inTimeStep) }
 
-func (t *LoadTimes) move(recent bool, step float64) {
+func (t *LoadTimes) scale(recent bool, step float64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if recent {
-		t.again.move(step)
+		t.reload.scale(step)
 		return
 	}
-	t.fresh.move(step)
+	t.fetch.scale(step)
 }
--- a/internal/adapters/owner_test.go
+++ b/internal/adapters/owner_test.go
@@ -11,15 +11,16 @@
 	"github.com/shoenig/test/must"
 )
 
-// A runner is gone, and its keeper ends while it asks, under its own lock, for what is on its
-// way to all runners. The owner waits for that lock with its own in its hands, and both wait for
-// ever: the host serves no adapter any more, and goes by the configuration of that moment.
-func TestKeeperThatEndsDoesNotBlockTheOwner(t *testing.T) {
+// A runner is removed, and its controller is stopped while it asks the owner, under
+// its own lock, for the fetches of all runners. If the owner waits for that lock
+// while it holds its own, both deadlock: the host serves no adapter any more and
+// keeps the configuration of that moment.
+func TestStoppedControllerDoesNotBlockTheOwner(t *testing.T) {
 	owner := NewOwner(OwnerDeps{
-		Engines: &forgetfulEngine{}, Authority: never{}, Owns: func(string) bool { return true }, Hosts: func() int { return 1 },
-		Crowd: func() (int, int) { return 0, 0 }, Load: func(string, time.Time) board.View { return board.View{} },
-		Share: func() float64 { return 0 }, Reading: func() float64 { return 0 }, Restarted: func(string, int64) {},
-		Signalled: func(string, *board.Signal) {}, Now: time.Now, Log: hclog.NewNullLogger(),
+		Engines: &lossyEngine{}, Authority: neverAuthorized{}, Owns: func(string) bool { return true }, HostCount: func() int { return 1 },
+		PeerFetches: func() (int, int) { return 0, 0 }, RunnerView: func(string, time.Time) board.View { return board.View{} },
+		Utilization: func() float64 { return 0 }, TypicalPrefill: func() float64 { return 0 }, OnRestart: func(string, int64) {},
+		OnSignal: func(string, *board.Signal) {}, Now: time.Now, Log: hclog.NewNullLogger(),
 	})
 	engine := &site.Engine{Slots: 1, LoadsPerSecond: 1, Models: []site.Model{{Name: "m"}}}
 	config := &site.Config{Services: map[string]*site.Service{"s": {Engine: engine}}}
@@ -27,9 +28,9 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	owner.Reconcile(ctx, config, map[string][]*site.Runner{"s": {runner}})
-	keeper, ok := owner.Keeper("r")
+	controller, ok := owner.Controller("r")
 	must.True(t, ok)
-	keeper.mu.Lock()
+	controller.mu.Lock()
 	reconciled, asked := make(chan struct{}), make(chan struct{})
 	go func() {
 		defer close(reconciled)
@@ -38,18 +39,18 @@
 	time.Sleep(50 * time.Millisecond)
 	go func() {
 		defer close(asked)
-		owner.crowd()
+		owner.storeLoad()
 	}()
 	select {
 	case <-asked:
 	case <-time.After(2 * time.Second):
-		t.Error("the owner's lock is held while a keeper's is waited for")
+		t.Error("the owner waits for a controller's lock while holding its own")
 	}
-	keeper.mu.Unlock()
+	controller.mu.Unlock()
 	<-reconciled
 }
 
-// never lets nothing be ordered.
-type never struct{}
+// neverAuthorized forbids all orders.
+type neverAuthorized struct{}
 
-func (never) MayOrder(string, time.Time) (uint64, bool) { return 0, false }
+func (neverAuthorized) MayOrder(string, time.Time) (uint64, bool) { return 0, false }
--- a/internal/entry/rehome.go
+++ b/internal/entry/rehome.go
@@ -11,37 +11,37 @@
 	"github.com/cherrystage/cherrystage/internal/site"
 )
 
-// rehomeInterval is how often this host looks whether the homes of what lies on
-// its runners know of it. Nothing is sent unless a home is new.
-const rehomeInterval = time.Second
+// homeNotifyInterval is how often this host checks for adapters on its runners whose
+// home runner was not notified. Nothing is sent unless a home is new.
+const homeNotifyInterval = time.Second
 
-// rehome tells the homes of adapters which of them lie on this host's runners.
+// homeNotifier tells the home runners of adapters which of them are loaded on this
+// host's runners.
 //
-// The failure it answers: all hosts lose power, or a runner comes back after a
-// crash, and homes know nothing of what lies on the other runners. Each adapter
-// that is asked for is then fetched once more, just when the weight store is busy
-// with what the crash has cost. After a total loss a hundred of 300 copies came
-// from this. A home that could not be told, since nobody owns it yet, is told again:
-// a runner is listed some tenths of a second before it has an owner.
-type rehome struct {
+// After all hosts lose power, or a runner restarts after a crash, homes do not know
+// which adapters are loaded on other runners. Each requested adapter would then be
+// fetched again, just when the weight store is busy recovering; after a total loss a
+// hundred of 300 copies were such duplicates. A home without an owner is notified again
+// later: a runner is listed some tenths of a second before it has an owner.
+type homeNotifier struct {
 	owner  *adapters.Owner
-	owners *owners
-	// told is the home that was told of an adapter on a runner.
-	told map[string]map[adapters.Key]string
+	owners *ownerClient
+	// notified holds, by runner and adapter, the home that was last notified.
+	notified map[string]map[adapters.Key]string
 }
 
-func newRehome(owner *adapters.Owner, owners *owners) *rehome {
-	return &rehome{owner: owner, owners: owners, told: map[string]map[adapters.Key]string{}}
+func newHomeNotifier(owner *adapters.Owner, owners *ownerClient) *homeNotifier {
+	return &homeNotifier{owner: owner, owners: owners, notified: map[string]map[adapters.Key]string{}}
 }
 
-// run tells the homes that do not know yet.
-func (r *rehome) run(ctx context.Context, snapshot *directory.Snapshot) {
+// run notifies the homes that were not notified yet.
+func (n *homeNotifier) run(ctx context.Context, snapshot *directory.Snapshot) {
 	if snapshot.Config == nil {
 		return
 	}
-	for id := range r.told {
-		if _, ok := r.owner.Keeper(id); !ok {
-			delete(r.told, id)
+	for id := range n.notified {
+		if _, ok := n.owner.Controller(id); !ok {
+			delete(n.notified, id)
 		}
 	}
 	for service, runners := range snapshot.ByService {
@@ -49,38 +49,38 @@
 			continue
 		}
 		for _, runner := range runners {
-			if keeper, ok := r.owner.Keeper(runner.ID); ok {
-				r.tell(ctx, runner, keeper.Holding(snapshot.Versions), runners)
+			if keeper, ok := n.owner.Controller(runner.ID); ok {
+				n.notify(ctx, runner, keeper.HeldKeys(snapshot.Versions), runners)
 			}
 		}
 	}
 }
 
-func (r *rehome) tell(ctx context.Context, runner *site.Runner, held []adapters.Key, runners []*site.Runner) {
-	before := r.told[runner.ID]
-	now := make(map[adapters.Key]string, len(held))
-	for _, key := range held {
+func (n *homeNotifier) notify(ctx context.Context, runner *site.Runner, loaded []adapters.Key, runners []*site.Runner) {
+	before := n.notified[runner.ID]
+	current := make(map[adapters.Key]string, len(loaded))
+	for _, key := range loaded {
 		home := homeOf(key, runners)
 		if home == nil {
 			continue
 		}
-		known := home.ID == runner.ID || before[key] == home.ID || r.owners.tellHome(ctx, home, key, runner) == nil
-		if known {
-			now[key] = home.ID
+		informed := home.ID == runner.ID || before[key] == home.ID || n.owners.notifyHome(ctx, home, key, runner) == nil
+		if informed {
+			current[key] = home.ID
 		}
 	}
-	r.told[runner.ID] = now
+	n.notified[runner.ID] = current
 }
 
-// homeOf gives the runner that comes first in an adapter's order.
+// homeOf returns an adapter's home: the runner that ranks first for it.
 func homeOf(key adapters.Key, runners []*site.Runner) *site.Runner {
-	holders := serve.WithModel(runners, key.Model)
-	addresses := make([]string, 0, len(holders))
-	for _, runner := range holders {
+	candidates := serve.WithModel(runners, key.Model)
+	addresses := make([]string, 0, len(candidates))
+	for _, runner := range candidates {
 		addresses = append(addresses, runner.Address)
 	}
 	first := fleet.First(key.PlacementKey(), addresses)
-	for _, runner := range holders {
+	for _, runner := range candidates {
 		if runner.Address == first {
 			return runner
 		}
--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -127,7 +127,7 @@
 		r.refuse()
 		return
 	}
-	r.host.budget.Request(w.clock.now, len(w.hosts))
+	r.host.budget.RecordRequest(w.clock.now, len(w.hosts))
 	if w.policy == Reference {
 		r.placeByReference()
 		return
@@ -149,7 +149,7 @@
 	}
 	r.runners = r.w.order(key)
 	r.search = r.host.spreads.Search(key, len(r.runners))
-	if r.search.Near() {
+	if r.search.PreferLocal() {
 		r.runners = slices.Clone(r.runners)
 		slices.SortStableFunc(r.runners, func(a, b *site.Runner) int { return r.far(a) - r.far(b) })
 	}
@@ -172,7 +172,7 @@
 			r.refuse()
 			return
 		}
-		runner := r.runners[step.Place]
+		runner := r.runners[step.Rank]
 		if r.tried[runner.ID] || (!last && r.host.board.View(runner.ID, w.clock.now).Suspect) {
 			continue
 		}
@@ -184,7 +184,7 @@
 
 func (r *request) askOwner() {
 	w := r.w
-	runner := r.runners[r.step.Place]
+	runner := r.runners[r.step.Rank]
 	way := w.way(r.host.centre, runner.DataCentre)
 	w.result.Asks++
 	w.clock.after(way, func() {
@@ -194,17 +194,17 @@
 			return
 		}
 		target := millis(r.kind.TargetMS)
-		admitted, err := k.Admit(adapters.Admission{
-			Key: r.key, Tokens: r.prompt, Output: r.output, Likely: r.output, Patience: target / patienceShare,
-			Target: r.arrived.Add(target - firstMargin).Sub(w.clock.now), Within: r.within(), Last: r.last,
-			Home: r.step.Home && r.key.Name != "" && w.policy == Product, Anew: r.step.Anew, Waited: r.waited,
+		admitted, err := k.Admit(adapters.AdmissionRequest{
+			Key: r.key, PromptTokens: r.prompt, MaxOutputTokens: r.output, ExpectedOutputTokens: r.output, PromptWait: target / patienceShare,
+			LatencyBudget: r.arrived.Add(target - firstMargin).Sub(w.clock.now), MaxWait: r.within(), LastResort: r.last,
+			Home: r.step.Home && r.key.Name != "" && w.policy == Product, Retry: r.step.Retry, Waited: r.waited,
 		})
 		w.wake(k, 0)
 		if err != nil {
 			w.clock.after(way, func() { r.refused(runner, err) })
 			return
 		}
-		if !admitted.Again {
+		if !admitted.AskAgain {
 			w.load[runner.ID]++
 		}
 		w.clock.after(way, func() { r.admitted(runner, admitted) })
@@ -215,7 +215,7 @@
 	if r.over {
 		return
 	}
-	busy := errors.Is(err, adapters.ErrBusy) || errors.Is(err, adapters.ErrPressed)
+	busy := errors.Is(err, adapters.ErrBusy) || errors.Is(err, adapters.ErrPromptBacklog)
 	var replicated *adapters.ReplicatedError
 	var named []int
 	if errors.As(err, &replicated) {
@@ -227,11 +227,11 @@
 			}
 		}
 	}
-	r.search.Refused(busy, errors.Is(err, adapters.ErrElsewhere), named)
+	r.search.Refused(busy, errors.Is(err, adapters.ErrHeldElsewhere), named)
 	r.next()
 }
 
-func (r *request) admitted(runner *site.Runner, admitted adapters.Admitted) {
+func (r *request) admitted(runner *site.Runner, admitted adapters.AdmissionResult) {
 	w := r.w
 	pause := admitted.At.Sub(w.clock.now)
 	if pause > r.within() {
@@ -245,7 +245,7 @@
 		home := w.keepers[r.runners[0].ID]
 		w.clock.after(w.way(r.host.centre, r.runners[0].DataCentre), func() {
 			if home != nil {
-				home.Placed(r.key, runner.ID)
+				home.AddReplica(r.key, runner.ID)
 			}
 		})
 	}
@@ -254,18 +254,18 @@
 			r.unused(runner, admitted)
 			return
 		}
-		if admitted.Again {
+		if admitted.AskAgain {
 			r.waited = true
 			r.askOwner()
 			return
 		}
-		r.search.Admitted(r.step.Place)
+		r.search.Admitted(r.step.Rank)
 		r.send(runner)
 	})
 }
 
-func (r *request) unused(runner *site.Runner, admitted adapters.Admitted) {
-	if !admitted.Again {
+func (r *request) unused(runner *site.Runner, admitted adapters.AdmissionResult) {
+	if !admitted.AskAgain {
 		r.w.ended(runner.ID, r.key)
 	}
 }
@@ -277,7 +277,7 @@
 			w.load[runner]--
 		}
 		if k := w.keepers[runner]; k != nil {
-			k.Ended(map[site.Adapter]int{key.Adapter: 1})
+			k.RequestsEnded(map[site.Adapter]int{key.Adapter: 1})
 		}
 	})
 }
@@ -288,7 +288,7 @@
 	r.sends++
 	way := w.way(r.host.centre, runner.DataCentre)
 	h := r.host
-	h.board.Begin(runner.ID, w.clock.now)
+	h.board.RecordStart(runner.ID, w.clock.now)
 	r.watch(runner)
 	w.clock.after(way, func() {
 		e := w.byID[runner.ID]
@@ -296,7 +296,7 @@
 		sent.event = func() { w.clock.after(way, func() { r.event(sent, runner) }) }
 		sent.ended = func(whole bool) {
 			w.clock.after(way, func() {
-				h.board.End(runner.ID)
+				h.board.RecordEnd(runner.ID)
 				w.ended(runner.ID, r.key)
 				r.end(sent, runner, whole)
 			})
@@ -304,7 +304,7 @@
 		r.engine, r.run = e, sent
 		if why := e.submit(sent); why != taken {
 			w.clock.after(way, func() {
-				h.board.End(runner.ID)
+				h.board.RecordEnd(runner.ID)
 				w.ended(runner.ID, r.key)
 				r.turnedAway(sent, runner, why)
 			})
@@ -319,7 +319,7 @@
 	h := r.host
 	r.w.clock.after(silentFactor*millis(r.kind.TargetMS), func() {
 		if r.first.IsZero() && r.sends == sends && !r.over && r.host == h {
-			h.board.Bad(runner.ID, false, r.w.clock.now)
+			h.board.RecordFailure(runner.ID, false, r.w.clock.now)
 		}
 	})
 }
@@ -345,7 +345,7 @@
 	r.over = true
 	if r.run != nil {
 		r.engine.cancel(r.run)
-		r.host.board.End(r.engine.runner.ID)
+		r.host.board.RecordEnd(r.engine.runner.ID)
 		r.w.ended(r.engine.runner.ID, r.key)
 	}
 	r.w.result.failed(r)
@@ -356,7 +356,7 @@
 		return
 	}
 	now := r.w.clock.now
-	r.host.board.Heard(runner.ID, now)
+	r.host.board.RecordActivity(runner.ID, now)
 	if r.first.IsZero() {
 		r.first = now
 	} else {
@@ -372,13 +372,13 @@
 	r.over = true
 	now := r.w.clock.now
 	if !whole {
-		r.host.board.Bad(runner.ID, false, now)
-		r.w.owners.Bad(runner.ID, false, now)
+		r.host.board.RecordFailure(runner.ID, false, now)
+		r.w.owners.RecordFailure(runner.ID, false, now)
 		r.w.result.failed(r)
 		return
 	}
-	r.host.board.Good(runner.ID, now)
-	r.w.owners.Good(runner.ID, now)
+	r.host.board.RecordSuccess(runner.ID, now)
+	r.w.owners.RecordSuccess(runner.ID, now)
 	r.w.result.served(r)
 }
 
@@ -391,7 +391,7 @@
 	r.run = nil
 	w.result.TurnedAway++
 	if why == unreachable {
-		r.host.board.Bad(runner.ID, true, w.clock.now)
+		r.host.board.RecordFailure(runner.ID, true, w.clock.now)
 		r.tried[runner.ID] = true
 	}
 	if r.sends >= maxSends || !r.host.budget.Take(w.clock.now, len(w.hosts)) {
@@ -404,7 +404,7 @@
 		return
 	}
 	if k := w.keepers[runner.ID]; k != nil {
-		k.Missing(r.key.Adapter)
+		k.AdapterMissing(r.key.Adapter)
 		w.wake(k, 0)
 	}
 	w.clock.after(earlyPause, r.place)
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -8,21 +8,21 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestTableBelievesNoStaleList(t *testing.T) {
+func TestTableRejectsStaleLists(t *testing.T) {
 	table := NewTable()
 	must.True(t, table.Update(List{Version: 2, Hosts: []Host{{ID: "a", State: StateLive}, {ID: "b", State: StateLive}}}))
 	must.False(t, table.Update(List{Version: 1, Hosts: []Host{{ID: "a", State: StateLeaving}}}))
 	must.False(t, table.Update(List{Version: 3}))
 	must.True(t, table.MayReceive("a"))
-	must.False(t, table.Gone("b"))
+	must.False(t, table.Removed("b"))
 	must.True(t, table.Update(List{Version: 4, Hosts: []Host{{ID: "a", State: StateLeaving}}}))
 	must.False(t, table.MayReceive("a"))
-	must.True(t, table.Gone("b"))
-	must.False(t, table.Gone("never seen"))
-	must.Eq(t, 2, table.Stale())
+	must.True(t, table.Removed("b"))
+	must.False(t, table.Removed("never seen"))
+	must.Eq(t, 2, table.StaleLists())
 }
 
-func TestRendezvousMovesOnlyWhatItMust(t *testing.T) {
+func TestRendezvousMovesOnlyKeysOfARemovedMember(t *testing.T) {
 	members := []string{"a", "b", "c", "d"}
 	moved := 0
 	for i := range 1000 {
@@ -39,9 +39,9 @@
 }
 
 func TestNeighboursOfALargeFleet(t *testing.T) {
-	// 460 hosts in 25 data centres of 7 regions: a host talks to its own data
-	// centre, to two hosts of each other one in its region, and to one of each
-	// other region.
+	// 460 hosts in 25 data centres of 7 regions: a host exchanges heartbeats with its
+	// own data centre, with two hosts of each other data centre in its region, and
+	// with one host of each other region.
 	var hosts []Host
 	for i := range 460 {
 		hosts = append(hosts, Host{ID: fmt.Sprintf("e%03d", i), DataCentre: fmt.Sprint("dc", i%25), Region: fmt.Sprint("region", i%25%7)})
@@ -61,17 +61,17 @@
 	must.Len(t, 7, Neighbours(hosts[0], hosts[:8]))
 }
 
-func TestCandidates(t *testing.T) {
+func TestMemberCandidates(t *testing.T) {
 	now := time.Unix(100, 0)
 	m := NewMembers(2 * time.Second)
-	m.Heard(Member{Host: "a", Ready: true, DataCentre: "x"}, now)
-	m.Heard(Member{Host: "b", Ready: true, DataCentre: "y"}, now)
-	m.Heard(Member{Host: "c", Ready: true, Leaving: true, DataCentre: "x"}, now)
-	m.Heard(Member{Host: "d", DataCentre: "x"}, now)
+	m.Observe(Member{Host: "a", Ready: true, DataCentre: "x"}, now)
+	m.Observe(Member{Host: "b", Ready: true, DataCentre: "y"}, now)
+	m.Observe(Member{Host: "c", Ready: true, Leaving: true, DataCentre: "x"}, now)
+	m.Observe(Member{Host: "d", DataCentre: "x"}, now)
 	must.Eq(t, []string{"a"}, m.Candidates("x", now))
 	must.Eq(t, []string{"a", "b"}, m.Candidates("", now))
 	must.Eq(t, []string{"a", "b"}, m.Candidates("z", now))
 	must.SliceEmpty(t, m.Candidates("", now.Add(3*time.Second)))
-	must.True(t, m.Heard(Member{Host: "a", Incarnation: "2"}, now))
-	must.False(t, m.Heard(Member{Host: "a", Incarnation: "2"}, now))
+	must.True(t, m.Observe(Member{Host: "a", Incarnation: "2"}, now))
+	must.False(t, m.Observe(Member{Host: "a", Incarnation: "2"}, now))
 }
--- a/internal/mesh/breaktry.go
+++ b/internal/mesh/breaktry.go
@@ -8,39 +8,38 @@
 	"github.com/cherrystage/cherrystage/internal/registry"
 )
 
-// breakTry is the try to end one dead host's lease.
-type breakTry struct {
+// breakAttempt tracks the attempts to break one dead host's lease.
+type breakAttempt struct {
 	running bool
-	// again is when it may be tried again, pause how long after the last try.
-	again time.Time
-	pause time.Duration
+	// retryAt is when the next attempt may begin, backoff the pause after the last one.
+	retryAt time.Time
+	backoff time.Duration
 }
 
 const (
-	// breakPause is the pause after a try to end a lease that too few witnesses agreed
-	// to, and longestBreakPause what it grows to, doubled each time. Witnesses that are
-	// back or whose own lease is ended make it succeed; they take seconds to.
-	breakPause        = 500 * time.Millisecond
-	longestBreakPause = 10 * time.Second
+	// breakBackoff is the pause after an attempt to which too few witnesses agreed. It
+	// doubles up to maxBreakBackoff. A later attempt succeeds once witnesses are back or
+	// their own leases are broken, which takes seconds.
+	breakBackoff    = 500 * time.Millisecond
+	maxBreakBackoff = 10 * time.Second
 )
 
-// tryBreak begins to end a dead host's lease, unless that is under way or was tried a
-// moment ago.
+// startBreak begins to break a dead host's lease in the background, unless an attempt is
+// running or its backoff has not passed.
 //
-// The failure it answers: many hosts fall silent at once. The votes on each of them
-// wait a second for witnesses that are silent too. Asked for one after the other, they
-// kept the survivors from renewing their own leases, so these lapsed as well, and all
-// runners were without an owner. Asked for side by side and seldom, they keep nobody
-// from anything.
-func (s *Service) tryBreak(ctx context.Context, dead Break) {
+// When many hosts fall silent at once, the votes on each of them wait a second for
+// witnesses that are silent too. Votes asked for one after the other kept the surviving
+// hosts from renewing their own leases, which then expired as well and left all runners
+// without an owner. Concurrent attempts with a backoff do not block renewals.
+func (s *Service) startBreak(ctx context.Context, dead DeadHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	try := s.breaking[dead.Host]
+	try := s.breakAttempts[dead.Host]
 	if try == nil {
-		try = &breakTry{pause: breakPause}
-		s.breaking[dead.Host] = try
+		try = &breakAttempt{backoff: breakBackoff}
+		s.breakAttempts[dead.Host] = try
 	}
-	if try.running || s.Now().Before(try.again) {
+	if try.running || s.Now().Before(try.retryAt) {
 		return
 	}
 	try.running = true
@@ -49,59 +48,59 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		try.running = false
-		try.again = s.Now().Add(try.pause)
-		try.pause = min(2*try.pause, longestBreakPause)
+		try.retryAt = s.Now().Add(try.backoff)
+		try.backoff = min(2*try.backoff, maxBreakBackoff)
 	}()
 }
 
-// forgetBreaks drops the tries for hosts that are no longer to be broken.
-func (s *Service) forgetBreaks(dead []Break) {
+// pruneBreakAttempts drops the state of hosts that are no longer breakable.
+func (s *Service) pruneBreakAttempts(dead []DeadHost) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	still := make(map[string]bool, len(dead))
+	breakable := make(map[string]bool, len(dead))
 	for _, b := range dead {
-		still[b.Host] = true
+		breakable[b.Host] = true
 	}
-	for host, try := range s.breaking {
-		if !still[host] && !try.running {
-			delete(s.breaking, host)
+	for host, try := range s.breakAttempts {
+		if !breakable[host] && !try.running {
+			delete(s.breakAttempts, host)
 		}
 	}
 }
 
-// breakLease ends a dead host's lease if enough witnesses agree.
-func (s *Service) breakLease(ctx context.Context, dead Break) {
-	ctx, cancel := context.WithTimeout(ctx, callTimeout)
+// breakLease breaks a dead host's lease if enough witnesses agree.
+func (s *Service) breakLease(ctx context.Context, dead DeadHost) {
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	if !s.agreed(ctx, dead) {
+	if !s.collectVotes(ctx, dead) {
 		return
 	}
 	dead.Record.Broken = true
-	record, err := s.Store.Update(ctx, Kind, hostName(dead.Host), dead.Record, dead.Revision)
+	record, err := s.Store.Update(ctx, Kind, hostRecordName(dead.Host), dead.Record, dead.Revision)
 	if err != nil {
-		s.Log.Info("lease not broken", "peer", dead.Host, "revision", dead.Revision, "error", err.Error())
-		s.refresh(ctx, hostName(dead.Host), err)
+		s.Log.Info("breaking lease failed", "peer", dead.Host, "revision", dead.Revision, "error", err.Error())
+		s.refreshAfterConflict(ctx, hostRecordName(dead.Host), err)
 		return
 	}
-	s.took(record)
-	s.Log.Warn("lease broken: the host was silent for too long", "peer", dead.Host, "epoch", dead.Record.Epoch, "revision", record.Revision)
+	s.applyRecord(record)
+	s.Log.Warn("lease broken: no heartbeats or renewals from the host", "peer", dead.Host, "epoch", dead.Record.Epoch, "revision", record.Revision)
 }
 
-// agreed asks the other witnesses for their votes.
-func (s *Service) agreed(ctx context.Context, dead Break) bool {
-	if dead.Votes > len(dead.Witnesses) {
-		s.Log.Info("lease not broken: too few witnesses are left", "peer", dead.Host, "witnesses", len(dead.Witnesses), "needed", dead.Votes)
+// collectVotes asks the other witnesses for their votes and reports whether enough agreed.
+func (s *Service) collectVotes(ctx context.Context, dead DeadHost) bool {
+	if dead.VotesNeeded > len(dead.Witnesses) {
+		s.Log.Info("lease not broken: too few witnesses are left", "peer", dead.Host, "witnesses", len(dead.Witnesses), "needed", dead.VotesNeeded)
 		return false
 	}
 	answers := make(chan bool, len(dead.Witnesses))
 	for _, witness := range dead.Witnesses {
 		go func() {
-			var answer VoteAnswer
+			var answer VoteResult
 			err := s.Pool.Call(ctx, witness.Address, methodVote, VoteParams{Host: dead.Host, Position: registry.Position{Era: dead.Era, Revision: dead.Revision}}, &answer)
 			answers <- err == nil && answer.Agreed
 		}()
 	}
-	votes := dead.Votes
+	votes := dead.VotesNeeded
 	for range dead.Witnesses {
 		if votes <= 0 {
 			break
@@ -116,20 +115,20 @@
 	return votes <= 0
 }
 
-// VoteParams asks a witness whether a lease should be broken.
+// VoteParams asks a witness to agree to break a host's lease.
 type VoteParams struct {
 	Host string `json:"host"`
-	// Position is that of the host's record, of which the lease is a part.
+	// Position is the position of the host's record, which holds the lease.
 	registry.Position
 }
 
-// VoteAnswer is a witness's vote.
-type VoteAnswer struct {
+// VoteResult is a witness's vote.
+type VoteResult struct {
 	Agreed bool `json:"agreed"`
 }
 
-func (s *Service) vote(_ context.Context, from peer.Identity, params VoteParams) (VoteAnswer, error) {
+func (s *Service) handleVote(_ context.Context, from peer.Identity, params VoteParams) (VoteResult, error) {
 	agreed := s.State.Vote(params.Host, params.Position, s.Now())
-	s.Log.Info("vote on a lease", "peer", params.Host, "asked_by", from.Host, "agreed", agreed)
-	return VoteAnswer{Agreed: agreed}, nil
+	s.Log.Info("voted on breaking a lease", "peer", params.Host, "asked_by", from.Host, "agreed", agreed)
+	return VoteResult{Agreed: agreed}, nil
 }
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -9,141 +9,142 @@
 	"github.com/pkg/errors"
 )
 
-// fetchTimeout bounds one call of a fetch: an announcement, or a piece of what is fetched.
-// A source that takes longer is frozen, cut off or much asked; another one goes on.
+// fetchTimeout bounds one call of a fetch, which returns an announcement or one piece. A
+// slower source is frozen, cut off or overloaded, and the fetch moves on to another.
 const fetchTimeout = 500 * time.Millisecond
 
-// FetchParams asks for the records of a kind: those that changed after a revision of an era,
-// or those of the parts whose digests differ from the asker's, or all.
+// FetchParams asks for records of a kind: those changed after a revision of an era, those
+// of the parts whose digests differ from Parts, or all.
 type FetchParams struct {
 	Kind  string       `json:"kind"`
 	Since uint64       `json:"since,omitempty"`
 	Era   registry.Era `json:"era,omitempty"`
 	Parts []uint64     `json:"parts,omitempty"`
-	// Begun is the ID of the parcel of which the asker has some pieces, 0 without any.
-	Begun uint64 `json:"begun,omitempty"`
+	// PartialID is the ID of the archive of which the caller has some pieces, 0 if none.
+	PartialID uint64 `json:"begun,omitempty"`
 }
 
-// FetchResult gives the records, or announces them where they are many.
+// FetchResult returns the records, or announces an archive of them if they are many.
 type FetchResult struct {
 	registry.Snapshot
-	Parcel *Announcement `json:"parcel,omitempty"`
+	Archive *Announcement `json:"parcel,omitempty"`
 }
 
-// pursue fetches a kind of record until no host is known that has more, from one source
-// after the other.
+// fetchUntilCurrent fetches a kind of record from one source after the other until no
+// known host has a newer version.
 //
-// Tied to one source, a host whose source froze waited out a second, and then until it was
-// told again, before it asked another.
-func (s *Service) pursue(kind string) {
-	var left unfinished
+// When a host was tied to one source and that froze, it waited out a second, and then
+// until it heard of the change again, before it asked another.
+func (s *Service) fetchUntilCurrent(kind string) {
+	var partial partialArchive
 	for {
-		source, ok := s.spread.nextSource(kind)
+		source, ok := s.freshness.nextSource(kind)
 		if !ok {
 			return
 		}
-		s.fetchFrom(source, kind, &left)
+		s.fetchFrom(source, kind, &partial)
 	}
 }
 
-func (s *Service) fetchFrom(address, kind string, left *unfinished) {
+func (s *Service) fetchFrom(address, kind string, partial *partialArchive) {
 	replica := s.Kinds[kind]
 	before := replica.Version()
-	begun := s.Now()
-	err := s.fetchChanges(address, kind, left)
+	start := s.Now()
+	err := s.fetchChanges(address, kind, partial)
 	if errors.Is(err, errIncomplete) {
-		err = s.fetchParts(address, kind, left)
+		err = s.fetchParts(address, kind, partial)
 	}
-	s.tellFetch(kind, address, before, s.Now().Sub(begun), err)
+	s.logFetch(kind, address, before, s.Now().Sub(start), err)
 	if before.Before(replica.Position()) {
-		s.Spread()
+		s.HeartbeatNow()
 	}
 }
 
-// slowFetch is how long a fetch takes, or how long it was known that there is more, where
-// a line about it is worth its bytes.
+// slowFetch is the duration of a fetch, or of being behind, from which a fetch is logged
+// at info level.
 const slowFetch = 100 * time.Millisecond
 
-// tellFetch logs what became of a fetch: failures and what took long, and the rest where
-// everything is logged. Records change several times a second in a busy fleet.
-func (s *Service) tellFetch(kind, address string, before registry.Version, took time.Duration, err error) {
-	behind, _ := s.spread.behind(kind)
-	line := []any{
+// logFetch logs the outcome of a fetch: failures and slow fetches at info level, others at
+// debug level. Records change several times a second in a busy fleet.
+func (s *Service) logFetch(kind, address string, before registry.Version, took time.Duration, err error) {
+	behind, _ := s.freshness.behind(kind)
+	fields := []any{
 		"kind", kind, "address", address, "took_ms", took.Milliseconds(), "behind_ms", behind.Milliseconds(),
-		"from_revision", before.Revision, "revision", s.Kinds[kind].Revision(), "age_ms", s.spread.age(kind).Milliseconds(),
+		"from_revision", before.Revision, "revision", s.Kinds[kind].Revision(), "age_ms", s.freshness.age(kind).Milliseconds(),
 	}
 	s.fetches.Add(1)
 	if err != nil {
 		s.fetchesFailed.Add(1)
-		s.Log.Info("records not fetched from a peer", append(line, "error", err.Error())...)
+		s.Log.Info("fetching records from a peer failed", append(fields, "error", err.Error())...)
 		return
 	}
 	if took >= slowFetch || behind >= slowFetch {
-		s.Log.Info("records fetched from a peer", line...)
+		s.Log.Info("records fetched from a peer", fields...)
 		return
 	}
-	s.Log.Debug("records fetched from a peer", line...)
+	s.Log.Debug("records fetched from a peer", fields...)
 }
 
-// errIncomplete: the peer does not know all that changed, or more differs than that.
-var errIncomplete = errors.New("the changes that the peer knows are not all that differs")
+// errIncomplete is returned if the peer's changes do not cover all that differs.
+var errIncomplete = errors.New("the peer's changes do not cover all differences")
 
-// fetchChanges fetches what changed since this host knew all.
-func (s *Service) fetchChanges(address, kind string, left *unfinished) error {
+// fetchChanges fetches the changes since the last complete version. It returns
+// errIncomplete if they do not bring this host up to the peer's version.
+func (s *Service) fetchChanges(address, kind string, partial *partialArchive) error {
 	replica := s.Kinds[kind]
 	before := replica.Version()
 	if before.Revision == 0 {
 		return errIncomplete
 	}
-	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Since: before.Revision, Era: before.Era}, left)
+	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Since: before.Revision, Era: before.Era}, partial)
 	if err != nil {
 		return err
 	}
-	if snapshot.Since != before.Revision || !replica.MergeSince(snapshot, before) {
+	if snapshot.Since != before.Revision || !replica.MergeChanges(snapshot, before) {
 		return errIncomplete
 	}
 	return nil
 }
 
-// fetchParts fetches the parts that differ.
-func (s *Service) fetchParts(address, kind string, left *unfinished) error {
+// fetchParts fetches the records of the parts that differ.
+func (s *Service) fetchParts(address, kind string, partial *partialArchive) error {
 	replica := s.Kinds[kind]
 	parts, before := replica.Parts()
-	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Parts: parts}, left)
+	snapshot, err := s.fetchSnapshot(address, FetchParams{Kind: kind, Parts: parts}, partial)
 	if err != nil {
 		return err
 	}
 	if before.Before(snapshot.Position) || snapshot.Parts != nil && snapshot.Position == before.Position {
-		replica.Merge(snapshot, before)
+		replica.MergeParts(snapshot, before)
 	}
 	return nil
 }
 
-// fetchSnapshot asks a host and fetches the pieces of what it announces.
-func (s *Service) fetchSnapshot(address string, params FetchParams, left *unfinished) (registry.Snapshot, error) {
+// fetchSnapshot fetches records from a host, piece by piece if it announces an archive.
+func (s *Service) fetchSnapshot(address string, params FetchParams, partial *partialArchive) (registry.Snapshot, error) {
 	var result FetchResult
-	params.Begun = left.parcel.ID
+	params.PartialID = partial.archive.ID
 	if err := s.callSource(address, methodFetch, params, &result); err != nil {
 		return registry.Snapshot{}, err
 	}
-	if result.Parcel == nil {
+	if result.Archive == nil {
 		return result.Snapshot, nil
 	}
-	left.begin(*result.Parcel)
-	if len(left.data) == 0 {
-		left.data = result.Parcel.First
+	partial.start(*result.Archive)
+	if len(partial.data) == 0 {
+		partial.data = result.Archive.First
 	}
-	for !left.whole() {
+	for !partial.complete() {
 		var piece PieceResult
-		if err := s.callSource(address, methodPiece, left.next(), &piece); err != nil {
+		if err := s.callSource(address, methodPiece, partial.nextPiece(), &piece); err != nil {
 			return registry.Snapshot{}, err
 		}
-		if err := left.add(piece.Data); err != nil {
+		if err := partial.add(piece.Data); err != nil {
 			return registry.Snapshot{}, err
 		}
 	}
-	records, err := inflate(left.data)
-	*left = unfinished{}
+	records, err := inflate(partial.data)
+	*partial = partialArchive{}
 	result.Snapshot.Records = records
 	return result.Snapshot, err
 }
@@ -154,59 +155,62 @@
 	return s.Pool.Call(ctx, address, method, params, result)
 }
 
-// unfinished is what a fetch has of a parcel. It outlives a source that fails: what has
-// come over a thin link is not sent again.
-type unfinished struct {
-	parcel Parcel
-	data   []byte
+// partialArchive is the part of an archive fetched so far. It is kept when a source fails,
+// so that bytes already received over a slow link are not sent again.
+type partialArchive struct {
+	archive Archive
+	data    []byte
 }
 
-// begin goes on with a parcel, or begins another one.
-func (u *unfinished) begin(announced Announcement) {
-	if u.parcel != announced.Parcel {
-		*u = unfinished{parcel: announced.Parcel}
+// start resumes the announced archive, or begins anew if it is another one.
+func (u *partialArchive) start(announced Announcement) {
+	if u.archive != announced.Archive {
+		*u = partialArchive{archive: announced.Archive}
 	}
 }
 
-func (u *unfinished) whole() bool { return len(u.data) >= u.parcel.Bytes }
+func (u *partialArchive) complete() bool { return len(u.data) >= u.archive.Bytes }
 
-func (u *unfinished) next() PieceParams { return PieceParams{ID: u.parcel.ID, Offset: len(u.data)} }
+func (u *partialArchive) nextPiece() PieceParams {
+	return PieceParams{ID: u.archive.ID, Offset: len(u.data)}
+}
 
-func (u *unfinished) add(data []byte) error {
+func (u *partialArchive) add(data []byte) error {
 	if len(data) == 0 {
-		return errors.New("the peer gave an empty piece")
+		return errors.New("the peer returned an empty piece")
 	}
 	u.data = append(u.data, data...)
 	return nil
 }
 
-func (s *Service) fetch(_ context.Context, _ peer.Identity, params FetchParams) (FetchResult, error) {
+func (s *Service) handleFetch(_ context.Context, _ peer.Identity, params FetchParams) (FetchResult, error) {
 	replica := s.Kinds[params.Kind]
 	if replica == nil {
-		return FetchResult{}, peer.Refuse(errors.Errorf("no records of kind %q are kept", params.Kind))
+		return FetchResult{}, peer.NewRefusal(errors.Errorf("unknown kind of record %q", params.Kind))
 	}
 	var snapshot registry.Snapshot
 	if params.Since == 0 {
-		snapshot = replica.Differing(params.Parts)
+		snapshot = replica.DifferingParts(params.Parts)
 	} else {
-		// Where the changes are not all known the asker hears so and asks for parts.
+		// If the changes are not all known, the result says so and the caller asks for
+		// parts.
 		snapshot, _ = replica.ChangedSince(registry.Position{Era: params.Era, Revision: params.Since})
 	}
-	if !large(snapshot.Records) {
+	if !exceedsInline(snapshot.Records) {
 		return FetchResult{Snapshot: snapshot}, nil
 	}
-	parcel, err := s.parcels.announce(params.Kind, snapshot.Records, params.Begun)
+	archive, err := s.archives.announce(params.Kind, snapshot.Records, params.PartialID)
 	if err != nil {
-		return FetchResult{}, peer.Refuse(err)
+		return FetchResult{}, peer.NewRefusal(err)
 	}
 	snapshot.Records = nil
-	return FetchResult{Snapshot: snapshot, Parcel: parcel}, nil
+	return FetchResult{Snapshot: snapshot, Archive: archive}, nil
 }
 
-func (s *Service) piece(_ context.Context, _ peer.Identity, params PieceParams) (PieceResult, error) {
-	data, ok := s.parcels.piece(params)
+func (s *Service) handlePiece(_ context.Context, _ peer.Identity, params PieceParams) (PieceResult, error) {
+	data, ok := s.archives.piece(params)
 	if !ok {
-		return PieceResult{}, peer.Refuse(errors.New("no such piece is kept"))
+		return PieceResult{}, peer.NewRefusal(errors.New("the archive has expired or does not have this piece"))
 	}
 	return PieceResult{Data: data}, nil
 }
--- a/internal/mesh/parcels.go
+++ b/internal/mesh/parcels.go
@@ -17,125 +17,125 @@
 )
 
 const (
-	// inlineBytes is the size of records up to which they are sent as they are. A message
-	// of this size takes 7 ms of a link of 10 Mbit/s.
-	inlineBytes = 8 << 10
-	// pieceBytes is the size of a piece, 18 ms of a link of 10 Mbit/s as it is sent: what
-	// waits behind it on the link, heartbeats among it, keeps its own time limit.
+	// maxInlineBytes is the size up to which records are sent inline. A message of this
+	// size takes 7 ms on a 10 Mbit/s link.
+	maxInlineBytes = 8 << 10
+	// pieceBytes is the size of a piece, which takes 18 ms on a 10 Mbit/s link as encoded.
+	// Messages queued behind it, such as heartbeats, still meet their timeouts.
 	pieceBytes = 16 << 10
-	// maxParcels, maxParcelBytes and parcelLife bound what is kept packed for hosts that
-	// fetch it: a parcel for each of those that hear of a change from this host, who may each
-	// lack something else.
-	maxParcels     = 32
-	maxParcelBytes = 2 << 20
-	parcelLife     = 10 * time.Second
-	// maxUnpackedBytes bounds what a host makes of another's parcel.
+	// maxArchives, maxArchiveBytes and archiveRetention bound the cache. It needs an
+	// archive for each host that hears of a change from this one, since each may lack
+	// something else.
+	maxArchives      = 32
+	maxArchiveBytes  = 2 << 20
+	archiveRetention = 10 * time.Second
+	// maxUnpackedBytes bounds the unpacked size of a received archive.
 	maxUnpackedBytes = 64 << 20
 )
 
-// Parcel announces records that are fetched in pieces.
-type Parcel struct {
-	// ID names the packed bytes: two hosts that hold the same records give the same bytes
-	// under the same ID, so that a fetch that one of them left unfinished goes on at the
-	// other.
+// Archive identifies packed records that are fetched in pieces.
+type Archive struct {
+	// ID identifies the packed bytes. Hosts that hold the same records produce the same
+	// bytes under the same ID, so that a fetch interrupted at one host can resume at
+	// another.
 	ID uint64 `json:"id"`
-	// Bytes is the size of all pieces together.
+	// Bytes is the total size of all pieces.
 	Bytes int `json:"bytes"`
 }
 
-// Announcement is a parcel with its first piece, which is left out for a host that has begun
-// to fetch the parcel.
+// Announcement announces an archive with its first piece, which is omitted if the caller
+// already has a part of that archive.
 type Announcement struct {
-	Parcel
+	Archive
 	First []byte `json:"first,omitempty"`
 }
 
-// PieceParams asks for a piece of a parcel.
+// PieceParams asks for a piece of an archive.
 type PieceParams struct {
 	ID     uint64 `json:"id"`
 	Offset int    `json:"offset"`
 }
 
-// PieceResult is a piece of a parcel.
+// PieceResult is a piece of an archive.
 type PieceResult struct {
 	Data []byte `json:"data"`
 }
 
-// parcels keeps packed records for the hosts that fetch them. It is safe for concurrent
-// use.
-type parcels struct {
+// archiveCache keeps packed records for the hosts that fetch them. It is safe for
+// concurrent use.
+type archiveCache struct {
 	now func() time.Time
 
-	mu   sync.Mutex
-	kept []*packed
+	mu       sync.Mutex
+	archives []*cachedArchive
 }
 
-type packed struct {
+type cachedArchive struct {
 	id   uint64
 	used time.Time
-	// size is that of data once it is packed, and is the parcels' to set.
+	// size is the length of data once it is packed. It is set under the cache's lock.
 	size int
 	once sync.Once
 	data []byte
 	err  error
 }
 
-// large says whether records are too many to be sent as they are.
-func large(records []registry.Record) bool {
+// exceedsInline reports whether records are too large to be sent inline.
+func exceedsInline(records []registry.Record) bool {
 	bytes := 0
 	for _, record := range records {
 		bytes += len(record.Name) + len(record.Spec)
 	}
-	return bytes > inlineBytes
+	return bytes > maxInlineBytes
 }
 
-// pack keeps records and announces them.
-func (p *parcels) pack(kind string, records []registry.Record) (Parcel, error) {
+// pack packs records and keeps the archive.
+func (p *archiveCache) pack(kind string, records []registry.Record) (Archive, error) {
 	slices.SortFunc(records, func(a, b registry.Record) int { return cmp.Compare(a.Name, b.Name) })
-	parcel := p.keep(parcelID(kind, records))
-	parcel.once.Do(func() { parcel.data, parcel.err = deflate(records) })
-	p.bound(parcel)
-	return Parcel{ID: parcel.id, Bytes: len(parcel.data)}, parcel.err
+	archive := p.getOrAdd(archiveID(kind, records))
+	archive.once.Do(func() { archive.data, archive.err = deflate(records) })
+	p.evict(archive)
+	return Archive{ID: archive.id, Bytes: len(archive.data)}, archive.err
 }
 
-// announce packs records for a host that has begun to fetch the parcel with an ID, 0 for one
-// that has not.
-func (p *parcels) announce(kind string, records []registry.Record, begun uint64) (*Announcement, error) {
-	parcel, err := p.pack(kind, records)
+// announce packs records and announces the archive, with the first piece unless the caller
+// has begun to fetch that archive. partialID is 0 if the caller has none.
+func (p *archiveCache) announce(kind string, records []registry.Record, partialID uint64) (*Announcement, error) {
+	archive, err := p.pack(kind, records)
 	if err != nil {
 		return nil, err
 	}
-	announced := &Announcement{Parcel: parcel}
-	if parcel.ID != begun {
-		announced.First, _ = p.piece(PieceParams{ID: parcel.ID})
+	announcement := &Announcement{Archive: archive}
+	if archive.ID != partialID {
+		announcement.First, _ = p.piece(PieceParams{ID: archive.ID})
 	}
-	return announced, nil
+	return announcement, nil
 }
 
-// bound drops the parcels that were asked for longest ago, but not the one given.
-func (p *parcels) bound(latest *packed) {
+// evict drops the least recently used archives, but not the latest one.
+func (p *archiveCache) evict(latest *cachedArchive) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	bytes := 0
-	for _, kept := range p.kept {
-		bytes += kept.size
+	for _, archive := range p.archives {
+		bytes += archive.size
 	}
 	if latest.size == 0 {
 		latest.size = len(latest.data)
 		bytes += latest.size
 	}
-	for len(p.kept) > maxParcels || bytes > maxParcelBytes {
-		oldest := slices.MinFunc(p.kept, func(a, b *packed) int { return a.used.Compare(b.used) })
+	for len(p.archives) > maxArchives || bytes > maxArchiveBytes {
+		oldest := slices.MinFunc(p.archives, func(a, b *cachedArchive) int { return a.used.Compare(b.used) })
 		if oldest == latest {
 			return
 		}
 		bytes -= oldest.size
-		p.kept = slices.DeleteFunc(p.kept, func(kept *packed) bool { return kept == oldest })
+		p.archives = slices.DeleteFunc(p.archives, func(archive *cachedArchive) bool { return archive == oldest })
 	}
 }
 
-// parcelID tells records apart by all that is packed of them.
-func parcelID(kind string, records []registry.Record) uint64 {
+// archiveID returns a hash of everything that is packed of the records.
+func archiveID(kind string, records []registry.Record) uint64 {
 	digest := xxhash.New()
 	_, _ = fmt.Fprint(digest, kind)
 	for _, record := range records {
@@ -145,43 +145,44 @@
 	return digest.Sum64()
 }
 
-// keep gives the parcel with an ID, a new one where there is none.
-func (p *parcels) keep(id uint64) *packed {
+// getOrAdd returns the archive with an ID and adds an empty one if there is none.
+func (p *archiveCache) getOrAdd(id uint64) *cachedArchive {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if parcel := p.find(id); parcel != nil {
-		return parcel
+	if archive := p.lookup(id); archive != nil {
+		return archive
 	}
-	parcel := &packed{id: id, used: p.now()}
-	p.kept = append(p.kept, parcel)
-	return parcel
+	archive := &cachedArchive{id: id, used: p.now()}
+	p.archives = append(p.archives, archive)
+	return archive
 }
 
-// find gives a parcel, and drops those that nobody has asked for lately; the lock is held.
-func (p *parcels) find(id uint64) *packed {
+// lookup returns the archive with an ID, or nil, and drops expired archives. The caller
+// holds p.mu.
+func (p *archiveCache) lookup(id uint64) *cachedArchive {
 	now := p.now()
-	p.kept = slices.DeleteFunc(p.kept, func(kept *packed) bool { return now.Sub(kept.used) > parcelLife })
-	for _, kept := range p.kept {
-		if kept.id == id {
-			kept.used = now
-			return kept
+	p.archives = slices.DeleteFunc(p.archives, func(archive *cachedArchive) bool { return now.Sub(archive.used) > archiveRetention })
+	for _, archive := range p.archives {
+		if archive.id == id {
+			archive.used = now
+			return archive
 		}
 	}
 	return nil
 }
 
-// piece gives a piece of a parcel, and whether the parcel is kept.
-func (p *parcels) piece(params PieceParams) ([]byte, bool) {
+// piece returns a piece of an archive and whether the cache has it.
+func (p *archiveCache) piece(params PieceParams) ([]byte, bool) {
 	p.mu.Lock()
-	parcel := p.find(params.ID)
+	archive := p.lookup(params.ID)
 	p.mu.Unlock()
-	if parcel == nil || params.Offset < 0 || params.Offset > len(parcel.data) {
+	if archive == nil || params.Offset < 0 || params.Offset > len(archive.data) {
 		return nil, false
 	}
-	return parcel.data[params.Offset:min(len(parcel.data), params.Offset+pieceBytes)], true
+	return archive.data[params.Offset:min(len(archive.data), params.Offset+pieceBytes)], true
 }
 
-// deflate packs records: configurations of many routes shrink to a tenth and less.
+// deflate packs records. Configurations with many routes shrink to a tenth or less.
 func deflate(records []registry.Record) ([]byte, error) {
 	var out bytes.Buffer
 	w, err := flate.NewWriter(&out, flate.BestSpeed)
--- a/internal/mesh/spread_test.go
+++ b/internal/mesh/spread_test.go
@@ -8,10 +8,10 @@
 	"github.com/shoenig/test/must"
 )
 
-// A host answers a heartbeat with what the sender lacks and nothing else: records of
-// which it knows less, and the word that what both know was complete a moment ago,
-// without which the sender would turn to the store.
-func TestAnswersTellWhatIsLacking(t *testing.T) {
+// The answer to a heartbeat contains only what the sender lacks: newer records, and a
+// younger confirmation of records that both have, without which the sender would ask the
+// store.
+func TestAnswersContainOnlyNews(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	listed := func(revision uint64, names ...string) *registry.Replica {
@@ -23,33 +23,33 @@
 		replica.Listed(records, registry.Position{Revision: revision})
 		return replica
 	}
-	own := newSpread(map[string]*registry.Replica{"same": listed(5, "a"), "more": listed(7, "a", "b"), "less": listed(3, "a")}, clock)
-	peer := newSpread(map[string]*registry.Replica{"same": listed(6, "a"), "more": listed(5, "a"), "less": listed(4, "a", "b")}, clock)
+	own := newFreshness(map[string]*registry.Replica{"same": listed(5, "a"), "more": listed(7, "a", "b"), "less": listed(3, "a")}, clock)
+	peer := newFreshness(map[string]*registry.Replica{"same": listed(6, "a"), "more": listed(5, "a"), "less": listed(4, "a", "b")}, clock)
 	for _, kind := range []string{"same", "more", "less"} {
-		own.confirmed(kind, now)
-		peer.confirmed(kind, now)
+		own.confirm(kind, now)
+		peer.confirm(kind, now)
 	}
-	must.MapContainsKeys(t, own.lacking(peer.known()), []string{"more"})
-	must.MapLen(t, 1, own.lacking(peer.known()))
+	must.MapContainsKeys(t, own.newsFor(peer.known()), []string{"more"})
+	must.MapLen(t, 1, own.newsFor(peer.known()))
 
 	now = now.Add(time.Second)
-	own.confirmed("same", now)
-	lacking := own.lacking(peer.known())
+	own.confirm("same", now)
+	lacking := own.newsFor(peer.known())
 	must.MapLen(t, 2, lacking)
 	must.Eq(t, 0, lacking["same"].AgeMS)
 	must.Eq(t, []string{"more"}, peer.learn("own:1", lacking, now))
 	must.Eq(t, 0, peer.age("same"))
 
-	must.MapLen(t, 3, own.lacking(nil), must.Sprint("to a host that tells of nothing, everything"))
+	must.MapLen(t, 3, own.newsFor(nil), must.Sprint("a host that announces nothing gets everything"))
 }
 
-// Answers without news still say that the other host is there: a host that took them
-// for silence would turn to the store and to the hosts of its settings.
-func TestAnswersWithoutNewsAreHeard(t *testing.T) {
+// An answer without news still counts as contact. Taken for silence, it would make the
+// host turn to the store and to the seeds.
+func TestAnswersWithoutNewsCountAsContact(t *testing.T) {
 	now := time.Unix(1000, 0)
-	s := fleetOf(3, func() time.Time { return now })[0]
+	s := newServices(3, func() time.Time { return now })[0]
 	now = now.Add(time.Minute)
-	must.Greater(t, heardLately, s.spread.silence())
+	must.Greater(t, contactTimeout, s.freshness.silence())
 	s.learn("h1", "h1:1", nil, nil, now)
-	must.Eq(t, 0, s.spread.silence())
+	must.Eq(t, 0, s.freshness.silence())
 }
