--- a/internal/configlog/configlog.go
+++ b/internal/configlog/configlog.go
@@ -42,7 +42,7 @@
 type Ref struct {
 	Revision inventory.Revision `json:"revision"`
 	ChangeID string             `json:"change_id"`
-	// OpsInChunks says that the change's ops are stored in the chunks only.
+	// OpsInChunks means that the change's ops are stored in the chunks only.
 	OpsInChunks bool `json:"rebased,omitempty"`
 }
 
@@ -88,9 +88,10 @@
 // Change is one accepted change of the inventory. It is also its own entry of the
 // audit trail, so the two cannot differ.
 type Change struct {
-	ID       string             `json:"id"`
-	Operator string             `json:"operator"`
-	At       time.Time          `json:"at"`
+	ID       string    `json:"id"`
+	Operator string    `json:"operator"`
+	At       time.Time `json:"at"`
+	// From is the revision that the operator made the change from.
 	From     inventory.Revision `json:"from"`
 	Revision inventory.Revision `json:"revision"`
 	Note     string             `json:"note,omitempty"`
@@ -98,7 +99,7 @@
 	// be followed beyond the changes that the head names.
 	Previous *Ref           `json:"previous,omitempty"`
 	Ops      []inventory.Op `json:"ops,omitempty"`
-	// OpsInChunks says that the ops were too large and are stored in the head's chunks.
+	// OpsInChunks means that the ops were too large and are stored in the head's chunks.
 	OpsInChunks bool `json:"rebased,omitempty"`
 	// Items is the number of ops.
 	Items int `json:"items"`
--- a/internal/configlog/publish.go
+++ b/internal/configlog/publish.go
@@ -28,16 +28,18 @@
 	// under the same identifier is accepted only once.
 	ChangeID string
 	Operator string
-	From     inventory.Revision
-	Note     string
-	Ops      []inventory.Op
+	// From is the revision that the change is based on.
+	From inventory.Revision
+	Note string
+	Ops  []inventory.Op
 }
 
 // StaleError reports a change that was based on an old revision.
 type StaleError struct {
 	From    inventory.Revision
 	Current inventory.Revision
-	Since   []Change
+	// Since contains the changes accepted after From, as far as they could be read.
+	Since []Change
 }
 
 // Error implements error.
@@ -111,8 +113,9 @@
 	return &Publisher{objects: objects, reader: NewReader(objects)}
 }
 
-// Publish attempts to get a change accepted and returns it with its revision. The
-// error carries a verdict: NotRun if the change was not accepted and never
+// Publish attempts to get a change accepted and returns it with its revision. It starts
+// from a known snapshot of any revision and reads what was accepted since. The error
+// carries a verdict: NotRun if the change was not accepted and never
 // will be, MayHaveRun if that is not known.
 func (p *Publisher) Publish(ctx context.Context, known *inventory.Snapshot, proposal Proposal, now time.Time) (Change, error) {
 	var lost error
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -15,10 +15,10 @@
 	"github.com/hashicorp/go-hclog"
 )
 
-// outageGrace is how long after a store outage a runner whose entry is missing is kept.
-// Entries expire while the store is unreachable, and live runners rewrite theirs within
-// about two seconds of its return. Without the grace period every outage would remove
-// all runners at once.
+// outageGrace is how long after a store outage, or after the store was restored from an
+// older copy, a runner whose entry is missing is kept. Entries expire while the store is
+// unreachable, and live runners rewrite theirs within about two seconds of its return.
+// Without the grace period every outage would remove all runners at once.
 const outageGrace = 2300 * time.Millisecond
 
 // Decoder decodes the platform's records.
@@ -65,6 +65,8 @@
 	log     hclog.Logger
 	now     func() time.Time
 
+	// Configs, Runners and Versions receive the store's records. Changes to them update the
+	// snapshot.
 	Configs  *registry.Replica
 	Runners  *registry.Replica
 	Versions *registry.Replica
@@ -77,7 +79,8 @@
 	mu     sync.Mutex
 	config *site.Config
 	// runners holds the runners' entries by instance. lapsedUntil holds the instances
-	// whose entries expired in a store outage, with the end of their grace period.
+	// whose entries are missing after a store outage or a restore, with the end of their
+	// grace period.
 	runners     map[string]runnerEntry
 	lapsedUntil map[string]time.Time
 	// leavingSince holds the lifetimes that reported that they are leaving, and when.
@@ -179,7 +182,7 @@
 	if change.Removed {
 		if now.Before(d.graceUntil) {
 			d.lapsedUntil[change.Name] = d.graceUntil
-			d.log.Info("runner missing after a store outage; keeping it for the grace period", "runner", change.Name, "believed_ms", d.graceUntil.Sub(now).Milliseconds())
+			d.log.Info("runner missing after an outage or a restore of the store; keeping it for the grace period", "runner", change.Name, "believed_ms", d.graceUntil.Sub(now).Milliseconds())
 			return
 		}
 		d.recordRemoval(change.Name, now)
@@ -223,14 +226,14 @@
 // MarkRestarted records that a runner reported a restart under the same instance before
 // its entry shows it. While the runner is partitioned from the store its entry stays
 // unchanged, and this host would wait for adapters of the previous lifetime.
-func (d *Directory) MarkRestarted(instance string, born int64) {
+func (d *Directory) MarkRestarted(instance string, startedMS int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	known, ok := d.runners[instance]
-	if !ok || born <= known.StartedMS {
+	if !ok || startedMS <= known.StartedMS {
 		return
 	}
-	d.putRunner(known.WithStart(born), known.revision)
+	d.putRunner(known.WithStart(startedMS), known.revision)
 	d.publish()
 }
 
@@ -320,9 +323,9 @@
 //
 // The copy may list a runner as ready that has left or no longer exists, until the runner
 // writes its state again or its entry expires. Trusting it would send the runner requests
-// long after the store acknowledged that it is leaving, and its responses would break off.
-// The copy may also lack a live runner; removing that one would get its callers refused
-// until its entry is back.
+// long after the store acknowledged that it is leaving, and its responses would be cut off.
+// The copy may also lack a live runner. If that one were removed, its callers would be
+// refused until its entry is back.
 func (d *Directory) handleNewEra(registry.Era) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -368,7 +371,7 @@
 		if now.Before(until) {
 			continue
 		}
-		d.removeRunner(instance, "still missing after the grace period that follows a store outage")
+		d.removeRunner(instance, "still missing at the end of the grace period")
 		delete(d.lapsedUntil, instance)
 		changed = true
 	}
@@ -439,8 +442,8 @@
 }
 
 // newestByAddress returns the newest runner at each address. The lock is held. A process
-// that crashed and restarted under another instance is listed beside its former entry
-// until that expires; requests sent to the former one would be refused for seconds.
+// that crashed and restarted under another instance is listed twice until its former entry
+// expires; requests sent to the former instance would be refused for seconds.
 func (d *Directory) newestByAddress() map[string]runnerEntry {
 	byAddress := make(map[string]runnerEntry, len(d.runners))
 	for _, runner := range d.runners {
--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -13,6 +13,8 @@
 	"github.com/shoenig/test/must"
 )
 
+// decoder decodes a configuration or a version from a number, and a runner from a boolean
+// (whether it is leaving) or from an object with its start time (born) and address.
 type decoder struct{}
 
 func (decoder) Config(spec json.RawMessage) (*site.Config, error) {
@@ -148,6 +150,7 @@
 	must.SliceEmpty(t, d.Snapshot().ByService["s"])
 }
 
+// An older version of an adapter that arrives under a newer revision is ignored.
 func TestVersionsOnlyGrow(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
--- a/internal/inventory/document.go
+++ b/internal/inventory/document.go
@@ -27,7 +27,7 @@
 	Name     string   `json:"name"`
 	Base     string   `json:"base"`
 	Versions []string `json:"versions"`
-	// Current is the version served to callers that name none.
+	// Current is the version that serves requests without a version.
 	Current string `json:"current"`
 	// Callers lists who may use the adapter; AnyCaller allows all.
 	Callers []string `json:"callers"`
--- a/internal/inventory/snapshot.go
+++ b/internal/inventory/snapshot.go
@@ -18,7 +18,7 @@
 const shardCount = 1024
 
 // record is an adapter as a snapshot stores it. All but the name is interned,
-// since many adapters share it: 140,000 must fit into a few megabytes.
+// since many adapters share it: 140,000 adapters must fit into 16 MB.
 type record struct {
 	name    string
 	profile *profile
@@ -90,6 +90,8 @@
 	return to
 }
 
+// applyOp applies an op to a snapshot that is not shared yet. The set copied contains the
+// shards that have been copied since the clone and may be modified.
 func (s *Snapshot) applyOp(op Op, copied map[int]bool) error {
 	switch {
 	case op.PutAdapter != nil:
@@ -312,8 +314,8 @@
 	Priority      int
 }
 
-// PolicyFor applies the rules to a caller's request; adapter or service is empty where
-// it does not apply. Later rules override the priority of earlier ones.
+// PolicyFor applies the rules to a caller's request, which is either for an adapter or for
+// a service; the other name is empty. Later rules override the priority of earlier ones.
 func (s *Snapshot) PolicyFor(caller Caller, adapter, service, path string) Policy {
 	policy := Policy{Priority: caller.Priority}
 	for _, rule := range s.rules {
