--- a/internal/adminapi/adminapi.go
+++ b/internal/adminapi/adminapi.go
@@ -66,9 +66,11 @@
 
 // ErrorResult is the JSON body of an error.
 type ErrorResult struct {
-	Code    string             `json:"code"`
-	Message string             `json:"message"`
-	Verdict verdict.Verdict    `json:"verdict"`
+	Code    string          `json:"code"`
+	Message string          `json:"message"`
+	Verdict verdict.Verdict `json:"verdict"`
+	// Current and Since are set if a change was based on an old revision: the revision in
+	// force, and the changes accepted since.
 	Current inventory.Revision `json:"current,omitempty"`
 	Since   []configlog.Change `json:"since,omitempty"`
 }
@@ -86,9 +88,12 @@
 // Node is the part of this host that operators inspect and control.
 type Node interface {
 	Snapshot() *inventory.Snapshot
+	// Accepted puts an accepted change in force on this host.
 	Accepted(change configlog.Change)
 	Status() Status
+	// Explain returns how a request was handled, and false if no host knows it.
 	Explain(ctx context.Context, request string) (dispatch.TraceReport, bool)
+	// Drain makes an entry host not ready and makes it give up its runners.
 	Drain(ctx context.Context, host string) error
 }
 
@@ -267,11 +272,11 @@
 
 func (a *API) explain(c echo.Context) error {
 	id := c.Param("id")
-	story, ok := a.node.Explain(c.Request().Context(), id)
+	report, ok := a.node.Explain(c.Request().Context(), id)
 	if !ok {
 		return &apiError{status: http.StatusNotFound, body: ErrorResult{Code: CodeNotFound, Message: "no host remembers request " + id, Verdict: verdict.NotRun}}
 	}
-	return c.JSON(http.StatusOK, story)
+	return c.JSON(http.StatusOK, report)
 }
 
 func (a *API) drain(c echo.Context) error {
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -16,23 +16,27 @@
 	Now      time.Time          `json:"now"`
 	Revision inventory.Revision `json:"revision"`
 	Adapters int                `json:"adapters"`
-	// LeaseValid says that this host's lease is valid, which shows that the object API
-	// answers it.
-	LeaseValid bool                     `json:"lease_valid"`
-	Hosts      []HostStatus             `json:"hosts"`
-	Runners    []RunnerStatus           `json:"runners"`
-	Services   []fleet.Host             `json:"services,omitempty"`
-	Loads      loading.View             `json:"loads"`
-	Requests   dispatch.MetricsSnapshot `json:"requests"`
-	InUse      int                      `json:"in_use"`
-	Waiting    int                      `json:"waiting"`
+	// LeaseValid means that this host's lease is valid, so the object API answered it
+	// recently.
+	LeaseValid bool           `json:"lease_valid"`
+	Hosts      []HostStatus   `json:"hosts"`
+	Runners    []RunnerStatus `json:"runners"`
+	// Services are the hosts that run plain services.
+	Services []fleet.Host             `json:"services,omitempty"`
+	Loads    loading.View             `json:"loads"`
+	Requests dispatch.MetricsSnapshot `json:"requests"`
+	// InUse and Waiting are the numbers of requests that run and that wait for admission
+	// on this host.
+	InUse   int `json:"in_use"`
+	Waiting int `json:"waiting"`
 }
 
 // HostStatus is the state of one entry host.
 type HostStatus struct {
 	fleet.Member
 	State fleet.State `json:"state"`
-	Alive bool        `json:"speaking"`
+	// Alive means that this host still receives heartbeats of the entry host.
+	Alive bool `json:"speaking"`
 }
 
 // RunnerStatus is the state of one runner.
--- a/internal/adminclient/adminclient.go
+++ b/internal/adminclient/adminclient.go
@@ -74,7 +74,7 @@
 	return result, c.call(ctx, http.MethodGet, "/v1/requests/"+url.PathEscape(request), nil, &result)
 }
 
-// Drain makes an entry host hand over its work.
+// Drain makes an entry host not ready and makes it give up its runners.
 func (c *Client) Drain(ctx context.Context, host string) error {
 	var result map[string]string
 	return c.call(ctx, http.MethodPost, "/v1/hosts/"+url.PathEscape(host)+"/drain", nil, &result)
--- a/internal/callerapi/answer.go
+++ b/internal/callerapi/answer.go
@@ -117,9 +117,9 @@
 	*a = assembler{texts: map[int]*strings.Builder{}, reasons: map[int]*string{}}
 }
 
-func (a *assembler) add(raw engine.Piece) error {
+func (a *assembler) add(piece engine.Piece) error {
 	var chunk completionChunk
-	if err := json.Unmarshal(raw.Data, &chunk); err != nil {
+	if err := json.Unmarshal(piece.Data, &chunk); err != nil {
 		return errors.Wrap(err, "piece of an answer")
 	}
 	usage := a.last.Usage
--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -44,6 +44,7 @@
 )
 
 const (
+	// maxKeyLength is the maximum length of a request ID or an idempotency key, in bytes.
 	maxKeyLength = 256
 )
 
@@ -56,8 +57,8 @@
 // Inventory provides the snapshot in force.
 type Inventory interface{ Snapshot() *inventory.Snapshot }
 
-// Streams counts the requests in progress, to limit them and for graceful shutdown.
-type Streams interface {
+// RequestLimiter counts the requests in progress, to limit them and for graceful shutdown.
+type RequestLimiter interface {
 	// Begin returns false if too many requests are in progress.
 	Begin() bool
 	End()
@@ -67,14 +68,14 @@
 type API struct {
 	dispatcher Dispatcher
 	inventory  Inventory
-	streams    Streams
+	limiter    RequestLimiter
 	ready      func() bool
 	maxBody    int64
 }
 
 // New returns an API; ready reports whether this host takes requests.
-func New(dispatcher Dispatcher, inv Inventory, streams Streams, ready func() bool, maxBody int64) *API {
-	return &API{dispatcher: dispatcher, inventory: inv, streams: streams, ready: ready, maxBody: maxBody}
+func New(dispatcher Dispatcher, inv Inventory, limiter RequestLimiter, ready func() bool, maxBody int64) *API {
+	return &API{dispatcher: dispatcher, inventory: inv, limiter: limiter, ready: ready, maxBody: maxBody}
 }
 
 // Handler returns the HTTP handler.
@@ -238,10 +239,10 @@
 		return err
 	}
 	req.Service = name
-	if !a.streams.Begin() {
-		return tooManyStreams()
+	if !a.limiter.Begin() {
+		return tooManyRequests()
 	}
-	defer a.streams.End()
+	defer a.limiter.End()
 	call := plain.Call{
 		Method: c.Request().Method, Path: path, Query: c.Request().URL.RawQuery,
 		Header: c.Request().Header, Body: body, TraceID: req.ID,
@@ -253,7 +254,7 @@
 	return writeAnswer(c, answer)
 }
 
-func tooManyStreams() error {
+func tooManyRequests() error {
 	return &dispatch.Refusal{
 		Status: http.StatusServiceUnavailable, Code: dispatch.CodeOverloaded,
 		Message: "too many requests are under way on this host", Verdict: verdict.NotRun, RetryAfter: time.Second,
@@ -303,10 +304,10 @@
 	if err != nil {
 		return err
 	}
-	if !a.streams.Begin() {
-		return tooManyStreams()
+	if !a.limiter.Begin() {
+		return tooManyRequests()
 	}
-	defer a.streams.End()
+	defer a.limiter.End()
 	if body.Stream {
 		return a.completeStream(c, req)
 	}
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -41,10 +41,10 @@
 	return plain.Answer{Status: 201, Header: http.Header{"X-Own": {"kept"}}, Body: []byte("made")}, f.refusal
 }
 
-type fakeStreams struct{ full bool }
+type fakeLimiter struct{ full bool }
 
-func (f fakeStreams) Begin() bool { return !f.full }
-func (fakeStreams) End()          {}
+func (f fakeLimiter) Begin() bool { return !f.full }
+func (fakeLimiter) End()          {}
 
 type fixedInventory struct{ snapshot *inventory.Snapshot }
 
@@ -130,7 +130,7 @@
 	if key != "-" {
 		req.Header.Set("Authorization", "Bearer "+key)
 	}
-	api := New(&e.dispatcher, fixedInventory{snapshot(t)}, fakeStreams{e.full}, func() bool { return true }, 1000)
+	api := New(&e.dispatcher, fixedInventory{snapshot(t)}, fakeLimiter{e.full}, func() bool { return true }, 1000)
 	recorder := httptest.NewRecorder()
 	api.Handler().ServeHTTP(recorder, req)
 	return recorder
