--- a/internal/losses/losses.go
+++ b/internal/losses/losses.go
@@ -39,30 +39,34 @@
 	// dominantShare is the share of the target latency above which waiting for an adapter load
 	// is the cause of a late response.
 	dominantShare = 0.5
-	// maxLineBytes limits the length of a line; that of a request has about 1 KB.
+	// maxLineBytes limits the length of a line. A request line has about 1 KB.
 	maxLineBytes = 1 << 20
 )
 
 // Request is a request as logged. Times are in milliseconds.
 type Request struct {
-	Message      string    `json:"@message"`
-	At           time.Time `json:"@timestamp"`
-	ID           string    `json:"id"`
-	Kind         string    `json:"kind"`
-	Workspace    string    `json:"workspace"`
-	Route        string    `json:"route"`
-	Status       int       `json:"status"`
-	Complete     bool      `json:"complete"`
-	Sends        int       `json:"sends"`
-	DurationMS   float64   `json:"ms"`
-	FirstMS      float64   `json:"first_ms"`
-	LoadWaitMS   float64   `json:"load_wait_ms"`
-	GapMS        float64   `json:"gap_ms"`
-	TargetMS     float64   `json:"target_ms"`
-	TargetGapMS  float64   `json:"target_gap_ms"`
-	Answered     string    `json:"answered"`
-	NotAdmitted  string    `json:"not_admitted"`
-	FailureCause string    `json:"cause"`
+	Message     string    `json:"@message"`
+	At          time.Time `json:"@timestamp"`
+	ID          string    `json:"id"`
+	Kind        string    `json:"kind"`
+	Workspace   string    `json:"workspace"`
+	Route       string    `json:"route"`
+	Status      int       `json:"status"`
+	Complete    bool      `json:"complete"`
+	Sends       int       `json:"sends"`
+	DurationMS  float64   `json:"ms"`
+	FirstMS     float64   `json:"first_ms"`
+	LoadWaitMS  float64   `json:"load_wait_ms"`
+	GapMS       float64   `json:"gap_ms"`
+	TargetMS    float64   `json:"target_ms"`
+	TargetGapMS float64   `json:"target_gap_ms"`
+	// Answered is the reason that the response gave for a refusal or a failure.
+	Answered string `json:"answered"`
+	// NotAdmitted lists the reasons for which runners did not admit the request, separated by
+	// "; ".
+	NotAdmitted string `json:"not_admitted"`
+	// FailureCause is the cause of the last failed attempt.
+	FailureCause string `json:"cause"`
 }
 
 // Cause returns the reason why a request was not served on time, or OnTime.
--- a/internal/losses/trace.go
+++ b/internal/losses/trace.go
@@ -43,7 +43,7 @@
 	return ""
 }
 
-// ReadTrace returns the lines about one request in logs, in the order of time. Lines that cannot
+// ReadTrace returns the lines about one request in logs, sorted by time. Lines that cannot
 // be parsed are ignored, because other lines of the request contain the same information.
 func ReadTrace(logs io.Reader, id string) ([]TraceLine, error) {
 	scanner := bufio.NewScanner(logs)
--- a/internal/losses/trace_test.go
+++ b/internal/losses/trace_test.go
@@ -29,7 +29,8 @@
 	}, HostsToRead(lines))
 }
 
-// For a refusal by quota, the host that counted is named as well. If no host was asked, none is.
+// For a refusal by quota, the host that counted the request is returned as well. If counted_by
+// holds a reason instead of a host, only the host that served the request is returned.
 func TestHostsToReadIncludeQuotaHost(t *testing.T) {
 	lines, err := ReadTrace(strings.NewReader(`{"@message":"request","host":"h4","id":"q","workspace":"harbour","counted_by":"h6","answered":"the workspace has used its quota up"}
 {"@message":"request","host":"h5","id":"r","workspace":"harbour","counted_by":"a refusal of all parts a moment ago"}`), "q")
--- a/internal/objectapi/client.go
+++ b/internal/objectapi/client.go
@@ -21,7 +21,7 @@
 	firstGetTimeout    = time.Second
 	watchTimeoutMargin = 2 * time.Second
 	maxListingBytes    = 64 << 20
-	maxErrorBodySize   = 512
+	maxErrorBodyBytes  = 512
 )
 
 // Client calls the object API over HTTP with JSON. It is safe for concurrent use.
@@ -163,7 +163,7 @@
 		return resp, nil
 	}
 	defer func() { _ = resp.Body.Close() }()
-	info, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodySize))
+	info, _ := io.ReadAll(io.LimitReader(resp.Body, maxErrorBodyBytes))
 	return nil, &Error{Op: op, Key: key, Cause: statusCause(method, resp.StatusCode), Detail: strings.TrimSpace(string(info))}
 }
 
--- a/internal/plain/plain.go
+++ b/internal/plain/plain.go
@@ -1,5 +1,5 @@
 // Package plain is the client of plain HTTP services. It forwards requests and answers
-// unchanged but for some headers, and reports how far a failed request got.
+// unchanged except for some headers, and reports how far a failed request got.
 package plain
 
 import (
@@ -50,14 +50,14 @@
 
 // NewClient returns a client; timeout bounds a whole request.
 func NewClient(dial func(ctx context.Context, network, address string) (net.Conn, error), timeout time.Duration) *Client {
-	transport := func(keepAlive bool) *http.Client {
+	newClient := func(keepAlive bool) *http.Client {
 		return &http.Client{
 			Transport: &http.Transport{DialContext: dial, DisableKeepAlives: !keepAlive, MaxIdleConnsPerHost: maxIdlePerHost, DisableCompression: true},
 			// All answers go to the caller, redirects included.
 			CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 		}
 	}
-	return &Client{timeout: timeout, pooled: transport(true), singleUse: transport(false)}
+	return &Client{timeout: timeout, pooled: newClient(true), singleUse: newClient(false)}
 }
 
 // droppedHeaders are not forwarded: hop-by-hop headers, credentials, and the idempotency
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -81,8 +81,8 @@
 }
 
 const (
-	minPeerKeyLength      = 16
-	maxRetryBudget        = 1
+	minPeerKeyLength      = 16 // characters
+	maxRetryBudget        = 1  // retries per first attempt
 	minHeartbeatsPerLease = 4
 	maxDuration           = 24 * time.Hour
 )
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -99,6 +99,8 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
+	// Slots is the number of request slots of a runner: the requests that it processes at a
+	// time.
 	Slots int
 	// WeightsMB is the memory of a runner for the weights of models and adapters.
 	WeightsMB    float64
--- a/internal/site/workspace.go
+++ b/internal/site/workspace.go
@@ -35,8 +35,8 @@
 // Bounded reports whether the quota limits anything.
 func (q Quota) Bounded() bool { return q.Rate > 0 }
 
-// Cost returns the cost of a request in units. Tokens is the sum of the tokens in its prompt and
-// its response; it is used only if the caller stated them.
+// Cost returns the cost of a request in units. The argument tokens is the sum of the tokens in
+// its prompt and its response; it is used only if the caller stated them.
 func (q Quota) Cost(tokens int64, known bool) float64 {
 	switch {
 	case !q.InTokens:
@@ -57,7 +57,7 @@
 	return *w.Priority
 }
 
-// Workspaces are the workspaces of one configuration. It is immutable.
+// Workspaces holds the workspaces of one configuration. It is immutable.
 type Workspaces struct {
 	byName     map[string]*Workspace
 	keyHolders credential.Holders
