--- a/internal/node/baseline_test.go
+++ b/internal/node/baseline_test.go
@@ -18,7 +18,7 @@
 
 // baseline is a set of entry hosts that do not cooperate.
 type baseline struct {
-	world     *standin.Environment
+	env       *standin.Environment
 	client    *engine.Client
 	d         deployment
 	loadSlots chan struct{}
@@ -41,21 +41,21 @@
 func runBaseline(t *testing.T, d deployment, trace []traceRequest) (result outcome) {
 	synctest.Test(t, func(t *testing.T) {
 		network := standin.NewNetwork()
-		world, err := standin.NewEnvironment(d.world(), func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
+		env, err := standin.NewEnvironment(d.environment(), func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
 		must.NoError(t, err)
 		ctx, stop := context.WithCancel(context.Background())
 		defer func() {
 			stop()
-			world.Close()
+			env.Close()
 			network.Close()
 			time.Sleep(time.Minute)
 		}()
-		b := &baseline{world: world, d: d, loadSlots: make(chan struct{}, d.parallel), client: engine.NewClient(engine.Config{
+		b := &baseline{env: env, d: d, loadSlots: make(chan struct{}, d.parallel), client: engine.NewClient(engine.Config{
 			Dial: network.Host("hosts").Dial, ConnectTimeout: time.Second, FirstPieceTimeout: time.Minute,
 			SilenceTimeout: time.Minute, OrderTimeout: time.Minute,
 		})}
 		result = b.play(ctx, trace)
-		result.measure(world)
+		result.measure(env)
 	})
 	return result
 }
@@ -255,8 +255,9 @@
 	return result
 }
 
-// evictFarthest evicts the resident model whose next use is farthest away, unless it is needed
-// before the model that it makes room for and the eviction is not forced.
+// evictFarthest evicts the resident model whose next use is farthest away and reports whether it
+// did. Unless forced, it keeps a model that is needed again before nextUse, the request for which
+// it makes room.
 func evictFarthest(readyAt map[int]time.Duration, futureUses map[int][]int, nextUse int, forced bool) bool {
 	victim, farthest := -1, -1
 	for model := range readyAt {
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -35,7 +35,7 @@
 type cluster struct {
 	t     *testing.T
 	net   *standin.Network
-	world *standin.Environment
+	env   *standin.Environment
 	nodes map[string]*testNode
 	// configure changes the settings of nodes before they are started.
 	configure func(cfg *settings.Settings)
@@ -51,7 +51,7 @@
 	closers []io.Closer
 }
 
-func smallWorld() standin.EnvironmentConfig {
+func smallEnvironment() standin.EnvironmentConfig {
 	return standin.EnvironmentConfig{
 		Runners: 2, Slots: 2, MaxBatch: 8, TokenTime: 20 * time.Millisecond, LoadTime: 300 * time.Millisecond,
 		ReportLag: 200 * time.Millisecond, ParallelLoads: 1, Base: "base", DataCentre: "hall", Service: "dispatch",
@@ -60,16 +60,16 @@
 
 // inCluster runs a test in virtual time with the given number of entry hosts, once they are
 // ready.
-func inCluster(t *testing.T, hosts int, world standin.EnvironmentConfig, run func(c *cluster)) {
+func inCluster(t *testing.T, hosts int, envConfig standin.EnvironmentConfig, run func(c *cluster)) {
 	t.Helper()
-	inConfiguredCluster(t, hosts, world, nil, run)
+	inConfiguredCluster(t, hosts, envConfig, nil, run)
 }
 
 // inConfiguredCluster is like inCluster, with changed settings.
-func inConfiguredCluster(t *testing.T, hosts int, world standin.EnvironmentConfig, configure func(cfg *settings.Settings), run func(c *cluster)) {
+func inConfiguredCluster(t *testing.T, hosts int, envConfig standin.EnvironmentConfig, configure func(cfg *settings.Settings), run func(c *cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, world)
+		c := newCluster(t, envConfig)
 		c.configure = configure
 		defer c.close()
 		for i := range hosts {
@@ -85,9 +85,9 @@
 func newCluster(t *testing.T, cfg standin.EnvironmentConfig) *cluster {
 	t.Helper()
 	network := standin.NewNetwork()
-	world, err := standin.NewEnvironment(cfg, func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
+	env, err := standin.NewEnvironment(cfg, func(name string) (net.Listener, error) { return network.Host(name).Listen("80") })
 	must.NoError(t, err)
-	return &cluster{t: t, net: network, world: world, nodes: map[string]*testNode{}}
+	return &cluster{t: t, net: network, env: env, nodes: map[string]*testNode{}}
 }
 
 func sampleDocument() inventory.Document {
@@ -120,7 +120,7 @@
 	c.t.Helper()
 	cfg := defaultSettings(c.t)
 	cfg.Host, cfg.DataCentre = id, "hall"
-	cfg.ObjectAPI = "http://" + c.world.Address
+	cfg.ObjectAPI = "http://" + c.env.Address
 	cfg.HostList = cfg.ObjectAPI
 	cfg.CallersListen, cfg.OperatorsListen, cfg.PeersListen = id+":80", id+":81", id+":82"
 	cfg.PeerKey = testPeerKey
@@ -129,7 +129,7 @@
 		c.configure(cfg)
 	}
 	must.NoError(c.t, cfg.Check())
-	c.world.AddEntry(id, "hall", cfg.PeersListen)
+	c.env.AddEntry(id, "hall", cfg.PeersListen)
 	host := c.net.Host(id)
 	n := New(cfg, host.Dial, hclog.New(&hclog.LoggerOptions{Level: logLevel, Output: testLog{c.t}, Name: id}))
 	ctx, cancel := context.WithCancel(context.Background())
@@ -179,7 +179,7 @@
 	for id := range c.nodes {
 		c.kill(id)
 	}
-	c.world.Close()
+	c.env.Close()
 	c.net.Close()
 	// Let clients notice that their connections were closed.
 	time.Sleep(time.Minute)
@@ -292,7 +292,7 @@
 // evictedInUse returns the number of evictions of models in use on all engines.
 func (c *cluster) evictedInUse() int {
 	evicted := 0
-	for _, e := range c.world.Engines {
+	for _, e := range c.env.Engines {
 		evicted += e.Counts().EvictedInUse
 	}
 	return evicted
@@ -301,7 +301,7 @@
 // runs returns how often a request was started on any engine.
 func (c *cluster) runs(id string) int {
 	runs := 0
-	for _, e := range c.world.Engines {
+	for _, e := range c.env.Engines {
 		runs += e.Runs(id)
 	}
 	return runs
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -35,8 +35,8 @@
 	// The object API twice applies a change but loses the response. The operator is told that
 	// the change was accepted, it is in force everywhere, and the audit trail contains it once.
 	// Submitting it again with the same ID does not repeat it.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		c.world.Platform.DropResponses(2)
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
+		c.env.Platform.DropResponses(2)
 		result, err := c.change("e1", "lost", 1, putRule("r", "farm"))
 		must.NoError(t, err)
 		must.Eq(t, 2, result.Revision)
@@ -55,7 +55,7 @@
 func TestRace07TwoOperatorsOneRule(t *testing.T) {
 	// Two operators change the same rule from the same revision through different hosts. One
 	// change is accepted. The other is rejected with verdict not-run and the changes made since.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		outcomes := make(chan error, 2)
 		for _, host := range []string{"e1", "e2"} {
 			go func() {
@@ -80,14 +80,14 @@
 func TestRace08HostStartsWhileStoreIsDown(t *testing.T) {
 	// The object API is down, and one of two hosts was cut off and is a revision behind. A new
 	// host that hears both adopts the newer revision, and no host returns to an older one.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.net.Partition("e2", "e1")
 		c.net.Partition("e2", "platform")
 		_, err := c.change("e1", "second", 1, putRule("r", "farm"))
 		must.NoError(t, err)
 		time.Sleep(5 * time.Second)
 		must.Eq(t, 1, c.nodes["e2"].Snapshot().Revision())
-		c.world.Platform.SetDown(true)
+		c.env.Platform.SetDown(true)
 		c.start("e3")
 		c.net.Partition("e3", "e1")
 		time.Sleep(2 * time.Second)
@@ -108,8 +108,8 @@
 	// Watches deliver nothing, and connections of the hosts to the platform are silent. A change
 	// still comes into force on all hosts within 5 s, through messages between peers and the
 	// poll.
-	inCluster(t, 4, smallWorld(), func(c *cluster) {
-		c.world.Platform.MuteWatches(true)
+	inCluster(t, 4, smallEnvironment(), func(c *cluster) {
+		c.env.Platform.MuteWatches(true)
 		for id := range c.nodes {
 			c.net.Blackhole(id, "platform")
 		}
@@ -121,10 +121,10 @@
 }
 
 func TestChangeReachesHostThatHearsNoPeer(t *testing.T) {
-	// One host hears neither its peers nor, because watches are silent, of changes. The slow
-	// poll of the head alone delivers the change within 5 s.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
-		c.world.Platform.MuteWatches(true)
+	// One host is cut off from its peers, and watches deliver nothing. The slow poll of the
+	// head alone delivers the change within 5 s.
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
+		c.env.Platform.MuteWatches(true)
 		c.net.Partition("e3", "e1")
 		c.net.Partition("e3", "e2")
 		_, err := c.change("e1", "quiet", 1, putRule("r", "farm"))
@@ -138,9 +138,9 @@
 	// The object API is down for an hour. Requests are still served, including loads and
 	// evictions, because these engines check fencing numbers. A change is rejected at once with
 	// verdict not-run. When the API returns, the hosts do not flood it.
-	inCluster(t, 4, smallWorld(), func(c *cluster) {
+	inCluster(t, 4, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0", "a1", "a2", "a3")
-		c.world.Platform.SetDown(true)
+		c.env.Platform.SetDown(true)
 		time.Sleep(30 * time.Minute)
 		requireComplete(t, c.complete("e2", "a0", "resident", 5), "a0@1", 5)
 		requireComplete(t, c.complete("e3", "a6", "cold", 5), "a6@1", 5)
@@ -150,10 +150,10 @@
 		must.Eq(t, http.StatusServiceUnavailable, refused.Status)
 		must.Eq(t, verdict.NotRun, refused.Verdict())
 		time.Sleep(30 * time.Minute)
-		before, _ := c.world.Platform.Calls()
-		c.world.Platform.SetDown(false)
+		before, _ := c.env.Platform.Calls()
+		c.env.Platform.SetDown(false)
 		time.Sleep(time.Second)
-		after, _ := c.world.Platform.Calls()
+		after, _ := c.env.Platform.Calls()
 		must.LessEq(t, 10*len(c.nodes), after-before)
 		time.Sleep(20 * time.Second)
 		_, err = c.change("e1", "accepted", 1, putRule("r", "farm"))
@@ -167,7 +167,7 @@
 func TestChangeDuringReplacement(t *testing.T) {
 	// A host is replaced after it accepted a change. The new process has the change in force
 	// before it reports ready.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		_, err := c.change("e1", "mid", 1, putRule("r", "farm"))
 		must.NoError(t, err)
 		c.kill("e1")
@@ -183,7 +183,7 @@
 	// 150 changes are made in turn through all hosts, spanning two compactions. Each is accepted
 	// from the previous revision, every host ends with all of them, and the audit trail lists
 	// each.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		hosts := []string{"e1", "e2", "e3"}
 		for i := range 150 {
 			revision := inventory.Revision(i + 1)
@@ -204,13 +204,13 @@
 	// The object API is down and one of two hosts is a revision behind. A new host hears that
 	// host first. It does not report ready before it has heard the other one, or callers would
 	// see the accepted change revert.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.net.Partition("e2", "e1")
 		c.net.Partition("e2", "platform")
 		_, err := c.change("e1", "second", 1, putRule("r", "farm"))
 		must.NoError(t, err)
 		time.Sleep(time.Second)
-		c.world.Platform.SetDown(true)
+		c.env.Platform.SetDown(true)
 		fresh := c.start("e3")
 		c.net.Partition("e3", "e1")
 		time.Sleep(1200 * time.Millisecond)
--- a/internal/node/demand.go
+++ b/internal/node/demand.go
@@ -27,10 +27,12 @@
 	node      *Node
 	estimator *demand.Estimator
 
-	mu            sync.Mutex
+	mu sync.Mutex
+	// pending holds the counts for the next heartbeats, by home and model.
 	pending       map[string]map[string]float64
 	reportedRates map[string]reportedRate
-	ratesSentAt   map[string]time.Time
+	// ratesSentAt holds the time of the last rate report, by host.
+	ratesSentAt map[string]time.Time
 }
 
 // reportedRate is a rate reported by a model's home.
@@ -115,7 +117,7 @@
 	}
 	candidates := d.node.candidates(now)
 	var rates []demand.Count
-	for _, view := range d.node.table.Views() {
+	for _, view := range d.node.runnerTable.Views() {
 		if view.Owner != host {
 			continue
 		}
--- a/internal/node/experiment_test.go
+++ b/internal/node/experiment_test.go
@@ -24,11 +24,11 @@
 
 // The experiment runs the daemon's code in virtual time with stand-in engines. Its trace has a
 // skewed popularity that shifts without warning, a quiet period, and a burst on adapters that
-// were cold. The same trace is replayed on the baseline (hosts that do not cooperate: each uses
-// the least loaded runner that has the adapter as far as it knows, or else loads it on the least
-// loaded runner and evicts what it used least recently) and on a reference that knows the whole
-// trace. CHERRYSTAGE_EXPERIMENT=full requests the full runs; otherwise one short run checks the
-// guarantees.
+// were not loaded. The same trace is replayed on the baseline (hosts that do not cooperate: each
+// uses the least loaded runner that has the adapter as far as it knows, or else loads it on the
+// least loaded runner and evicts what it used least recently) and on a reference that knows the
+// whole trace. CHERRYSTAGE_EXPERIMENT=full requests the full runs; otherwise one short run checks
+// the guarantees.
 
 // deployment is one of the users' deployments at its present size.
 type deployment struct {
@@ -36,12 +36,12 @@
 	runners   int
 	slots     int
 	batch     int
-	rate      float64 // loads a second
-	parallel  int
-	load      time.Duration
-	perSecond float64 // requests
-	burst     float64
-	pieces    int
+	rate      float64       // loads per second
+	parallel  int           // concurrent loads
+	load      time.Duration // time of one load
+	perSecond float64       // requests per second
+	burst     float64       // requests per second in the burst
+	pieces    int           // mean pieces per response
 	preset    string
 }
 
@@ -66,7 +66,7 @@
 }
 
 // makeTrace generates a trace with a quiet first quarter, a shift of popularity in the middle,
-// and a burst in the eighth tenth.
+// and a burst between 70% and 80% of its length.
 func makeTrace(d deployment, seed uint64, length time.Duration) []traceRequest {
 	random := rand.New(rand.NewPCG(seed, 1))
 	zipf := rand.NewZipf(random, 1.1, 1, adapterCount-1)
@@ -141,7 +141,7 @@
 	return document
 }
 
-func (d deployment) world() standin.EnvironmentConfig {
+func (d deployment) environment() standin.EnvironmentConfig {
 	return standin.EnvironmentConfig{
 		Runners: d.runners, Slots: d.slots, MaxBatch: d.batch, TokenTime: pieceTime, LoadTime: d.load,
 		ReportLag: 500 * time.Millisecond, ParallelLoads: d.parallel, Base: "base", DataCentre: "hall",
@@ -151,7 +151,7 @@
 // runDaemon replays a trace on the daemon's code.
 func runDaemon(t *testing.T, d deployment, trace []traceRequest, faults func(c *cluster)) (result outcome) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, d.world())
+		c := newCluster(t, d.environment())
 		c.configure = func(cfg *settings.Settings) {
 			cfg.Loads.Rate, cfg.Loads.Parallel, cfg.Loads.Time, cfg.Loads.Preset = d.rate, d.parallel, d.load, d.preset
 			cfg.Loads.Shares = entryHosts
@@ -163,15 +163,15 @@
 		c.apply(experimentDocument())
 		time.Sleep(10 * time.Second)
 		result = c.play(trace, faults)
-		result.measure(c.world)
+		result.measure(c.env)
 	})
 	return result
 }
 
 // measure adds what the engines and the weight store recorded.
-func (o *outcome) measure(world *standin.Environment) {
+func (o *outcome) measure(env *standin.Environment) {
 	var busy, filled float64
-	for _, e := range world.Engines {
+	for _, e := range env.Engines {
 		o.violations += e.Counts().EvictedInUse
 		o.loads += e.Counts().Loads
 		time, fill := e.BatchUtilization()
@@ -179,7 +179,7 @@
 		filled += time.Seconds() * fill
 	}
 	o.fill = filled / max(busy, 1)
-	o.peakLoadRate = peakRate(world.WeightStore.LoadStarts())
+	o.peakLoadRate = peakRate(env.WeightStore.LoadStarts())
 }
 
 // peakRate returns the maximum rate of load starts per second in any half minute.
@@ -274,11 +274,11 @@
 		c.kill("e3")
 		time.Sleep(part)
 		c.start("e3")
-		c.world.Engines[0].Restart()
+		c.env.Engines[0].Restart()
 		time.Sleep(2 * part)
-		c.world.Platform.SetDown(true)
+		c.env.Platform.SetDown(true)
 		time.Sleep(2 * part)
-		c.world.Platform.SetDown(false)
+		c.env.Platform.SetDown(false)
 		for id := range c.nodes {
 			if id != "e5" {
 				c.net.Partition("e5", id)
@@ -288,7 +288,7 @@
 		for id := range c.nodes {
 			c.net.Heal("e5", id)
 		}
-		c.world.Engines[1].Restart()
+		c.env.Engines[1].Restart()
 	}
 }
 
--- a/internal/node/foresight.go
+++ b/internal/node/foresight.go
@@ -146,7 +146,7 @@
 
 // prefetch requests a load of a model that is not on any runner. It reports whether it did.
 func (n *Node) prefetch(ctx context.Context, forecast demand.Forecast, now time.Time) bool {
-	if dispatch.HomeHost(forecast.Model, n.candidates(now)) != n.cfg.Host || len(n.table.RunnersWith(forecast.Model)) > 0 {
+	if dispatch.HomeHost(forecast.Model, n.candidates(now)) != n.cfg.Host || len(n.runnerTable.RunnersWith(forecast.Model)) > 0 {
 		return false
 	}
 	name, _ := inventory.SplitModel(forecast.Model)
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -11,7 +11,7 @@
 func TestNewVersionIsLoadedBeforeItIsCurrent(t *testing.T) {
 	// An adapter in steady use gets a new version, which is made current a minute later. The
 	// first request for the new version does not wait for a load.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		c.requestFor(time.Minute, "a0")
 		document := sampleDocument()
 		document.Adapters[0].Versions = []string{"1", "2", "3"}
@@ -49,10 +49,10 @@
 func TestRestartedEngineIsRefilledHottestFirst(t *testing.T) {
 	// Both engines restart empty. After 15 s without requests, the two adapters
 	// that were in use are resident again and requests do not wait for loads.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		c.requestFor(2*time.Minute, "a0", "a1")
-		c.world.Engine("runner-1").Restart()
-		c.world.Engine("runner-2").Restart()
+		c.env.Engine("runner-1").Restart()
+		c.env.Engine("runner-2").Restart()
 		time.Sleep(15 * time.Second)
 		before := c.countStalls()
 		requireComplete(t, c.complete("e1", "a0", "refilled-0", 5), "a0@1", 5)
@@ -64,7 +64,7 @@
 func TestDemandOutlivesItsHost(t *testing.T) {
 	// All entry hosts are replaced at once by hosts of the same names. Within a minute, the new
 	// ones have restored the demand estimates.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		c.requestFor(2*time.Minute, "a0", "a1")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			c.kill(id)
@@ -84,7 +84,7 @@
 func TestPrefetchBeforeUsualHour(t *testing.T) {
 	// An adapter is used at the same hour on three days. On the fourth day it is loaded shortly
 	// before that hour.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		now := time.Now().Truncate(time.Hour).Add(2 * time.Hour)
 		for day := range 3 {
 			at := now.Add(time.Duration(day-4) * 24 * time.Hour)
--- a/internal/node/history_test.go
+++ b/internal/node/history_test.go
@@ -51,7 +51,7 @@
 	// Six operators race changes through three hosts while the object API loses responses and
 	// has an outage. The results are consistent with one order of all changes, in which none is
 	// lost or accepted twice.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		var mu sync.Mutex
 		var history []porcupine.Operation
 		began := time.Now()
@@ -74,11 +74,11 @@
 		}
 		for range 8 {
 			time.Sleep(300 * time.Millisecond)
-			c.world.Platform.DropResponses(4)
+			c.env.Platform.DropResponses(4)
 		}
-		c.world.Platform.SetDown(true)
+		c.env.Platform.SetDown(true)
 		time.Sleep(400 * time.Millisecond)
-		c.world.Platform.SetDown(false)
+		c.env.Platform.SetDown(false)
 		wg.Wait()
 		accepted := 0
 		for _, operation := range history {
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -11,24 +11,24 @@
 // units.
 type hostMetrics struct {
 	dispatch.MetricsSnapshot
-	Revision        uint64  `json:"revision"`
-	Adapters        int     `json:"adapters"`
-	Open            int     `json:"requests_open"`
-	InUse           int     `json:"gate_in_use"`
-	Waiting         int     `json:"gate_waiting"`
-	RetriesDenied   int64   `json:"retries_denied"`
-	PinsHeld        int     `json:"pins_held"`
-	RunnersOwned    int     `json:"runners_owned"`
-	LeaseSeconds    float64 `json:"lease_seconds_left"`
-	LoadsWanted     int     `json:"loads_wanted"`
-	LoadsPerSecond  float64 `json:"loads_per_second_allowed"`
-	ObjectCalls     int64   `json:"object_api_calls"`
-	HeartbeatsSent  int64   `json:"heartbeats_answered"`
-	PeersRejected   int64   `json:"peer_rejected"`
-	HostListsStale  int     `json:"host_lists_not_believed"`
-	DemandModels    int     `json:"demand_models"`
-	UptimeSeconds   float64 `json:"uptime_seconds"`
-	EvictionsLocked int     `json:"runners_blocked_by_unheard_hosts"`
+	Revision           uint64  `json:"revision"`
+	Adapters           int     `json:"adapters"`
+	Open               int     `json:"requests_open"`
+	InUse              int     `json:"gate_in_use"`
+	Waiting            int     `json:"gate_waiting"`
+	RetriesDenied      int64   `json:"retries_denied"`
+	PinsHeld           int     `json:"pins_held"`
+	RunnersOwned       int     `json:"runners_owned"`
+	LeaseSeconds       float64 `json:"lease_seconds_left"`
+	LoadsWanted        int     `json:"loads_wanted"`
+	LoadsPerSecond     float64 `json:"loads_per_second_allowed"`
+	ObjectCalls        int64   `json:"object_api_calls"`
+	HeartbeatsAnswered int64   `json:"heartbeats_answered"`
+	PeersRejected      int64   `json:"peer_rejected"`
+	HostListsStale     int     `json:"host_lists_not_believed"`
+	DemandModels       int     `json:"demand_models"`
+	UptimeSeconds      float64 `json:"uptime_seconds"`
+	RunnersBlocked     int     `json:"runners_blocked_by_unheard_hosts"`
 }
 
 // Vars returns the metrics of this host for the expvar page.
@@ -42,13 +42,13 @@
 		Open: n.openRequests.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.retryBudget.Denied(),
 		PinsHeld: n.pinHolder.PinCount(), RunnersOwned: len(n.controller.Owned()),
 		LeaseSeconds: max(0, n.controller.LeaseValidUntil().Sub(now).Seconds()), LoadsWanted: n.controller.AwaitedLoads(),
-		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.CallCount(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
+		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.CallCount(), HeartbeatsAnswered: n.membership.HeartbeatsAnswered(),
 		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
 		UptimeSeconds: now.Sub(n.started).Seconds(),
 	}
 	for _, view := range n.ownedViews() {
 		if view.Unheard > 0 {
-			result.EvictionsLocked++
+			result.RunnersBlocked++
 		}
 	}
 	return result
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -40,9 +40,10 @@
 	maxMissedHeartbeats = 5
 	// initialServiceTime is the assumed service time of a request until one has been measured.
 	initialServiceTime = 2 * time.Second
-	maxResumes         = 3
+	// maxResumes is the maximum number of times that one response is resumed.
+	maxResumes = 3
 	// orderLifeFactor times the timeout of an order is the maximum time that the order may take
-	// at an engine. A load that was not answered in time may share the weight store with others.
+	// at an engine. A load can exceed its timeout while it shares the weight store with others.
 	orderLifeFactor = 3
 )
 
@@ -55,13 +56,13 @@
 
 	objects      *objectapi.Client
 	hostList     *hostlist.Client
-	weights      *weights.Client
+	weightStore  *weights.Client
 	engines      *engine.Client
 	pool         *peer.Pool
 	server       *peer.Server
 	hosts        *fleet.Table
 	members      *fleet.Members
-	table        *routing.Table
+	runnerTable  *routing.Table
 	pinHolder    *residency.Holder
 	follower     *configlog.Follower
 	publisher    *configlog.Publisher
@@ -131,7 +132,7 @@
 	n.objects = objectapi.NewClient(n.cfg.ObjectAPI, platform)
 	n.hostList = hostlist.NewClient(n.cfg.HostList, platform)
 	if n.cfg.WeightStore != "" {
-		n.weights = weights.NewClient(n.cfg.WeightStore, platform)
+		n.weightStore = weights.NewClient(n.cfg.WeightStore, platform)
 	}
 	n.engines = engine.NewClient(engine.Config{
 		Dial: dial, ConnectTimeout: t.ConnectTimeout, FirstPieceTimeout: t.FirstPieceTimeout,
@@ -144,7 +145,7 @@
 	l := n.cfg.Limits
 	n.hosts = fleet.NewTable()
 	n.members = fleet.NewMembers(maxMissedHeartbeats * n.cfg.Timing.HeartbeatInterval)
-	n.table = routing.NewTable()
+	n.runnerTable = routing.NewTable()
 	n.pinHolder = residency.NewHolder()
 	n.follower = configlog.NewFollower()
 	n.publisher = configlog.NewPublisher(n.objects)
@@ -189,12 +190,12 @@
 }
 
 func (n *Node) initDispatcher() {
-	weights := routing.PresetNamed(n.cfg.Loads.Preset)
+	scoring := routing.PresetNamed(n.cfg.Loads.Preset)
 	n.claims = claims.NewStore(n.objects, n.cfg.Host)
-	n.placer = dispatch.NewPlacer(n.cfg.Host, n.table, n.members, n.pool, weights, n.cfg.Loads.Time)
-	n.dispatcher = dispatch.New(dispatch.Config{Self: n.self, MaxWait: n.cfg.Limits.MaxWait, Weights: weights}, dispatch.Deps{
+	n.placer = dispatch.NewPlacer(n.cfg.Host, n.runnerTable, n.members, n.pool, scoring, n.cfg.Loads.Time)
+	n.dispatcher = dispatch.New(dispatch.Config{Self: n.self, MaxWait: n.cfg.Limits.MaxWait, Weights: scoring}, dispatch.Deps{
 		Engines: n.engines, Services: plain.NewClient(n.engineDial(), n.cfg.Timing.FirstPieceTimeout),
-		Owner: n.controller, Peers: n.pool, Table: n.table, Hosts: n.hosts, Members: n.members, Holder: n.pinHolder,
+		Owner: n.controller, Peers: n.pool, Table: n.runnerTable, Hosts: n.hosts, Members: n.members, Holder: n.pinHolder,
 		Claims: n.claims, Gate: n.gate, Budget: n.retryBudget, Breakers: dispatch.NewBreakers(),
 		Placer: n.placer, Demand: n.demand, Traces: n.traces, Metrics: n.metrics, Log: n.log.Named("dispatch"),
 	})
--- a/internal/node/once_test.go
+++ b/internal/node/once_test.go
@@ -22,14 +22,14 @@
 func TestRace12SameRequestThroughTwoHostsAtOnce(t *testing.T) {
 	// The same request is sent through two hosts at once with one idempotency key. It runs once,
 	// and the other attempt is told that it ran or may have run.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		var wg sync.WaitGroup
 		got := make([]response, 2)
 		for i, host := range []string{"e1", "e2"} {
 			wg.Go(func() { got[i] = c.tug(host, "key-1", "tug") })
 		}
 		wg.Wait()
-		must.Eq(t, 1, c.world.Service.Runs("tug"))
+		must.Eq(t, 1, c.env.Service.Runs("tug"))
 		if got[0].status != 200 {
 			got[0], got[1] = got[1], got[0]
 		}
@@ -38,7 +38,7 @@
 		must.NotEq(t, "not-run", got[1].verdict)
 		time.Sleep(time.Second)
 		must.Eq(t, "ran", c.tug("e2", "key-1", "tug").verdict)
-		must.Eq(t, 1, c.world.Service.Runs("tug"))
+		must.Eq(t, 1, c.env.Service.Runs("tug"))
 	})
 }
 
@@ -46,7 +46,7 @@
 	// The host that sent a once-only completion dies before it can record the outcome. The
 	// caller repeats it through another host with the same key. It is told that the request may
 	// have run, and the request does not run again.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0")
 		header := []string{callerapi.HeaderIdempotent, "false", callerapi.HeaderIdempotencyKey, "key-2"}
 		go c.complete("e2", "a0", "once", 500, header...)
@@ -64,32 +64,32 @@
 func TestClaimWithLostAnswer(t *testing.T) {
 	// The object API stores the claim but loses the response. The host recognises its own claim
 	// and runs the request once.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.world.Platform.DropResponses(1)
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
+		c.env.Platform.DropResponses(1)
 		must.Eq(t, 200, c.tug("e1", "key-3", "tug").status)
-		must.Eq(t, 1, c.world.Service.Runs("tug"))
+		must.Eq(t, 1, c.env.Service.Runs("tug"))
 	})
 }
 
 func TestOnceOnlyRequestsWhileStoreIsDown(t *testing.T) {
 	// The object API is down. A once-only request with a key cannot be claimed and is rejected
 	// at once as not run. One without a key, which the caller will not repeat, runs.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
-		c.world.Platform.SetDown(true)
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
+		c.env.Platform.SetDown(true)
 		got := c.tug("e1", "key-4", "tug")
 		must.Eq(t, 503, got.status)
 		must.Eq(t, "not-run", got.verdict)
 		must.NotEq(t, "", got.retryAfter)
 		must.Eq(t, 200, c.send("e1", "/services/dispatch/tugs", `{}`, callerapi.HeaderRequestID, "keyless").status)
-		must.Eq(t, 1, c.world.Service.Runs("keyless"))
-		must.Eq(t, 0, c.world.Service.Runs("tug"))
+		must.Eq(t, 1, c.env.Service.Runs("keyless"))
+		must.Eq(t, 0, c.env.Service.Runs("tug"))
 	})
 }
 
 func TestNotRunRefusalsAreTriedAgain(t *testing.T) {
 	// Engines that reject a once-only request before they start it cause a retry, and the
 	// request runs once. After any other failure it is not retried.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0")
 		c.setFaults(standin.Faults{RefuseNotRun: 1})
 		once := []string{callerapi.HeaderIdempotent, "false"}
@@ -106,7 +106,7 @@
 	// The first attempt of an idempotent request fails while it runs, so it may have run. All
 	// later attempts are rejected before they start. The verdict is may-have-run, because a
 	// rejection says nothing about the first attempt.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0")
 		c.setFaults(standin.Faults{Fail500: 1, RefuseNotRun: 100})
 		got := c.complete("e1", "a0", "mixed", 5)
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -25,7 +25,7 @@
 // runnerWithModel returns the runner on which a model is resident, or "".
 func (c *cluster) runnerWithModel(model string) string {
 	for _, id := range []string{"runner-1", "runner-2", "runner-3", "runner-4"} {
-		if e := c.world.Engine(id); e != nil && e.Resident(model) {
+		if e := c.env.Engine(id); e != nil && e.Resident(model) {
 			return id
 		}
 	}
@@ -50,18 +50,18 @@
 func TestRace01LateEvictionOfPausedOwner(t *testing.T) {
 	// The owner of a runner checks its lease, sends an eviction and is cut off. The engine,
 	// which ignores fencing numbers, executes the order 40 s later, when a successor has taken
-	// over. The successor has read the intent and does not let requests use the adapter on that
-	// runner, so a stream from the adapter is complete.
-	world := smallWorld()
-	world.Unfenced = 4
-	world.Runners = 4
-	inCluster(t, 3, world, func(c *cluster) {
+	// over. The successor has read the stored intent to evict and does not let requests use the
+	// adapter on that runner, so a stream from the adapter is complete.
+	envConfig := smallEnvironment()
+	envConfig.Unfenced = 4
+	envConfig.Runners = 4
+	inCluster(t, 3, envConfig, func(c *cluster) {
 		c.loadModels("e1", "a0", "a1", "a2", "a3", "a4", "a5", "a6", "a7")
 		// Let idle pins be returned, so that only the pending order matters.
 		time.Sleep(time.Minute)
 		held := make(chan engine.Order, 4)
 		var holding atomic.Bool
-		for _, e := range c.world.Engines {
+		for _, e := range c.env.Engines {
 			e.SetFaults(standin.Faults{HoldOrder: func(order engine.Order) {
 				if order.Kind == engine.OrderEvict && holding.CompareAndSwap(false, true) {
 					held <- order
@@ -123,7 +123,7 @@
 	// A host is cut off from its peers while it holds an idle pin. The owner of the runner needs
 	// room and would evict the model after a stream under that pin has begun. Because a holder
 	// that is not heard may be about to send, its pins remain valid and the stream is complete.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0", "a1", "a2", "a3")
 		runner := c.runnerWithModel("a0@1")
 		holder := c.otherHost(c.ownerOf(runner))
@@ -165,17 +165,17 @@
 
 // servingRunner returns the runner that served a request.
 func (n *testNode) servingRunner(request string) string {
-	story, _ := n.traces.Find(request)
-	return story.Runner
+	report, _ := n.traces.Find(request)
+	return report.Runner
 }
 
 func TestRace05EngineRestartsBehindItsReport(t *testing.T) {
 	// A request arrives just after an engine restarted with empty slots, while its last report
 	// still lists the adapter. The engine responds that it does not have the model, and the
 	// request waits for a load and is served.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0")
-		c.world.Engine(c.runnerWithModel("a0@1")).Restart()
+		c.env.Engine(c.runnerWithModel("a0@1")).Restart()
 		requireComplete(t, c.complete("e1", "a0", "after-restart", 5), "a0@1", 5)
 		must.Eq(t, 1, c.runs("after-restart"))
 	})
@@ -185,22 +185,22 @@
 	// Loads take longer than the order timeout, and requests are served by loads that ended
 	// late. A slot whose load was not answered remains occupied until a report shows its state,
 	// so the engine never receives more loads than it has slots, and no slot is lost.
-	world := smallWorld()
-	world.Runners = 1
-	world.LoadTime = 3 * time.Second
+	envConfig := smallEnvironment()
+	envConfig.Runners = 1
+	envConfig.LoadTime = 3 * time.Second
 	configure := func(cfg *settings.Settings) { cfg.Timing.OrderTimeout = 2 * time.Second }
-	inConfiguredCluster(t, 2, world, configure, func(c *cluster) {
+	inConfiguredCluster(t, 2, envConfig, configure, func(c *cluster) {
 		var wg sync.WaitGroup
 		for _, model := range []string{"a0", "a1", "a2"} {
 			wg.Go(func() { c.complete("e1", model, "slow-"+model, 1) })
 		}
 		wg.Wait()
 		time.Sleep(20 * time.Second)
-		must.Eq(t, 0, c.world.Engine("runner-1").Counts().NoSlot)
-		c.world.WeightStore.SetSlowdown(0)
+		must.Eq(t, 0, c.env.Engine("runner-1").Counts().NoSlot)
+		c.env.WeightStore.SetSlowdown(0)
 		c.loadModels("e1", "a3", "a4", "a5")
-		runner, _ := c.nodes["e1"].table.Get("runner-1")
-		must.Eq(t, 2, c.world.Engine("runner-1").ResidentCount())
+		runner, _ := c.nodes["e1"].runnerTable.Get("runner-1")
+		must.Eq(t, 2, c.env.Engine("runner-1").ResidentCount())
 		must.Eq(t, 0, runner.Free)
 	})
 }
@@ -210,7 +210,7 @@
 	// loads an adapter, which is used, and is followed by a late eviction of the earlier owner.
 	// The engine rejects the eviction, because the new owner had it execute an order with the
 	// new fencing number before it allowed the adapter to be used.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		client := engine.NewClient(engine.Config{Dial: c.net.Host("former").Dial, ConnectTimeout: time.Second, OrderTimeout: time.Minute})
 		late := engine.Order{Kind: engine.OrderLoad, Model: "a0@1"}
 		must.NoError(t, client.Order(context.Background(), "runner-1:80", late))
@@ -229,7 +229,7 @@
 	// A runner is listed as leaving while requests stream from it and others wait for it. The
 	// streams are complete, the waiting requests are served elsewhere, and the runner receives
 	// no new requests once the list has been read.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0")
 		runner := c.runnerWithModel("a0@1")
 		var wg sync.WaitGroup
@@ -240,13 +240,13 @@
 		time.Sleep(time.Second)
 		host, _ := c.nodes["e1"].hosts.Host(runner)
 		host.State = fleet.StateLeaving
-		c.world.Platform.SetHost(host)
+		c.env.Platform.SetHost(host)
 		time.Sleep(3 * time.Second)
-		before := c.world.Engine(runner).Counts().Requests
+		before := c.env.Engine(runner).Counts().Requests
 		late := c.complete("e2", "a0", "late", 5)
 		wg.Wait()
 		requireComplete(t, late, "a0@1", 5)
-		must.Eq(t, before, c.world.Engine(runner).Counts().Requests)
+		must.Eq(t, before, c.env.Engine(runner).Counts().Requests)
 		for _, got := range streams {
 			requireComplete(t, got, "a0@1", 500)
 		}
@@ -256,10 +256,10 @@
 func TestEmptyHostListChangesNothing(t *testing.T) {
 	// The platform's host list is empty for a while. Requests are not affected, because the last
 	// list that was not empty remains in force.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0")
 		for _, id := range []string{"runner-1", "runner-2", "dispatch-1", "e1", "e2"} {
-			c.world.Platform.RemoveHost(id)
+			c.env.Platform.RemoveHost(id)
 		}
 		time.Sleep(5 * time.Second)
 		requireComplete(t, c.complete("e2", "a0", "listless", 5), "a0@1", 5)
@@ -270,7 +270,7 @@
 func TestRace14AllHostsReplaced(t *testing.T) {
 	// All entry hosts are replaced within a minute, one after the other, while requests
 	// continue. Then all are killed at once and new ones are started. Every request is served.
-	inCluster(t, 3, smallWorld(), func(c *cluster) {
+	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0", "a1")
 		for _, id := range []string{"e1", "e2", "e3"} {
 			c.kill(id)
@@ -295,9 +295,9 @@
 func TestRace15AllowanceKeptWhileCutOff(t *testing.T) {
 	// No hosts hear each other, and each receives requests for many adapters. Each keeps to its
 	// own share, so that in no time window the weight store receives more loads than it allows.
-	world := smallWorld()
-	world.LoadTime = 10 * time.Millisecond
-	inCluster(t, 3, world, func(c *cluster) {
+	envConfig := smallEnvironment()
+	envConfig.LoadTime = 10 * time.Millisecond
+	inCluster(t, 3, envConfig, func(c *cluster) {
 		c.net.Partition("e1", "e2")
 		c.net.Partition("e1", "e3")
 		c.net.Partition("e2", "e3")
@@ -310,19 +310,19 @@
 			}
 		}
 		wg.Wait()
-		requireAllowance(t, c.world.WeightStore.LoadStarts(), began, 3.5, 3)
+		requireAllowance(t, c.env.WeightStore.LoadStarts(), began, 3.5, 3)
 	})
 }
 
 func TestWeightStoreAtATenthOfItsRate(t *testing.T) {
 	// The weight store reduces its allowed rate to a tenth. Within seconds all hosts together
 	// keep to it, and requests for resident models are still served.
-	world := smallWorld()
-	world.LoadTime = 10 * time.Millisecond
+	envConfig := smallEnvironment()
+	envConfig.LoadTime = 10 * time.Millisecond
 	configure := func(cfg *settings.Settings) { cfg.WeightStore = cfg.ObjectAPI }
-	inConfiguredCluster(t, 3, world, configure, func(c *cluster) {
+	inConfiguredCluster(t, 3, envConfig, configure, func(c *cluster) {
 		c.loadModels("e1", "a0")
-		c.world.Platform.SetLoadRate(0.35)
+		c.env.Platform.SetLoadRate(0.35)
 		time.Sleep(15 * time.Second)
 		began := time.Now()
 		var wg sync.WaitGroup
@@ -333,7 +333,7 @@
 		}
 		requireComplete(t, c.complete("e2", "a0", "resident", 5), "a0@1", 5)
 		wg.Wait()
-		requireAllowance(t, c.world.WeightStore.LoadStarts(), began, 0.35, 1)
+		requireAllowance(t, c.env.WeightStore.LoadStarts(), began, 0.35, 1)
 	})
 }
 
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -66,17 +66,17 @@
 		return
 	}
 	if n.hosts.Update(list) {
-		n.table.SetHosts(n.hosts.ByRole(fleet.RoleRunner))
+		n.runnerTable.SetHosts(n.hosts.ByRole(fleet.RoleRunner))
 	}
 }
 
 // refreshLoadLimit adopts the load rate that the weight store allows if it is lower than the
 // configured one. The previous rate remains if the weight store does not respond.
 func (n *Node) refreshLoadLimit(ctx context.Context) {
-	if n.weights == nil {
+	if n.weightStore == nil {
 		return
 	}
-	limits, err := n.weights.Limits(ctx)
+	limits, err := n.weightStore.Limits(ctx)
 	if err != nil {
 		n.log.Debug("cannot read limits of the weight store; keeping the last ones", "error", err)
 		return
@@ -155,11 +155,11 @@
 	}()
 }
 
-// claimSweepInterval is the interval at which old claims are removed.
+// claimSweepInterval is the interval at which old claims of idempotency keys are removed.
 const claimSweepInterval = 10 * time.Minute
 
-// sweepClaims removes old claims. One host of the fleet does so; several doing it at once are
-// harmless, because removals are conditional.
+// sweepClaims removes old claims of idempotency keys. One host of the fleet does so. If several
+// do it at once, that is harmless, because removals are conditional.
 func (n *Node) sweepClaims(ctx context.Context) {
 	if fleet.First("claims", n.candidates(time.Now())) != n.cfg.Host {
 		return
@@ -228,10 +228,10 @@
 }
 
 // updateAdmissionLimit sets the maximum number of concurrent requests of this host: the
-// overcommitted batch capacity of all runners without the requests of other hosts, but at least
+// overcommitted batch capacity of all runners minus the requests of other hosts, but at least
 // an equal share of the capacity.
 func (n *Node) updateAdmissionLimit() {
-	runners := n.table.All("")
+	runners := n.runnerTable.All("")
 	capacity, usedByOthers := 0, 0
 	for _, runner := range runners {
 		if runner.Live {
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -33,7 +33,7 @@
 	return loading.Owner{Host: n.self.Host, Incarnation: n.self.Incarnation}
 }
 
-// claimShares adjusts this host's claim on the load rate of the weight store to its share. The
+// claimShares claims this host's shares of the load rate that the weight store allows. The
 // shares remain as they are while the object API is unavailable.
 func (n *Node) claimShares(ctx context.Context) {
 	n.mu.Lock()
@@ -46,11 +46,11 @@
 	if !n.shareState.due(members, time.Now()) {
 		return
 	}
-	claims, version, err := n.readShares(ctx)
+	shares, version, err := n.readShares(ctx)
 	if err != nil {
 		return
 	}
-	next, changed := claims.Claim(n.shareOwner(), n.cfg.Loads.Shares, len(members), func(owner loading.Owner) bool {
+	next, changed := shares.Claim(n.shareOwner(), n.cfg.Loads.Shares, len(members), func(owner loading.Owner) bool {
 		return n.processEnded(ctx, owner)
 	})
 	if changed && n.writeShares(ctx, next, version) != nil {
@@ -79,11 +79,11 @@
 // releaseShares releases this host's shares during a planned stop.
 func (n *Node) releaseShares(ctx context.Context) {
 	n.allowance.SetOwnShares(0, true, time.Now())
-	claims, version, err := n.readShares(ctx)
+	shares, version, err := n.readShares(ctx)
 	if err != nil {
 		return
 	}
-	if err := n.writeShares(ctx, claims.Release(n.shareOwner()), version); err != nil {
+	if err := n.writeShares(ctx, shares.Release(n.shareOwner()), version); err != nil {
 		n.log.Debug("cannot release shares; they become free when this host's lease ends", "error", err)
 	}
 }
@@ -96,13 +96,13 @@
 	if err != nil {
 		return loading.Claims{}, 0, err
 	}
-	var claims loading.Claims
-	err = json.Unmarshal(object.Value, &claims)
-	return claims, object.Version, errors.Wrap(err, "decode shares")
+	var shares loading.Claims
+	err = json.Unmarshal(object.Value, &shares)
+	return shares, object.Version, errors.Wrap(err, "decode shares")
 }
 
-func (n *Node) writeShares(ctx context.Context, claims loading.Claims, version objectapi.Version) error {
-	encoded, err := json.Marshal(claims)
+func (n *Node) writeShares(ctx context.Context, shares loading.Claims, version objectapi.Version) error {
+	encoded, err := json.Marshal(shares)
 	if err != nil {
 		return errors.Wrap(err, "encode shares")
 	}
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -36,7 +36,7 @@
 	at    time.Time
 }
 
-// candidates returns the members that may currently hold roles.
+// candidates returns the members that may currently own runners or be homes of models.
 func (n *Node) candidates(now time.Time) []string {
 	cached := n.candidateCache.Load()
 	if cached != nil && now.Sub(cached.at) < candidateCacheTTL {
@@ -53,7 +53,7 @@
 	modelsChanged := !view.SameModels(n.viewsByRunner[view.Runner])
 	n.viewsByRunner[view.Runner] = view
 	n.mu.Unlock()
-	n.table.Update(view)
+	n.runnerTable.Update(view)
 	if modelsChanged {
 		// Sent at once: with views half a second old, homes that place loads would evict models
 		// although other runners have free slots.
@@ -79,7 +79,7 @@
 // number keeps pins of earlier owners from being accepted.
 func (n *Node) updatePeerViews(views []residency.View) {
 	for _, view := range views {
-		if n.table.Update(view) {
+		if n.runnerTable.Update(view) {
 			n.pinHolder.ObserveFence(view.Runner, view.Fence)
 		}
 	}
@@ -119,7 +119,7 @@
 		host, _ := n.hosts.Host(member.Host)
 		status.Hosts = append(status.Hosts, adminapi.HostStatus{Member: member, State: host.State, Alive: n.members.Alive(member.Host, now)})
 	}
-	for _, view := range n.table.Views() {
+	for _, view := range n.runnerTable.Views() {
 		host, _ := n.hosts.Host(view.Runner)
 		status.Runners = append(status.Runners, adminapi.RunnerStatus{View: view, State: host.State, DataCentre: host.DataCentre, Base: host.Base})
 	}
@@ -128,9 +128,10 @@
 
 // Methods that peers can call.
 const (
-	methodExplain   = "trace.find"
-	methodDrain     = "node.drain"
-	methodDemand    = "demand.hand"
+	methodExplain = "trace.find"
+	methodDrain   = "node.drain"
+	methodDemand  = "demand.hand"
+	// peerCallTimeout limits the time of one call.
 	peerCallTimeout = 2 * time.Second
 )
 
@@ -139,14 +140,14 @@
 }
 
 type explainResult struct {
-	Found bool                 `json:"found"`
-	Story dispatch.TraceReport `json:"story"`
+	Found  bool                 `json:"found"`
+	Report dispatch.TraceReport `json:"story"`
 }
 
 func (n *Node) registerPeerMethods(mux *peer.Mux) {
 	peer.Handle(mux, methodExplain, func(_ context.Context, _ peer.Identity, p explainParams) (explainResult, error) {
-		story, found := n.traces.Find(p.Request)
-		return explainResult{Found: found, Story: story}, nil
+		report, found := n.traces.Find(p.Request)
+		return explainResult{Found: found, Report: report}, nil
 	})
 	peer.Handle(mux, methodDemand, func(_ context.Context, _ peer.Identity, p demandParams) (struct{}, error) {
 		n.demand.estimator.Restore(p.Items, time.Now())
@@ -160,8 +161,8 @@
 
 // Explain returns how a request was handled, asking the other hosts if necessary.
 func (n *Node) Explain(ctx context.Context, request string) (dispatch.TraceReport, bool) {
-	if story, ok := n.traces.Find(request); ok {
-		return story, true
+	if report, ok := n.traces.Find(request); ok {
+		return report, true
 	}
 	for _, member := range n.members.All() {
 		if member.Host == n.cfg.Host || !n.members.Alive(member.Host, time.Now()) {
@@ -170,7 +171,7 @@
 		var result explainResult
 		err := n.call(ctx, member.Address, methodExplain, explainParams{Request: request}, &result)
 		if err == nil && result.Found {
-			return result.Story, true
+			return result.Report, true
 		}
 	}
 	return dispatch.TraceReport{}, false
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -13,10 +13,10 @@
 func TestOnlyHostStopsWhileRequestsWait(t *testing.T) {
 	// Requests wait for loads when the only host is told to stop. It gives up its runners and no
 	// host takes them, so the loads never happen. Each request must be served or rejected at
-	// once as not run. Without that, callers received nothing until their deadline.
-	world := smallWorld()
-	world.LoadTime = 3 * time.Second
-	inCluster(t, 1, world, func(c *cluster) {
+	// once as not run. Otherwise callers would receive nothing until their deadline.
+	envConfig := smallEnvironment()
+	envConfig.LoadTime = 3 * time.Second
+	inCluster(t, 1, envConfig, func(c *cluster) {
 		answers := make(chan response, 5)
 		for i := range cap(answers) {
 			go func() { answers <- c.complete("e1", fmt.Sprintf("a%d", i), fmt.Sprint("waits", i), 5) }()
--- a/internal/node/streams_test.go
+++ b/internal/node/streams_test.go
@@ -16,7 +16,7 @@
 
 // setFaults sets the faults of all engines.
 func (c *cluster) setFaults(faults standin.Faults) {
-	for _, e := range c.world.Engines {
+	for _, e := range c.env.Engines {
 		e.SetFaults(faults)
 	}
 }
@@ -24,7 +24,7 @@
 func TestPiecesOutOfOrderAndTwice(t *testing.T) {
 	// The engine sends pieces out of order and some of them twice. The caller receives each once
 	// and in order.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.setFaults(standin.Faults{Shuffle: true})
 		requireComplete(t, c.complete("e1", "a0", "shuffled", 21), "a0@1", 21)
 	})
@@ -33,7 +33,7 @@
 func TestAnswerUnderAnotherNameIsNotPassedOn(t *testing.T) {
 	// All engines respond under the name of another adapter. The caller receives no piece and is
 	// told that the request may have run.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0")
 		c.setFaults(standin.Faults{WrongName: true})
 		got := c.complete("e1", "a0", "wrong", 5)
@@ -47,9 +47,9 @@
 func TestVersionIsFixedAtAdmission(t *testing.T) {
 	// While a request waits for a load of version 1, operators make version 2 current. The
 	// request still runs on version 1, the next one on version 2.
-	world := smallWorld()
-	world.LoadTime = 3 * time.Second
-	inCluster(t, 2, world, func(c *cluster) {
+	envConfig := smallEnvironment()
+	envConfig.LoadTime = 3 * time.Second
+	inCluster(t, 2, envConfig, func(c *cluster) {
 		waiting := make(chan response, 1)
 		go func() { waiting <- c.complete("e1", "a0", "old", 5) }()
 		time.Sleep(time.Second)
@@ -65,7 +65,7 @@
 	// The connections of a host to the runners go silent in the middle of streams, while new
 	// connections work. Each stream is resumed at its first missing piece, and each response is
 	// complete.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0", "a1")
 		var wg sync.WaitGroup
 		got := make([]response, 4)
@@ -88,7 +88,7 @@
 	// Idle connections of the host to the runners have gone silent. A request sent on one of
 	// them is resumed on a new connection after the silence timeout rather than the much longer
 	// timeout for a first piece.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0")
 		requireComplete(t, c.complete("e1", "a0", "leaves-a-connection", 1), "a0@1", 1)
 		c.net.Blackhole("e1", "runner-1")
@@ -102,7 +102,7 @@
 func TestResetInMidAnswer(t *testing.T) {
 	// The connection to the engine is reset after some pieces. The rest is requested on a new
 	// connection, and the request runs once.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.setFaults(standin.Faults{ResetAt: 7})
 		requireComplete(t, c.complete("e1", "a0", "reset", 20, callerapi.HeaderIdempotent, "false"), "a0@1", 20)
 		must.Eq(t, 1, c.runs("reset"))
@@ -114,9 +114,9 @@
 	// told at once that it may have run. A later response of the engine changes nothing, and the
 	// request is not sent again.
 	configure := func(cfg *settings.Settings) { cfg.Timing.FirstPieceTimeout = 3 * time.Second }
-	world := smallWorld()
-	world.TokenTime = 10 * time.Second
-	inConfiguredCluster(t, 2, world, configure, func(c *cluster) {
+	envConfig := smallEnvironment()
+	envConfig.TokenTime = 10 * time.Second
+	inConfiguredCluster(t, 2, envConfig, configure, func(c *cluster) {
 		c.complete("e1", "a0", "loads-it", 1)
 		began := time.Now()
 		got := c.complete("e1", "a0", "once", 1, callerapi.HeaderIdempotent, "false")
@@ -131,7 +131,7 @@
 func TestCallerGoesAway(t *testing.T) {
 	// A caller disconnects during a response. The host cancels the request at the engine and no
 	// longer counts it as open.
-	inCluster(t, 2, smallWorld(), func(c *cluster) {
+	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		ctx, leave := context.WithTimeout(context.Background(), 2*time.Second)
 		defer leave()
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://e1:80/v1/completions", bodyOf(`{"model":"a0","stream":true,"max_tokens":5000}`))
@@ -145,19 +145,19 @@
 		<-ctx.Done()
 		_ = resp.Body.Close()
 		time.Sleep(time.Second)
-		must.Eq(t, 1, c.world.Engine(c.runnerWithModel("a0@1")).Counts().Cancels)
+		must.Eq(t, 1, c.env.Engine(c.runnerWithModel("a0@1")).Counts().Cancels)
 		must.Eq(t, 0, c.nodes["e1"].openRequests.Open())
 	})
 }
 
 func TestRace11GracefulStopCutsOffNothing(t *testing.T) {
 	// A host is told to stop with 600 open streams, while the load balancer sends requests to it
-	// for some more seconds. It is not ready at once, accepts these requests, and stops after
-	// the last stream. None is cut off.
-	world := smallWorld()
-	world.MaxBatch = 400
+	// for some more seconds. It becomes not ready at once, accepts these requests, and stops
+	// after the last stream. None is cut off.
+	envConfig := smallEnvironment()
+	envConfig.MaxBatch = 400
 	configure := func(cfg *settings.Settings) { cfg.Timing.DrainLimit = 5 * time.Minute }
-	inConfiguredCluster(t, 2, world, configure, func(c *cluster) {
+	inConfiguredCluster(t, 2, envConfig, configure, func(c *cluster) {
 		c.loadModels("e1", "a0")
 		got := make([]response, 620)
 		var wg sync.WaitGroup
@@ -189,7 +189,7 @@
 	// A stream takes longer than the drain limit. The shutdown ends at the limit and returns the
 	// number of requests cut off.
 	configure := func(cfg *settings.Settings) { cfg.Timing.DrainLimit = 20 * time.Second }
-	inConfiguredCluster(t, 2, smallWorld(), configure, func(c *cluster) {
+	inConfiguredCluster(t, 2, smallEnvironment(), configure, func(c *cluster) {
 		c.loadModels("e1", "a0")
 		go c.complete("e1", "a0", "long", 5000)
 		time.Sleep(time.Second)
@@ -203,7 +203,7 @@
 	// A host stops gracefully and remains on the host list. The adapters that it used last can
 	// be evicted at once.
 	configure := func(cfg *settings.Settings) { cfg.Timing.DrainNotice = time.Second }
-	inConfiguredCluster(t, 2, smallWorld(), configure, func(c *cluster) {
+	inConfiguredCluster(t, 2, smallEnvironment(), configure, func(c *cluster) {
 		for _, model := range []string{"a0", "a1", "a2", "a3"} {
 			requireComplete(t, c.complete("e1", model, "last-"+model, 1), model+"@1", 1)
 		}
