--- a/cmd/cherryctl/explain.go
+++ b/cmd/cherryctl/explain.go
@@ -14,17 +14,17 @@
 
 // Execute shows how a request was handled.
 func (c *explainCommand) Execute([]string) error {
-	story, err := newClient().Explain(context.Background(), c.Args.Request)
+	report, err := newClient().Explain(context.Background(), c.Args.Request)
 	if err != nil {
 		return err
 	}
-	return printResult(story, func(w *tabwriter.Writer) {
-		printRow(w, fmt.Sprintf("%s of %s for %s: %s on %s in %.1f ms", story.ID, story.Caller, story.Model, dashIfEmpty(story.Verdict), dashIfEmpty(story.Runner), story.TookMS))
-		for _, note := range story.Notes {
+	return printResult(report, func(w *tabwriter.Writer) {
+		printRow(w, fmt.Sprintf("%s of %s for %s: %s on %s in %.1f ms", report.ID, report.Caller, report.Model, dashIfEmpty(report.Verdict), dashIfEmpty(report.Runner), report.TookMS))
+		for _, note := range report.Notes {
 			printRow(w, fmt.Sprintf("%9.1f ms", note.AfterMS), note.Text)
 		}
-		if story.Refusal != "" {
-			printRow(w, "refused: "+story.Refusal)
+		if report.Refusal != "" {
+			printRow(w, "refused: "+report.Refusal)
 		}
 	})
 }
--- a/cmd/cherrystaged/main.go
+++ b/cmd/cherrystaged/main.go
@@ -129,8 +129,9 @@
 	return listeners, nil
 }
 
-// addCallerServer adds the server for callers. A graceful stop closes the server from outside
-// and ends the group itself, so the actor waits for the end of the group.
+// addCallerServer adds the server for callers. A graceful stop closes this server before it
+// ends the run group. If the actor returned when its server closes, the group would end too
+// early, so it waits for the end of the group.
 func addCallerServer(group *run.Group, serve func() error, stop func()) {
 	done := make(chan struct{})
 	group.Add(func() error {
--- a/cmd/cherrystaged/platform.go
+++ b/cmd/cherrystaged/platform.go
@@ -34,8 +34,8 @@
 	metricsPath = "/metrics"
 	// logFlushTimeout limits the time for writing the last log lines at exit.
 	logFlushTimeout = 200 * time.Millisecond
-	// platformGCPercent lets the heap grow to twice the live data: on the platform's hosts
-	// memory is plentiful compared to CPU time.
+	// platformGCPercent lets the heap grow by twice the live data between collections: on the
+	// platform's hosts memory is plentiful compared to CPU time.
 	platformGCPercent = 200
 	// memoryLimitShare is the soft memory limit of the runtime, as a share of the memory at
 	// which the platform kills the process. A host that watches for a large fleet reads lists of
