--- a/internal/callerapi/callerapi.go
+++ b/internal/callerapi/callerapi.go
@@ -50,7 +50,9 @@
 
 // Dispatcher serves requests.
 type Dispatcher interface {
+	// Complete passes the pieces of an answer on in order. It returns nil after a whole answer.
 	Complete(ctx context.Context, req dispatch.Request, pass func(engine.Piece) error) *dispatch.Refusal
+	// Service forwards a call to a plain service.
 	Service(ctx context.Context, req dispatch.Request, call plain.Call) (plain.Answer, *dispatch.Refusal)
 }
 
--- a/internal/configlog/configlog.go
+++ b/internal/configlog/configlog.go
@@ -31,7 +31,7 @@
 	// compactionInterval is the number of changes after which new chunks are written.
 	compactionInterval = 64
 	// maxInlineOpsBytes is the maximum size of a change that contains its ops; a
-	// larger one is stored in chunks at once.
+	// larger one is stored in new chunks immediately.
 	maxInlineOpsBytes = 512 << 10
 	// maxChunkBytes bounds a chunk, well below the largest value that the object API
 	// takes.
--- a/internal/inventory/document.go
+++ b/internal/inventory/document.go
@@ -134,7 +134,8 @@
 	return nil
 }
 
-// digest returns the digest of the caller's key. Check has made sure that it is valid.
+// digest returns the digest of the caller's key, or the zero digest if it has none that is
+// valid. Check rejects such callers.
 func (c Caller) digest() credential.Digest {
 	digest, err := credential.Parse(c.KeyDigest)
 	if err != nil {
--- a/internal/node/baseline_test.go
+++ b/internal/node/baseline_test.go
@@ -26,8 +26,9 @@
 	mu        sync.Mutex
 }
 
-// independentHost is the state of one host: when it last loaded or used which model where, its
-// requests on each runner, and the reports that it has read.
+// independentHost is the state of one host: when it last used each model on each runner, the
+// number of its requests on each runner, the last report of each runner, and its loads in
+// progress.
 type independentHost struct {
 	mu       sync.Mutex
 	lastUsed []map[string]time.Time
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -136,8 +136,8 @@
 
 func TestStoreDownForAnHour(t *testing.T) {
 	// The object API is down for an hour. Requests are still served, including loads and
-	// evictions, because these engines check fencing numbers. A change is rejected at once with
-	// verdict not-run. When the API returns, the hosts do not flood it.
+	// evictions, because these engines check fencing numbers. A change is rejected immediately
+	// with verdict not-run. When the API returns, the hosts do not flood it.
 	inCluster(t, 4, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0", "a1", "a2", "a3")
 		c.env.Platform.SetDown(true)
--- a/internal/node/experiment_test.go
+++ b/internal/node/experiment_test.go
@@ -112,7 +112,7 @@
 
 func (o outcome) String() string {
 	slices.Sort(o.stalls)
-	at := func(q float64) time.Duration {
+	quantile := func(q float64) time.Duration {
 		if len(o.stalls) == 0 {
 			return 0
 		}
@@ -128,7 +128,7 @@
 	}
 	mean := sum / time.Duration(max(1, len(o.stalls)))
 	return fmt.Sprintf("stall mean %s p95 %s p99 %s, stalled %.1f%%, loads %d (peak %.2f/s), fill %.3f, refused %d, broken %d",
-		mean.Round(time.Millisecond), at(0.95), at(0.99), 100*float64(stalled)/float64(max(1, len(o.stalls))), o.loads, o.peakLoadRate, o.fill, o.refused, o.violations)
+		mean.Round(time.Millisecond), quantile(0.95), quantile(0.99), 100*float64(stalled)/float64(max(1, len(o.stalls))), o.loads, o.peakLoadRate, o.fill, o.refused, o.violations)
 }
 
 func experimentDocument() inventory.Document {
@@ -219,6 +219,8 @@
 				id := fmt.Sprintf("e%d", (request.host+try)%entryHosts+1)
 				sent := time.Now()
 				stall, ok, wrong = streamOnce(clients[id], id, request, i)
+				// In virtual time, only a refused connection takes no time. Requests that
+				// failed later are not repeated.
 				if ok || wrong || time.Since(sent) > 0 {
 					break
 				}
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -62,7 +62,7 @@
 }
 
 func TestDemandOutlivesItsHost(t *testing.T) {
-	// All entry hosts are replaced at once by hosts of the same names. Within a minute, the new
+	// All entry hosts are replaced together by hosts of the same names. Within a minute, the new
 	// ones have restored the demand estimates.
 	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		c.requestFor(2*time.Minute, "a0", "a1")
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -20,7 +20,7 @@
 	PinsHeld           int     `json:"pins_held"`
 	RunnersOwned       int     `json:"runners_owned"`
 	LeaseSeconds       float64 `json:"lease_seconds_left"`
-	LoadsWanted        int     `json:"loads_wanted"`
+	AwaitedLoads       int     `json:"loads_wanted"`
 	LoadsPerSecond     float64 `json:"loads_per_second_allowed"`
 	ObjectCalls        int64   `json:"object_api_calls"`
 	HeartbeatsAnswered int64   `json:"heartbeats_answered"`
@@ -41,7 +41,7 @@
 		MetricsSnapshot: n.metrics.Snapshot(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
 		Open: n.openRequests.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.retryBudget.Denied(),
 		PinsHeld: n.pinHolder.PinCount(), RunnersOwned: len(n.controller.Owned()),
-		LeaseSeconds: max(0, n.controller.LeaseValidUntil().Sub(now).Seconds()), LoadsWanted: n.controller.AwaitedLoads(),
+		LeaseSeconds: max(0, n.controller.LeaseValidUntil().Sub(now).Seconds()), AwaitedLoads: n.controller.AwaitedLoads(),
 		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.CallCount(), HeartbeatsAnswered: n.membership.HeartbeatsAnswered(),
 		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
 		UptimeSeconds: now.Sub(n.started).Seconds(),
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -190,10 +190,10 @@
 }
 
 func (n *Node) initDispatcher() {
-	scoring := routing.PresetNamed(n.cfg.Loads.Preset)
+	routingWeights := routing.PresetNamed(n.cfg.Loads.Preset)
 	n.claims = claims.NewStore(n.objects, n.cfg.Host)
-	n.placer = dispatch.NewPlacer(n.cfg.Host, n.runnerTable, n.members, n.pool, scoring, n.cfg.Loads.Time)
-	n.dispatcher = dispatch.New(dispatch.Config{Self: n.self, MaxWait: n.cfg.Limits.MaxWait, Weights: scoring}, dispatch.Deps{
+	n.placer = dispatch.NewPlacer(n.cfg.Host, n.runnerTable, n.members, n.pool, routingWeights, n.cfg.Loads.Time)
+	n.dispatcher = dispatch.New(dispatch.Config{Self: n.self, MaxWait: n.cfg.Limits.MaxWait, Weights: routingWeights}, dispatch.Deps{
 		Engines: n.engines, Services: plain.NewClient(n.engineDial(), n.cfg.Timing.FirstPieceTimeout),
 		Owner: n.controller, Peers: n.pool, Table: n.runnerTable, Hosts: n.hosts, Members: n.members, Holder: n.pinHolder,
 		Claims: n.claims, Gate: n.gate, Budget: n.retryBudget, Breakers: dispatch.NewBreakers(),
@@ -209,4 +209,5 @@
 	n.server = peer.NewServer(n.self, []byte(n.cfg.PeerKey), mux, n.log.Named("peer"))
 }
 
+// engineDial returns a dial function that is bounded by the connect timeout.
 func (n *Node) engineDial() Dialer { return n.engines.Dial() }
--- a/internal/node/once_test.go
+++ b/internal/node/once_test.go
@@ -14,19 +14,19 @@
 
 func bodyOf(text string) io.Reader { return bytes.NewReader([]byte(text)) }
 
-// tug sends a request that may run only once, with an idempotency key.
-func (c *cluster) tug(host, key, id string) response {
+// sendOnceOnly sends a request that may run only once, with an idempotency key.
+func (c *cluster) sendOnceOnly(host, key, id string) response {
 	return c.send(host, "/services/dispatch/tugs", `{"tug":7}`, callerapi.HeaderIdempotencyKey, key, callerapi.HeaderRequestID, id)
 }
 
 func TestRace12SameRequestThroughTwoHostsAtOnce(t *testing.T) {
-	// The same request is sent through two hosts at once with one idempotency key. It runs once,
-	// and the other attempt is told that it ran or may have run.
+	// The same request is sent through two hosts at the same time with one idempotency key. It
+	// runs once, and the other attempt is told that it ran or may have run.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		var wg sync.WaitGroup
 		got := make([]response, 2)
 		for i, host := range []string{"e1", "e2"} {
-			wg.Go(func() { got[i] = c.tug(host, "key-1", "tug") })
+			wg.Go(func() { got[i] = c.sendOnceOnly(host, "key-1", "tug") })
 		}
 		wg.Wait()
 		must.Eq(t, 1, c.env.Service.Runs("tug"))
@@ -37,7 +37,7 @@
 		must.Eq(t, 409, got[1].status)
 		must.NotEq(t, "not-run", got[1].verdict)
 		time.Sleep(time.Second)
-		must.Eq(t, "ran", c.tug("e2", "key-1", "tug").verdict)
+		must.Eq(t, "ran", c.sendOnceOnly("e2", "key-1", "tug").verdict)
 		must.Eq(t, 1, c.env.Service.Runs("tug"))
 	})
 }
@@ -66,17 +66,17 @@
 	// and runs the request once.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.env.Platform.DropResponses(1)
-		must.Eq(t, 200, c.tug("e1", "key-3", "tug").status)
+		must.Eq(t, 200, c.sendOnceOnly("e1", "key-3", "tug").status)
 		must.Eq(t, 1, c.env.Service.Runs("tug"))
 	})
 }
 
 func TestOnceOnlyRequestsWhileStoreIsDown(t *testing.T) {
 	// The object API is down. A once-only request with a key cannot be claimed and is rejected
-	// at once as not run. One without a key, which the caller will not repeat, runs.
+	// immediately as not run. One without a key, which the caller will not repeat, runs.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.env.Platform.SetDown(true)
-		got := c.tug("e1", "key-4", "tug")
+		got := c.sendOnceOnly("e1", "key-4", "tug")
 		must.Eq(t, 503, got.status)
 		must.Eq(t, "not-run", got.verdict)
 		must.NotEq(t, "", got.retryAfter)
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -269,7 +269,7 @@
 
 func TestRace14AllHostsReplaced(t *testing.T) {
 	// All entry hosts are replaced within a minute, one after the other, while requests
-	// continue. Then all are killed at once and new ones are started. Every request is served.
+	// continue. Then all are killed before new ones are started. Every request is served.
 	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0", "a1")
 		for _, id := range []string{"e1", "e2", "e3"} {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -159,7 +159,7 @@
 const claimSweepInterval = 10 * time.Minute
 
 // sweepClaims removes old claims of idempotency keys. One host of the fleet does so. If several
-// do it at once, that is harmless, because removals are conditional.
+// do it at the same time, that is harmless, because removals are conditional.
 func (n *Node) sweepClaims(ctx context.Context) {
 	if fleet.First("claims", n.candidates(time.Now())) != n.cfg.Host {
 		return
@@ -184,9 +184,9 @@
 	n.dispatcher.HandoverDone()
 }
 
-// Shutdown stops this host gracefully: it becomes not ready at once, accepts new requests until
-// the load balancer has noticed, and waits for open streams. It returns the number of requests
-// that were cut off because the drain limit was exceeded or the context was cancelled.
+// Shutdown stops this host gracefully: it becomes not ready immediately, accepts new requests
+// until the load balancer has noticed, and waits for open streams. It returns the number of
+// requests that were cut off because the drain limit was exceeded or the context was cancelled.
 func (n *Node) Shutdown(ctx context.Context, callers *http.Server) (int, error) {
 	ctx, cancel := context.WithTimeout(ctx, n.cfg.Timing.DrainLimit)
 	defer cancel()
--- a/internal/node/shares.go
+++ b/internal/node/shares.go
@@ -57,6 +57,7 @@
 		return
 	}
 	own := next.Count(n.shareOwner())
+	// Version 0 means that no host has claimed shares before.
 	n.allowance.SetOwnShares(own, version == 0, time.Now())
 	if !changed && next.AllOwnedBy(members) {
 		n.shareState = shareClaimState{members: members, readAt: time.Now()}
--- a/internal/node/state.go
+++ b/internal/node/state.go
@@ -55,8 +55,8 @@
 	n.mu.Unlock()
 	n.runnerTable.Update(view)
 	if modelsChanged {
-		// Sent at once: with views half a second old, homes that place loads would evict models
-		// although other runners have free slots.
+		// Sent immediately: with views half a second old, homes that place loads would evict
+		// models although other runners have free slots.
 		n.membership.TriggerRound()
 	}
 }
@@ -87,7 +87,7 @@
 
 func (n *Node) pullNewerConfig(member fleet.Member) { n.sync.PullIfNewer(n.context(), member) }
 
-// notifyPeers sends heartbeats at once, for example to announce a new revision.
+// notifyPeers sends heartbeats immediately, for example to announce a new revision.
 func (n *Node) notifyPeers() { n.membership.SendHeartbeats(n.context()) }
 
 func (n *Node) context() context.Context {
--- a/internal/node/stop_test.go
+++ b/internal/node/stop_test.go
@@ -12,8 +12,8 @@
 
 func TestOnlyHostStopsWhileRequestsWait(t *testing.T) {
 	// Requests wait for loads when the only host is told to stop. It gives up its runners and no
-	// host takes them, so the loads never happen. Each request must be served or rejected at
-	// once as not run. Otherwise callers would receive nothing until their deadline.
+	// host takes them, so the loads never happen. Each request must be served or rejected
+	// immediately as not run. Otherwise callers would receive nothing until their deadline.
 	envConfig := smallEnvironment()
 	envConfig.LoadTime = 3 * time.Second
 	inCluster(t, 1, envConfig, func(c *cluster) {
--- a/internal/node/streams_test.go
+++ b/internal/node/streams_test.go
@@ -111,8 +111,8 @@
 
 func TestRace10GivenUpRequestIsNotRepeated(t *testing.T) {
 	// An engine is silent for longer than the host waits. The caller of a once-only request is
-	// told at once that it may have run. A later response of the engine changes nothing, and the
-	// request is not sent again.
+	// told immediately that it may have run. A later response of the engine changes nothing, and
+	// the request is not sent again.
 	configure := func(cfg *settings.Settings) { cfg.Timing.FirstPieceTimeout = 3 * time.Second }
 	envConfig := smallEnvironment()
 	envConfig.TokenTime = 10 * time.Second
@@ -152,8 +152,8 @@
 
 func TestRace11GracefulStopCutsOffNothing(t *testing.T) {
 	// A host is told to stop with 600 open streams, while the load balancer sends requests to it
-	// for some more seconds. It becomes not ready at once, accepts these requests, and stops
-	// after the last stream. None is cut off.
+	// for some more seconds. It becomes not ready immediately, accepts these requests, and
+	// stops after the last stream. None is cut off.
 	envConfig := smallEnvironment()
 	envConfig.MaxBatch = 400
 	configure := func(cfg *settings.Settings) { cfg.Timing.DrainLimit = 5 * time.Minute }
@@ -201,7 +201,7 @@
 
 func TestStoppedHostLeavesNoPins(t *testing.T) {
 	// A host stops gracefully and remains on the host list. The adapters that it used last can
-	// be evicted at once.
+	// be evicted immediately.
 	configure := func(cfg *settings.Settings) { cfg.Timing.DrainNotice = time.Second }
 	inConfiguredCluster(t, 2, smallEnvironment(), configure, func(c *cluster) {
 		for _, model := range []string{"a0", "a1", "a2", "a3"} {
