--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -31,7 +31,8 @@
 	Callers, Operators, Peers net.Listener
 }
 
-// Background runs all components except the servers until the context is cancelled.
+// Background runs all components except the servers until the context is cancelled, and then
+// closes the connections to and from peers.
 func (n *Node) Background(ctx context.Context) {
 	n.mu.Lock()
 	n.runCtx = ctx
--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -103,7 +103,8 @@
 	// time.
 	Slots int
 	// WeightsMB is the memory of a runner for the weights of models and adapters.
-	WeightsMB    float64
+	WeightsMB float64
+	// AdapterSlots is the maximum number of adapters on a runner.
 	AdapterSlots int
 	// LoadsPerSecond is the rate of base model loads that the weight store allows.
 	LoadsPerSecond float64
