--- a/internal/inventory/document.go
+++ b/internal/inventory/document.go
@@ -27,7 +27,7 @@
 	Name     string   `json:"name"`
 	Base     string   `json:"base"`
 	Versions []string `json:"versions"`
-	// Current is the version served to callers that name none.
+	// Current is the version that serves requests without a version.
 	Current string `json:"current"`
 	// Callers lists who may use the adapter; AnyCaller allows all.
 	Callers []string `json:"callers"`
@@ -134,7 +134,8 @@
 	return nil
 }
 
-// digest returns the digest of the caller's key. Check has made sure that it is valid.
+// digest returns the digest of the caller's key, or the zero digest if it has none that is
+// valid. Check rejects such callers.
 func (c Caller) digest() credential.Digest {
 	digest, err := credential.Parse(c.KeyDigest)
 	if err != nil {
