--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -222,7 +222,7 @@
 	d.Prefetch(ctx, runner, req.Model, 1)
 }
 
-// Prefetch requests a load that nobody waits for from a runner's owner.
+// Prefetch asks a runner's owner for a load that nobody waits for.
 func (d *Dispatcher) Prefetch(ctx context.Context, runner routing.Runner, model string, value float64) {
 	if runner.Owner == d.cfg.Self.Host {
 		d.deps.Owner.Prefetch(runner.ID, model, value)
--- a/internal/residency/runner.go
+++ b/internal/residency/runner.go
@@ -365,11 +365,11 @@
 }
 
 // ResolveInDoubt clears the in-doubt evictions for which over returns true.
-func (r *Runner) ResolveInDoubt(over func(Intent) bool) {
+func (r *Runner) ResolveInDoubt(finished func(Intent) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for model, intent := range r.inDoubt {
-		if over(intent) {
+		if finished(intent) {
 			delete(r.inDoubt, model)
 		}
 	}
