--- a/internal/adapters/controller_test.go
+++ b/internal/adapters/controller_test.go
@@ -154,7 +154,7 @@
 // Twice as many runners as the store serves at full speed want to load. Each waits
 // for its turn: all at once, every load would take twice as long and none would be in
 // time.
-func TestRunnersTakeTurnsAtASaturatedStore(t *testing.T) {
+func TestRunnersLoadInTurnsFromASaturatedStore(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
 	c.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.5} }
@@ -189,7 +189,7 @@
 // of them in use by running requests. One load is queued; the other requests are
 // refused at once, while other runners can still serve them in time. Told to wait,
 // they were refused only after the first load had taken the slot.
-func TestBurstOnOneFreeSlot(t *testing.T) {
+func TestBurstOnOneFreeSlotQueuesOneLoad(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 3, &fakeEngine{})
 	for i := range 3 {
@@ -234,7 +234,7 @@
 // The answer to an order is lost and the repeated order meets a sequence conflict, so
 // the first one was carried out. The adapter counts as loading, and the sequence
 // number increases once.
-func TestLostAnswerCountsOnce(t *testing.T) {
+func TestOrderRepeatedAfterLostAnswerCountsOnce(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{answers: []Outcome{OutcomeUnknown, OutcomeConflict}}
 	c := newTestController(&now, 3, engine)
@@ -262,7 +262,7 @@
 // All answers to an order are lost, and the report read next is older than the order.
 // The slot stays in doubt and the report is read again. Otherwise the slot was lost
 // for good and the runner did one load per second.
-func TestInDoubtLoadOutlivesAnOldReport(t *testing.T) {
+func TestOldReportDoesNotSettleInDoubtLoad(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 1, &fakeEngine{answers: make([]Outcome, maxOrderTries)})
 	c.loadAdapter(context.Background(), testKey(1))
@@ -276,7 +276,7 @@
 	must.Eq(t, 1, c.slots.Free())
 }
 
-func TestLoadTimesLearn(t *testing.T) {
+func TestLoadTimeEstimatesFollowOutcomes(t *testing.T) {
 	times := NewLoadTimes()
 	must.Eq(t, initialFetchTime, times.Estimate(false, StoreLoad{Capacity: 8}))
 	must.Eq(t, initialReloadTime, times.Estimate(true, StoreLoad{Fetches: 100, Capacity: 8}))
@@ -295,7 +295,7 @@
 // The weight store is saturated and the runner has just started a fetch. A request
 // that an idle store could serve in time is refused at once, since another runner may
 // fetch sooner.
-func TestWaitForTurnCountsAtASaturatedStore(t *testing.T) {
+func TestSaturatedStoreRefusesRequestBehindAFetch(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
 	budget := initialFetchTime + 100*time.Millisecond
--- a/internal/adapters/forecast_test.go
+++ b/internal/adapters/forecast_test.go
@@ -67,7 +67,7 @@
 // A request that should have ended does not. The load that waits for its slot is
 // dropped, so that its request goes to another runner when it asks again instead of
 // being refused late.
-func TestSlotThatIsNotFreedInTime(t *testing.T) {
+func TestLoadIsDroppedWhenItsSlotIsNotFreed(t *testing.T) {
 	now := epoch
 	c := controllerWithBusySlot(t, &now, &fakeEngine{}, 10)
 	admitted, err := c.Admit(testRequest(2, 800*time.Millisecond))
--- a/internal/adapters/limited_test.go
+++ b/internal/adapters/limited_test.go
@@ -33,7 +33,7 @@
 
 // A host that may not send to an adapter's home asks it which other runners hold the
 // adapter. Otherwise it would have the adapter fetched again.
-func TestBarredRequestLearnsReplicas(t *testing.T) {
+func TestHomeNamesReplicasToHostThatMayNotSend(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 4, &fakeEngine{})
 	c.slots.ApplyReport(0, []Held{{Key: testKey(1)}}, 0, now, now)
--- a/internal/adapters/modelloads_test.go
+++ b/internal/adapters/modelloads_test.go
@@ -12,7 +12,7 @@
 // model on each of its own. In any window the loads of all hosts stay within the
 // weight store's limit, or at one per host if there are more hosts than that, and all
 // runners get their model.
-func TestModelLoadsWithinTheBound(t *testing.T) {
+func TestModelLoadsStayWithinTheStoresLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limit := ModelLoadLimit{Window: 5 * time.Second, Overshoot: 1.1}
 		perSecond := float64(rapid.IntRange(1, 32).Draw(t, "loads per second"))
--- a/internal/adapters/pacer_test.go
+++ b/internal/adapters/pacer_test.go
@@ -11,7 +11,7 @@
 
 // The first prompt of a runner: the zero freeAt is far from the owner's clock. A wait
 // computed from it overflowed, so that every request was refused.
-func TestPacerFirstPrompt(t *testing.T) {
+func TestPacerAdmitsFirstPromptWithoutWait(t *testing.T) {
 	var p Pacer
 	must.Eq(t, 0, p.Wait(800, epoch))
 	must.Eq(t, epoch, p.Admit(800, epoch))
@@ -50,7 +50,7 @@
 // A prompt longer than the burst is sent alone: after the prefill of those before it,
 // and before the next. Sent at once behind a burst, the two together made every
 // running stream pause for over 250 ms.
-func TestPacerLongPrompt(t *testing.T) {
+func TestPacerSendsLongPromptAlone(t *testing.T) {
 	var p Pacer
 	must.Eq(t, epoch, p.Admit(3000, epoch))
 	alone := epoch.Add(prefillTime(3000))
--- a/internal/adapters/replicas_test.go
+++ b/internal/adapters/replicas_test.go
@@ -125,7 +125,7 @@
 
 // A version that the runner never held has to be fetched, even if the runner held
 // other versions of the adapter.
-func TestNewVersionIsNoReload(t *testing.T) {
+func TestNewVersionIsNotTakenForAReload(t *testing.T) {
 	now := epoch
 	s := NewAdapterSlots(8)
 	s.LoadAccepted(Key{Adapter: testAdapter(1), Version: 1}, now, now)
--- a/internal/adapters/slots_test.go
+++ b/internal/adapters/slots_test.go
@@ -14,7 +14,7 @@
 
 func testKey(i int) Key { return Key{Adapter: testAdapter(i)} }
 
-func TestCapacity(t *testing.T) {
+func TestSlotCapacityIsBoundedByMemory(t *testing.T) {
 	model := site.Model{Name: "m", WeightsMB: 65_500, AdapterMB: 40}
 	must.Eq(t, 30, SlotCapacity(&site.Engine{WeightsMB: 68_000, AdapterSlots: 30}, model))
 	must.Eq(t, 12, SlotCapacity(&site.Engine{WeightsMB: 66_000, AdapterSlots: 30}, model))
@@ -77,7 +77,7 @@
 
 // A fetch is running and should be done in 40 ms. The next one is ordered now:
 // otherwise the weight store would be idle until the order has reached the runner.
-func TestNextFetchOverlaps(t *testing.T) {
+func TestNextFetchIsOrderedBeforeTheRunningOneEnds(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{}
 	c := newTestController(&now, 8, engine)
@@ -93,7 +93,7 @@
 
 // A new version is announced while the runner holds the old one. A request for the
 // new one must not be sent there as if it were ready.
-func TestSlotsOldVersionIsNotReady(t *testing.T) {
+func TestOldVersionIsNotReadyAsTheNewOne(t *testing.T) {
 	s := NewAdapterSlots(2)
 	s.LoadAccepted(Key{Adapter: testAdapter(1), Version: 2}, epoch, epoch)
 	_, ok := s.Ready(Key{Adapter: testAdapter(1), Version: 3})
@@ -106,7 +106,7 @@
 
 // In any sequence of orders, lost answers and reports, the slots that count as taken
 // are at least those that are: a load beyond them crashes the runner.
-func TestSlotsNeverOverfull(t *testing.T) {
+func TestOccupiedSlotsAreNeverUndercounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const capacity = 4
 		s := NewAdapterSlots(capacity)
--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -49,7 +49,7 @@
 	return snapshot
 }
 
-func TestContract(t *testing.T) {
+func TestResponsePerRequestAndFailure(t *testing.T) {
 	const deletion = `{"change_id":"c1","from":4,"ops":[{"delete_rule":"tug-calls-once"}]}`
 	unavailable := &objectapi.Error{Op: "get", Cause: objectapi.ErrUnavailable}
 	for _, row := range []struct {
--- a/internal/board/board_test.go
+++ b/internal/board/board_test.go
@@ -28,7 +28,7 @@
 
 // Connections to a runner also break for reasons other than its failure. Only a response to a
 // request that was sent after the break shows that the runner is alive.
-func TestRespondedSince(t *testing.T) {
+func TestRespondedSinceIgnoresEarlierRequests(t *testing.T) {
 	b := New()
 	b.RecordResponse("r", epoch)
 	b.RecordResponse("r", epoch.Add(-time.Second))
@@ -70,7 +70,7 @@
 }
 
 // An unreachable runner is avoided at once, for longer each time up to a maximum.
-func TestUnreachableRunner(t *testing.T) {
+func TestUnreachableRunnerIsAvoidedEverLonger(t *testing.T) {
 	b := New()
 	now := epoch
 	for _, want := range []time.Duration{initialSuspicion, 2 * initialSuspicion, 4 * initialSuspicion, 8 * initialSuspicion, maxSuspicion, maxSuspicion} {
@@ -89,7 +89,7 @@
 }
 
 // A peer that is cut off from a runner must not make this host avoid a runner that serves it.
-func TestPeersSuspicion(t *testing.T) {
+func TestPeerSuspicionDoesNotOverrideOwnSuccess(t *testing.T) {
 	b := New()
 	b.RecordSuccess("r", epoch)
 	b.MergePeerSuspicion("r", time.Second, epoch.Add(time.Millisecond))
--- a/internal/board/refusals_test.go
+++ b/internal/board/refusals_test.go
@@ -44,7 +44,7 @@
 
 // Runners disappear from the list during a store outage. If their limits and backoffs were
 // dropped with them, both would be violated as soon as the runners are listed again.
-func TestLimitAndBackoffOutliveTheEntry(t *testing.T) {
+func TestLimitAndBackoffSurviveRemovalFromTheList(t *testing.T) {
 	b := New()
 	b.RecordStart("r", at(0))
 	b.RecordSignal("r", Signal{Limited: true, Rate: 2, Backoff: 3 * time.Second}, at(0), at(10))
--- a/internal/board/signal_test.go
+++ b/internal/board/signal_test.go
@@ -23,7 +23,7 @@
 	must.Eq(t, View{}, b.View("r", at(80)))
 }
 
-func TestLimitOfZero(t *testing.T) {
+func TestRateOfZeroIsALimit(t *testing.T) {
 	b := New()
 	must.Eq(t, SignalChange{LimitChange: LimitChange{Changed: true}}, b.RecordSignal("r", Signal{Limited: true}, at(0), at(10)))
 	must.True(t, b.View("r", at(10)).Limited)
@@ -84,7 +84,7 @@
 	must.Eq(t, 2*maxLimitReports, b.LimitedCount())
 }
 
-func TestBlockedUntil(t *testing.T) {
+func TestOnlyLimitedRunnersAreBlocked(t *testing.T) {
 	b := New()
 	b.BlockUntil("r", at(500))
 	must.Eq(t, 0, b.View("r", at(0)).BlockedFor, must.Sprint("no limit"))
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -73,7 +73,7 @@
 const firstPiece = `{"id":"x","model":"mooring-plan@2","choices":[{"index":0,"text":"one ","delta":{}}]}`
 const secondPiece = `{"id":"x","model":"mooring-plan@2","choices":[{"index":0,"text":"two","finish_reason":"stop","delta":{}}]}`
 
-func TestContract(t *testing.T) {
+func TestResponsePerRequestAndOutcome(t *testing.T) {
 	completion := `{"model":"mooring-plan"}`
 	refused := fakeDispatcher{refusal: &dispatch.Refusal{Status: 429, Code: "overloaded", Verdict: verdict.NotRun, RetryAfter: 1500 * time.Millisecond}}
 	completed := fakeDispatcher{pieces: []string{firstPiece, secondPiece}}
--- a/internal/claims/claims_test.go
+++ b/internal/claims/claims_test.go
@@ -15,7 +15,7 @@
 
 // A claim is removed a day after its request; a claim of today stays, so that a repetition of
 // its request is still rejected.
-func TestSweep(t *testing.T) {
+func TestSweepRemovesClaimsAfterADay(t *testing.T) {
 	platform := standin.NewPlatform()
 	server := httptest.NewServer(platform)
 	defer server.Close()
--- a/internal/hostlist/contract_test.go
+++ b/internal/hostlist/contract_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestContract(t *testing.T) {
+func TestOnlyCompleteListsAreAccepted(t *testing.T) {
 	// The host list answers correctly, incorrectly, late or not at all. Anything but a
 	// complete list must be an error, so that the previous list stays in use.
 	for _, row := range []struct {
--- a/internal/objectapi/contract_test.go
+++ b/internal/objectapi/contract_test.go
@@ -89,7 +89,7 @@
 	}},
 }
 
-func TestContract(t *testing.T) {
+func TestObjectAPIContract(t *testing.T) {
 	for _, row := range contract {
 		t.Run(row.name, func(t *testing.T) {
 			if url := os.Getenv(contractURL); url != "" {
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestFaults(t *testing.T) {
+func TestVerdictOfEachFault(t *testing.T) {
 	// For each kind of fault of the object API, the verdict must say whether a
 	// write may have taken effect; a read never has an effect.
 	for _, row := range []struct {
--- a/internal/weights/contract_test.go
+++ b/internal/weights/contract_test.go
@@ -11,7 +11,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestContract(t *testing.T) {
+func TestOnlyPositiveLimitsAreAccepted(t *testing.T) {
 	for _, row := range []struct {
 		name, text string
 		status     int
