--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -59,7 +59,7 @@
 
 // A host keeps the newest configuration it could decode when an older version arrives
 // under a newer revision, or one that cannot be decoded.
-func TestConfigNeverGoesBack(t *testing.T) {
+func TestNewestDecodableConfigIsKept(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	d.Configs.Listed([]registry.Record{record("main", "7", 1)}, registry.Position{Revision: 1})
@@ -72,7 +72,7 @@
 }
 
 // A runner whose entry says that it is leaving, or is removed, gets no new work.
-func TestLeavingRunner(t *testing.T) {
+func TestLeavingRunnerGetsNoNewWork(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	d.Runners.Listed([]registry.Record{record("a", "false", 1), record("b", "false", 2)}, registry.Position{Revision: 2})
@@ -86,7 +86,7 @@
 // The entries of live runners expire during a store outage, and the list is empty for a
 // moment afterwards. Callers must not be refused for lack of runners; a runner whose
 // entry does not come back is removed.
-func TestLapsedRunnersAreBelievedForAMoment(t *testing.T) {
+func TestExpiredRunnersAreKeptBrieflyAfterOutage(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	d.Runners.Listed([]registry.Record{record("a", "false", 1), record("b", "false", 2)}, registry.Position{Revision: 2})
@@ -105,7 +105,7 @@
 // The store is restored from an older copy that lists a runner as ready that has left, and one
 // that was removed. They get no work until the entries of runners that no longer exist have
 // had time to expire; a runner that is still listed then is live.
-func TestCopyIsNotBelievedOfRunnersThatLeft(t *testing.T) {
+func TestStoreRestoreDoesNotReviveRunnersThatLeft(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	entries := []registry.Record{record("a", "false", 1), record("b", "false", 2), record("c", "false", 3)}
@@ -151,7 +151,7 @@
 }
 
 // An older version of an adapter that arrives under a newer revision is ignored.
-func TestVersionsOnlyGrow(t *testing.T) {
+func TestOlderAdapterVersionIsIgnored(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	adapter := site.Adapter{Model: "m", Name: "a"}
@@ -162,7 +162,7 @@
 
 // A runner reports that it is leaving while its entry still says ready, because the store
 // takes no writes or applies one late. The runner's own report takes precedence.
-func TestOwnWordOutlivesTheEntry(t *testing.T) {
+func TestOwnLeavingReportOverridesTheEntry(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	putReady := func(name string, revision uint64) {
--- a/internal/directory/restart_test.go
+++ b/internal/directory/restart_test.go
@@ -65,7 +65,7 @@
 
 // A runner's entry has no start time, but its reports do. The next entry must be accepted,
 // or the host would never see that the runner is leaving.
-func TestEntryWithoutStart(t *testing.T) {
+func TestEntryWithoutStartTimeIsAccepted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	d.Runners.Listed([]registry.Record{record("a", "false", 1)}, registry.Position{Revision: 1})
@@ -77,7 +77,7 @@
 
 // Another writer corrupts a runner's entry. That runner is removed until its entry can be
 // decoded again; the other runners stay.
-func TestEntryThatCannotBeRead(t *testing.T) {
+func TestMalformedEntryRemovesOnlyItsRunner(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	var events eventRecorder
@@ -94,7 +94,7 @@
 // A process crashes and restarts under another instance at the same address before its
 // former entry expires. Only the newer one gets work: requests addressed to the former
 // instance would be refused.
-func TestOneRunnerAtAnAddress(t *testing.T) {
+func TestNewerRunnerAtAnAddressReplacesTheOlder(t *testing.T) {
 	for name, entries := range map[string][]registry.Record{
 		"by start time": {record("a", `{"born":100,"address":"x:1"}`, 9), record("b", `{"born":200,"address":"x:1"}`, 2)},
 		"by revision":   {record("a", `{"address":"x:1"}`, 1), record("b", `{"address":"x:1"}`, 2)},
--- a/internal/dispatch/limits_test.go
+++ b/internal/dispatch/limits_test.go
@@ -67,7 +67,7 @@
 	must.Eq(t, "gauge", order[1])
 }
 
-func TestPriorityGoesFirst(t *testing.T) {
+func TestHigherPriorityIsAdmittedFirst(t *testing.T) {
 	q := newFairQueue()
 	q.push(AdmissionRequest{Caller: "a", Priority: 0})
 	q.push(AdmissionRequest{Caller: "b", Priority: 5})
--- a/internal/docs/links_test.go
+++ b/internal/docs/links_test.go
@@ -13,7 +13,7 @@
 
 var link = regexp.MustCompile(`\]\(([^)#]+)(#[^)]*)?\)`)
 
-func TestNoLinkIsDead(t *testing.T) {
+func TestLinkedFilesExist(t *testing.T) {
 	var pages []string
 	err := filepath.WalkDir("../..", func(path string, entry os.DirEntry, err error) error {
 		if err == nil && strings.HasSuffix(path, ".md") {
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -180,7 +180,7 @@
 
 // A request is quarantined while the store is down. One of the hosts writes its record once
 // the store is back, and deletes it when the request is cleared.
-func TestPersistentRecord(t *testing.T) {
+func TestQuarantineRecordIsWrittenAfterOutage(t *testing.T) {
 	withQuarantineHosts(t, []string{"a", "b", "c"}, func(hosts map[string]*quarantineHost, store *recordStore) {
 		store.locked(func() { store.down = true })
 		for i := range 3 {
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -27,7 +27,7 @@
 
 // On a calm day almost all callers are served in time, and almost no adapter is fetched to
 // more than one runner.
-func TestCalm(t *testing.T) {
+func TestCalmDayServesAlmostAllInTime(t *testing.T) {
 	r := runScenario(t, "calm", Product, nil)
 	must.GreaterEq(t, 0.96, r.Whole.Share())
 	must.LessEq(t, r.Wanted/20, r.Copies)
@@ -37,7 +37,7 @@
 // A burst of 1.8 times the load, two shifts of demand and two runners that crash, with a
 // weight store that is never idle. Callers get nine tenths of the possible worth, more than
 // if homes didn't know what other runners hold, and with fewer fetches.
-func TestBurst(t *testing.T) {
+func TestBurstWithShiftsAndRunnerCrashes(t *testing.T) {
 	r := runScenario(t, "kushiro", Product, nil)
 	must.GreaterEq(t, 0.86, r.Whole.Share())
 	without := runScenario(t, "kushiro", WithoutHomes, nil)
@@ -48,7 +48,7 @@
 // All hosts lose power for 1.2 s and restart without state, while the runners still hold the
 // adapters: from the second window on callers are served as before, and nothing is fetched
 // twice.
-func TestTotalLoss(t *testing.T) {
+func TestRecoveryAfterAllHostsLosePower(t *testing.T) {
 	r := runScenario(t, "total-loss", Product, nil)
 	for _, window := range r.Windows[6:] {
 		must.GreaterEq(t, 0.9, window.Share())
@@ -58,7 +58,7 @@
 
 // Two of nine runners are unresponsive for four seconds. They are avoided after the first
 // requests, so at most a hundred of about 1,100 callers are not served in time.
-func TestSilentRunners(t *testing.T) {
+func TestSilentRunnersAreAvoided(t *testing.T) {
 	r := runScenario(t, "silent-runners", Product, nil)
 	must.GreaterEq(t, 0.93, r.Whole.Share())
 	must.LessEq(t, 30, r.Whole.Failed)
@@ -66,7 +66,7 @@
 
 // 88 hosts with 112 small runners, a quarter of which crash around a burst: nineteen
 // twentieths of the worth is earned, and a request asks about two owners.
-func TestGrown(t *testing.T) {
+func TestLargeFleetAsksFewOwners(t *testing.T) {
 	r := runScenario(t, "kushiro-grown", Product, func(cfg *Config) { cfg.LengthS = 14 })
 	must.GreaterEq(t, 0.93, r.Whole.Share())
 	must.LessEq(t, 2.5, float64(r.Asks)/float64(r.Whole.Asked))
@@ -86,7 +86,7 @@
 }
 
 // A run is exactly reproducible, so that one run each is enough to compare two commits.
-func TestRunsRepeat(t *testing.T) {
+func TestRunsAreReproducible(t *testing.T) {
 	for _, scenario := range []string{"kushiro", "total-loss"} {
 		first := runScenario(t, scenario, Product, func(cfg *Config) { cfg.LengthS = 10 })
 		must.Eq(t, first, runScenario(t, scenario, Product, func(cfg *Config) { cfg.LengthS = 10 }))
@@ -128,7 +128,7 @@
 	must.Error(t, err)
 }
 
-func TestReport(t *testing.T) {
+func TestReportHasTableAndPlot(t *testing.T) {
 	r := runScenario(t, "calm", Product, func(cfg *Config) { cfg.LengthS = 4 })
 	var table bytes.Buffer
 	must.NoError(t, Write(&table, []*Result{r}))
@@ -160,7 +160,7 @@
 // All places are in use at times. A request for an adapter that a runner held recently then
 // waits for a place there, so that the adapter isn't fetched to another runner: when all such
 // requests were sent on, 539 adapters were fetched instead of 436.
-func TestFewPlaces(t *testing.T) {
+func TestFullSlotsDoNotCauseExtraFetches(t *testing.T) {
 	r := runScenario(t, "few-places", Product, nil)
 	must.GreaterEq(t, 0.8, r.Whole.Share())
 	must.LessEq(t, 470, r.Fetches)
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -201,7 +201,7 @@
 
 // A caller sends only half of its body. It is told that the request has not run as soon as its
 // own timeout has passed.
-func TestBodyTimeout(t *testing.T) {
+func TestIncompleteBodyTimesOutAsNotRun(t *testing.T) {
 	withIngress(t, true, func(e *testIngress) {
 		begin := time.Now()
 		response := e.send("POST /a/x HTTP/1.1\r\nHost: h\r\nId: q\r\nPatience: 2s\r\nContent-Length: 50\r\n\r\nhalf")
@@ -213,7 +213,7 @@
 
 // A stopping host first serves new requests and closes their connections. Later it refuses
 // requests on open connections, since it could not complete them in time.
-func TestStoppingHost(t *testing.T) {
+func TestStoppingHostServesThenRefuses(t *testing.T) {
 	withIngress(t, true, func(e *testIngress) {
 		e.closing = true
 		response := e.send(post("/a/x", 3))
--- a/internal/ingress/keys_test.go
+++ b/internal/ingress/keys_test.go
@@ -25,7 +25,7 @@
 
 // Callers send a key, a wrong one, or none. Only a valid key gives access to a route, and the
 // request then belongs to the key's workspace; a public route is open to all.
-func TestKeyOpensItsRoutes(t *testing.T) {
+func TestOnlyValidKeysGiveAccess(t *testing.T) {
 	for name, test := range map[string]struct {
 		workspaces   *site.Workspaces
 		text         string
@@ -82,7 +82,7 @@
 
 // The body of a request without a key contains a second request. It is discarded as a body, and
 // the second request is not served.
-func TestRestOfARequestWithoutAKeyIsNoRequest(t *testing.T) {
+func TestBodyOfUnauthorizedRequestIsNotServed(t *testing.T) {
 	withIngressConfig(t, configWith(harbourWorkspaces()), func(e *testIngress) {
 		conn, err := e.net.Host("caller").Dial(e.t.Context(), "tcp", "entry:80")
 		must.NoError(t, err)
--- a/internal/losses/losses_test.go
+++ b/internal/losses/losses_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestCause(t *testing.T) {
+func TestCauseOfEachLoss(t *testing.T) {
 	for _, test := range []struct {
 		want    Cause
 		request Request
