--- a/internal/mesh/eras_test.go
+++ b/internal/mesh/eras_test.go
@@ -14,7 +14,7 @@
 
 // The store issues revisions again, so a claim of the new era may have a lower one. Its
 // fencing token must be higher all the same.
-func TestTokensRiseWithTheEra(t *testing.T) {
+func TestFencingTokensIncreaseWithTheEra(t *testing.T) {
 	must.Eq(t, 7, fencingToken(0, 7))
 	must.Greater(t, fencingToken(0, 90), fencingToken(1, 7))
 	must.Greater(t, fencingToken(1, 1<<revisionBits-1), fencingToken(2, 1))
@@ -62,7 +62,7 @@
 // A process starts after a restore and finds that it owns a runner. Another host may act
 // on records that the store has lost, so the process waits unless the store's record says
 // that the era is settled.
-func TestProcessThatStartsWaitsUnlessTheEraIsSettled(t *testing.T) {
+func TestStartedOwnerWaitsUnlessTheEraIsSettled(t *testing.T) {
 	for _, settled := range []registry.Era{0, 1, 2} {
 		a := NewState("a", testTiming, testStart)
 		a.BeginEra(2, testStart)
@@ -113,7 +113,7 @@
 
 // The store has lost that a lease was broken. The host must begin a new epoch all the
 // same. A record with a broken earlier epoch must not end the current one.
-func TestEpochsOnlyGrow(t *testing.T) {
+func TestEpochsNeverDecrease(t *testing.T) {
 	a := newHosts(t, "a", "b")["a"]
 	now := testStart.Add(6 * time.Second)
 	a.Apply([]registry.Change{change(t, hostRecordName("a"), HostRecord{Epoch: 1, Broken: true}, 100)}, now)
@@ -130,7 +130,7 @@
 // The store has lost that a dead host's lease was broken. The lease is broken again at
 // once. Another silent host must not be declared dead before all hosts have stopped acting
 // on the earlier era.
-func TestKnownDeadAreBrokenAgainAtOnce(t *testing.T) {
+func TestLeasesOfDeadHostsAreBrokenAgainInANewEra(t *testing.T) {
 	b := newHosts(t, "a", "b", "c")["b"]
 	now := testStart.Add(20 * time.Second)
 	b.Registered(1, []string{"a", "c"}, now)
--- a/internal/mesh/fetch_test.go
+++ b/internal/mesh/fetch_test.go
@@ -208,7 +208,7 @@
 
 // Unpacking restores what was packed. The same records give the same bytes under the same
 // ID on any host, and other records another ID.
-func TestPackedRecords(t *testing.T) {
+func TestPackingIsReversibleAndDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var records []registry.Record
 		for i := range rapid.IntRange(0, 20).Draw(t, "records") {
--- a/internal/mesh/freshness_test.go
+++ b/internal/mesh/freshness_test.go
@@ -11,7 +11,7 @@
 // The answer to a heartbeat contains only what the sender lacks: newer records, and a
 // younger confirmation of records that both have, without which the sender would ask the
 // store.
-func TestAnswersContainOnlyNews(t *testing.T) {
+func TestHeartbeatAnswersOmitKnownRecords(t *testing.T) {
 	now := time.Unix(1000, 0)
 	clock := func() time.Time { return now }
 	listed := func(revision uint64, names ...string) *registry.Replica {
@@ -45,7 +45,7 @@
 
 // An answer without news still counts as contact. Taken for silence, it would make the
 // host turn to the store and to the seeds.
-func TestAnswersWithoutNewsCountAsContact(t *testing.T) {
+func TestEmptyAnswersCountAsContact(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newServices(3, func() time.Time { return now })[0]
 	now = now.Add(time.Minute)
--- a/internal/mesh/join_test.go
+++ b/internal/mesh/join_test.go
@@ -57,7 +57,7 @@
 // moment: two ask at once and twice as many in each further turn, so that those with an
 // answer can inform the rest. Whatever they send, the last host has asked after the last
 // turn.
-func TestFallbackInTurns(t *testing.T) {
+func TestFallbackQueriesAreStaggered(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, size := range []int{3, 9, 24, 65, 195, 460} {
 		services := newServices(size, func() time.Time { return now })
--- a/internal/mesh/state_test.go
+++ b/internal/mesh/state_test.go
@@ -79,7 +79,7 @@
 // The store is down for a minute and one of six hosts is dead. With the promises of a
 // majority the others go on giving orders, so that requests for adapters that are not
 // loaded are served.
-func TestPromisesReplaceTheStore(t *testing.T) {
+func TestPromisesKeepLeasesWhileStoreIsDown(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c", "d", "e", "f")
 	for passed := time.Duration(0); passed < time.Minute; passed += heartbeatInterval {
 		now := testStart.Add(passed)
@@ -208,7 +208,7 @@
 
 // An owner and all its witnesses are gone for good. Another host breaks its lease once
 // theirs are broken or were silent for long enough, and claims the runner.
-func TestAllWitnessesGone(t *testing.T) {
+func TestLeaseIsBrokenWhenAllWitnessesAreDead(t *testing.T) {
 	now := testStart.Add(20 * time.Second)
 	survivor := NewState("z", testTiming, testStart)
 	survivor.Apply([]registry.Change{
@@ -228,7 +228,7 @@
 
 // Hosts lose heartbeats, renewals and the store at random, and are suspended. A takeover
 // must never come within the gap after an order of the previous owner.
-func TestNoTwoHostsWithinTheGap(t *testing.T) {
+func TestTakeoverNeverComesWithinTheOrderGap(t *testing.T) {
 	taken := 0
 	rapid.Check(t, func(t *rapid.T) {
 		names := []string{"a", "b", "c", "d"}[:rapid.IntRange(2, 4).Draw(t, "hosts")]
@@ -304,7 +304,7 @@
 // All hosts of a deployment start together, and each knows the runners before it knows the
 // other hosts. The ranking for claims must not depend on the host that computes it, or
 // runners change owners at once.
-func TestClaimsAgree(t *testing.T) {
+func TestClaimRankingIsTheSameOnAllHosts(t *testing.T) {
 	var changes []registry.Change
 	for i := range 7 {
 		changes = append(changes, change(t, hostRecordName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1)))
@@ -343,7 +343,7 @@
 
 // In a fleet of four hundred hosts two watch each kind of record. The others cost the
 // store nothing while they are in contact.
-func TestFewHostsWatch(t *testing.T) {
+func TestTwoHostsWatchEachKindOfRecord(t *testing.T) {
 	var changes []registry.Change
 	for i := range 400 {
 		changes = append(changes, change(t, hostRecordName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1)))
@@ -361,7 +361,7 @@
 
 // Witnesses that answer stay, and silent ones are replaced if there are others. The choice
 // changes no more often than the limit on store writes allows.
-func TestChooseWitnesses(t *testing.T) {
+func TestOnlySilentWitnessesAreReplaced(t *testing.T) {
 	s := NewState("a", testTiming, testStart)
 	for i := range 9 {
 		s.Apply([]registry.Change{change(t, hostRecordName(fmt.Sprintf("h%d", i)), HostRecord{Epoch: 1}, uint64(i+1))}, testStart)
--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -120,7 +120,7 @@
 	})
 }
 
-func TestChangeReachesHostThatHearsNoPeer(t *testing.T) {
+func TestChangeReachesHostCutOffFromPeers(t *testing.T) {
 	// One host is cut off from its peers, and watches deliver nothing. The slow poll of the
 	// head alone delivers the change within 5 s.
 	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
@@ -200,7 +200,7 @@
 	})
 }
 
-func TestFreshHostIsNotReadyBehindItsPeers(t *testing.T) {
+func TestNewHostIsNotReadyBehindItsPeers(t *testing.T) {
 	// The object API is down and one of two hosts is a revision behind. A new host hears that
 	// host first. It does not report ready before it has heard the other one, or callers would
 	// see the accepted change revert.
--- a/internal/node/foresight_test.go
+++ b/internal/node/foresight_test.go
@@ -46,7 +46,7 @@
 	return stalls
 }
 
-func TestRestartedEngineIsRefilledHottestFirst(t *testing.T) {
+func TestRestartedEngineReloadsAdaptersInUse(t *testing.T) {
 	// Both engines restart empty. After 15 s without requests, the two adapters
 	// that were in use are resident again and requests do not wait for loads.
 	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestDemandOutlivesItsHost(t *testing.T) {
+func TestDemandIsRestoredAfterHostReplacement(t *testing.T) {
 	// All entry hosts are replaced together by hosts of the same names. Within a minute, the new
 	// ones have restored the demand estimates.
 	inCluster(t, 3, smallEnvironment(), func(c *cluster) {
--- a/internal/node/once_test.go
+++ b/internal/node/once_test.go
@@ -61,7 +61,7 @@
 	})
 }
 
-func TestClaimWithLostAnswer(t *testing.T) {
+func TestOwnClaimIsRecognisedAfterLostResponse(t *testing.T) {
 	// The object API stores the claim but loses the response. The host recognises its own claim
 	// and runs the request once.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
@@ -86,7 +86,7 @@
 	})
 }
 
-func TestNotRunRefusalsAreTriedAgain(t *testing.T) {
+func TestOnlyNotRunRejectionsAreRetried(t *testing.T) {
 	// Engines that reject a once-only request before they start it cause a retry, and the
 	// request runs once. After any other failure it is not retried.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
@@ -102,7 +102,7 @@
 	})
 }
 
-func TestNotRunIsNotSaidAfterATryThatMayHaveRun(t *testing.T) {
+func TestVerdictStaysMayHaveRunAfterRejectedRetries(t *testing.T) {
 	// The first attempt of an idempotent request fails while it runs, so it may have run. All
 	// later attempts are rejected before they start. The verdict is may-have-run, because a
 	// rejection says nothing about the first attempt.
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -205,7 +205,7 @@
 	})
 }
 
-func TestEngineIsFencedBeforeWhatItHoldsIsUsed(t *testing.T) {
+func TestEngineIsFencedBeforeItsAdaptersAreUsed(t *testing.T) {
 	// An owner takes over an engine that reports itself empty. An order of an earlier owner then
 	// loads an adapter, which is used, and is followed by a late eviction of the earlier owner.
 	// The engine rejects the eviction, because the new owner had it execute an order with the
@@ -314,7 +314,7 @@
 	})
 }
 
-func TestWeightStoreAtATenthOfItsRate(t *testing.T) {
+func TestLoadsFollowReducedWeightStoreRate(t *testing.T) {
 	// The weight store reduces its allowed rate to a tenth. Within seconds all hosts together
 	// keep to it, and requests for resident models are still served.
 	envConfig := smallEnvironment()
--- a/internal/node/streams_test.go
+++ b/internal/node/streams_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-func TestPiecesOutOfOrderAndTwice(t *testing.T) {
+func TestReorderedAndDuplicatedPieces(t *testing.T) {
 	// The engine sends pieces out of order and some of them twice. The caller receives each once
 	// and in order.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
@@ -30,7 +30,7 @@
 	})
 }
 
-func TestAnswerUnderAnotherNameIsNotPassedOn(t *testing.T) {
+func TestResponseOfAnotherModelIsNotForwarded(t *testing.T) {
 	// All engines respond under the name of another adapter. The caller receives no piece and is
 	// told that the request may have run.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
@@ -99,7 +99,7 @@
 	})
 }
 
-func TestResetInMidAnswer(t *testing.T) {
+func TestStreamResumesAfterConnectionReset(t *testing.T) {
 	// The connection to the engine is reset after some pieces. The rest is requested on a new
 	// connection, and the request runs once.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
@@ -128,7 +128,7 @@
 	})
 }
 
-func TestCallerGoesAway(t *testing.T) {
+func TestCallerDisconnectCancelsRequest(t *testing.T) {
 	// A caller disconnects during a response. The host cancels the request at the engine and no
 	// longer counts it as open.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
@@ -185,7 +185,7 @@
 	})
 }
 
-func TestDrainLimitTellsWhatItCut(t *testing.T) {
+func TestDrainLimitReportsRequestsCutOff(t *testing.T) {
 	// A stream takes longer than the drain limit. The shutdown ends at the limit and returns the
 	// number of requests cut off.
 	configure := func(cfg *settings.Settings) { cfg.Timing.DrainLimit = 20 * time.Second }
