--- a/internal/placing/placing_test.go
+++ b/internal/placing/placing_test.go
@@ -6,7 +6,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestLimits(t *testing.T) {
+func TestLimitsForSlotsAndUtilization(t *testing.T) {
 	for _, test := range []struct {
 		name        string
 		slots       int
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestPlain(t *testing.T) {
+func TestLeastLoaded(t *testing.T) {
 	candidate := func(id string, load int, local bool) Candidate {
 		return Candidate{ID: id, Load: load, Slots: 6, Local: local}
 	}
--- a/internal/placing/spread_test.go
+++ b/internal/placing/spread_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestWalkTriesEachPlaceOnce(t *testing.T) {
+func TestWalkTriesEachRankOnce(t *testing.T) {
 	walk := NewSpreadEstimator().Walk("a", 5)
 	seen := map[int]bool{}
 	first, _ := walk.Next(0.99)
--- a/internal/quarantine/fingerprint_test.go
+++ b/internal/quarantine/fingerprint_test.go
@@ -9,7 +9,7 @@
 
 // Any difference in content changes the fingerprint, including one in the boundary between two
 // parts.
-func TestFingerprint(t *testing.T) {
+func TestAnyDifferenceChangesTheFingerprint(t *testing.T) {
 	content := Content{Method: "POST", Authority: "a.example", RequestURI: "/live/x?y=1", Adapter: "base/a1", Body: []byte("prompt")}
 	same := content
 	must.Eq(t, content.Fingerprint(), same.Fingerprint())
--- a/internal/quarantine/quarantine_test.go
+++ b/internal/quarantine/quarantine_test.go
@@ -83,7 +83,7 @@
 
 // Three runners are lost at the same time. A request that was completed shortly before does not
 // become suspect, neither on the host that completed it nor on others.
-func TestRunnersLostTogether(t *testing.T) {
+func TestSimultaneousLossDoesNotBlockCompletedRequest(t *testing.T) {
 	counting, serving := New(), New()
 	serving.RecordCompletion(1, epoch)
 	for i := range 3 {
@@ -100,7 +100,7 @@
 
 // A request is blocked while a response to it is in flight. When the response completes, the
 // request is cleared.
-func TestLateCompletionClears(t *testing.T) {
+func TestLateCompletionClearsBlockedRequest(t *testing.T) {
 	q := New()
 	countCrashes(q, 1, 3, 0)
 	must.True(t, blocked(q, 1, 5*time.Second))
@@ -125,7 +125,7 @@
 
 // After the loss of all runners of a data centre, the state that a host keeps is bounded and the
 // number of dropped truncations is returned.
-func TestBounds(t *testing.T) {
+func TestRetainedStateIsBounded(t *testing.T) {
 	q := New()
 	for i := range 2 * maxPending {
 		q.RecordTruncation(Truncation{Content: Fingerprint(i), Runner: "r", At: epoch})
@@ -194,7 +194,7 @@
 }
 
 // A host that starts blocks the requests in the persistent record at once.
-func TestRestore(t *testing.T) {
+func TestRestoredRequestsAreBlockedAtOnce(t *testing.T) {
 	q := New()
 	must.True(t, q.Restore(1, 2, epoch))
 	must.False(t, q.Restore(1, 2, epoch))
--- a/internal/registry/follow_test.go
+++ b/internal/registry/follow_test.go
@@ -113,7 +113,7 @@
 // A host starts with a listing from a stale copy. The first listing of the store itself
 // must add what the copy lacks and remove what the store has lost, and no watch may begin
 // at the copy's position. If the copy is down or empty, the store must be listed at once.
-func TestFirstListingFromACopy(t *testing.T) {
+func TestListingAfterStartFromStaleCopy(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		store  staleStore
@@ -185,7 +185,7 @@
 // answer, or at the latest when the watch's wait ended. Counted from the end of the
 // answer, a large answer over a slow link, a slow reader and a suspended host would each
 // tell others that nothing newer existed when it did.
-func TestConfirmedAsOfTheAnswer(t *testing.T) {
+func TestRecordsAreConfirmedAsOfTheResponseStart(t *testing.T) {
 	news := []Change{{Record: record("a", 9)}}
 	for _, test := range []struct {
 		name      string
--- a/internal/registry/history_test.go
+++ b/internal/registry/history_test.go
@@ -78,7 +78,7 @@
 
 // A host that wrote a record itself is ahead of its peer. That must not cause a fetch of
 // parts.
-func TestOwnWriteIsNoReasonToFetchParts(t *testing.T) {
+func TestOwnWriteDoesNotCauseAFetchOfParts(t *testing.T) {
 	a, b := NewReplica(), NewReplica()
 	a.Listed([]Record{record("a", 1)}, at(1))
 	b.Listed([]Record{record("a", 1)}, at(1))
--- a/internal/registry/replica_test.go
+++ b/internal/registry/replica_test.go
@@ -16,7 +16,7 @@
 
 // A listing of revision 5 arrives after one of revision 8. Applied, it would bring back an
 // old configuration and a removed record.
-func TestReplicaNeverGoesBack(t *testing.T) {
+func TestReplicaIgnoresOlderListing(t *testing.T) {
 	r := NewReplica()
 	r.Listed([]Record{record("a", 7)}, at(8))
 	r.Listed([]Record{record("a", 3), record("gone", 4)}, at(5))
@@ -33,7 +33,7 @@
 
 // A peer's snapshot contains a record that was removed and created again. The watch then
 // delivers the old removal, which must not remove the new record.
-func TestReplicaOldRemoval(t *testing.T) {
+func TestOldRemovalKeepsNewerRecord(t *testing.T) {
 	r := NewReplica()
 	r.Listed([]Record{record("a", 9)}, at(9))
 	r.Changed([]Change{{Record: record("a", 4), Removed: true}}, at(9))
@@ -46,7 +46,7 @@
 
 // Two hosts hold the same records at different revisions of the store, because other kinds
 // changed. If they compared revisions, they would fetch from each other for ever.
-func TestReplicaDigest(t *testing.T) {
+func TestDigestIsIndependentOfStoreRevision(t *testing.T) {
 	a, b := NewReplica(), NewReplica()
 	a.Listed([]Record{record("x", 1), record("y", 2)}, at(2))
 	b.Listed([]Record{record("y", 2)}, at(2))
@@ -76,7 +76,7 @@
 // A runner's record changes with each adapter that is loaded or unloaded, which this layer
 // does not use. Such a change must not be reported, and hosts that have and have not seen
 // it must have the same digest.
-func TestReplicaStrips(t *testing.T) {
+func TestChangesOfStrippedFieldsAreNotReported(t *testing.T) {
 	state := func(name string, revision uint64, spec string) Record {
 		return Record{Name: name, Revision: revision, Spec: json.RawMessage(spec)}
 	}
@@ -122,7 +122,7 @@
 
 // A host asks for differences and there are none, because it learned of the change
 // elsewhere meanwhile. It must keep its records.
-func TestReplicaWithoutDifferences(t *testing.T) {
+func TestReplicaKeepsRecordsWithoutDifferences(t *testing.T) {
 	first, second := NewReplica(), NewReplica()
 	first.Listed([]Record{record("a", 1)}, at(2))
 	second.Listed([]Record{record("a", 1)}, at(1))
@@ -187,7 +187,7 @@
 // has not seen the write, sends its records. They must not replace the write: the host
 // stopped giving the runner orders and claimed it again, a quarter of a second and two
 // calls to the store later.
-func TestOwnWriteOutlivesAnOlderSnapshot(t *testing.T) {
+func TestOlderSnapshotDoesNotReplaceOwnWrite(t *testing.T) {
 	older := []Record{{Name: "a", Revision: 8}, {Name: "b", Revision: 11}}
 	for name, pass := range map[string]func(own, peer *Replica){
 		"differences": func(own, peer *Replica) {
--- a/internal/residency/machine_test.go
+++ b/internal/residency/machine_test.go
@@ -320,7 +320,7 @@
 	must.Eq(t, residency.PinReturn{Pin: pin, Clean: true}, ret)
 }
 
-func TestReturnOfAnEarlierOwnersPinDoesNotPassForANewerOne(t *testing.T) {
+func TestReturnOfOldPinIsNotTakenForNewGrant(t *testing.T) {
 	// A holder returns an idle pin of the previous owner while the new owner's
 	// first grant to it is in flight. The new owner must not take this for the
 	// return of its grant, which the holder is about to use.
@@ -339,7 +339,7 @@
 	must.Eq(t, 1, m.owner.PinCount("a@1"))
 }
 
-func TestPinsOutliveALostModel(t *testing.T) {
+func TestEarlierPinsAreRecalledAfterAReload(t *testing.T) {
 	// An engine restarts cold. One host finds the model missing and has it
 	// loaded again; another still holds its earlier pin and uses it. The owner
 	// must recall that pin too before it evicts the model.
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -19,7 +19,7 @@
 
 var testTimes = Times{Service: 4 * time.Second, Load: time.Second}
 
-func TestChoose(t *testing.T) {
+func TestChooseByStateAndPreset(t *testing.T) {
 	leaving := located("r1", residency.SlotResident, 0)
 	leaving.Live = false
 	for _, row := range []struct {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestPlace(t *testing.T) {
+func TestPlaceOrdersRunnersByState(t *testing.T) {
 	base := Runner{Live: true, Known: true, Owner: "o", Slots: 4, MaxBatch: 8}
 	with := func(id string, change func(r *Runner)) Runner {
 		r := base
--- a/internal/serve/refused_test.go
+++ b/internal/serve/refused_test.go
@@ -39,7 +39,7 @@
 
 // Guards against a request that is sent to a runner that asked for a pause while the request
 // waited for its adapter there.
-func TestRequestThatWaitedIsNotSentToARunnerThatRests(t *testing.T) {
+func TestWaitingRequestIsNotSentToPausedRunner(t *testing.T) {
 	withTestEnv(t, 2, func(w *testEnv) {
 		first := ""
 		w.owners.admissions = append(w.owners.admissions, func(runner *site.Runner, _ adapters.AdmissionRequest) (adapters.AdmissionResult, error) {
--- a/internal/site/site_test.go
+++ b/internal/site/site_test.go
@@ -36,7 +36,7 @@
 }
 
 // Of requests that are not idempotent, only resumable streams may run twice.
-func TestMayRepeat(t *testing.T) {
+func TestOnlyIdempotentOrResumableMayRepeat(t *testing.T) {
 	must.False(t, (&Route{}).MayRepeat())
 	must.False(t, (&Route{Resumable: true}).MayRepeat())
 	must.True(t, (&Route{Kind: Idempotent}).MayRepeat())
@@ -45,7 +45,7 @@
 }
 
 // The ID of a lifetime maps back to the instance.
-func TestLifetimes(t *testing.T) {
+func TestLifetimeIDMapsBackToInstance(t *testing.T) {
 	must.Eq(t, "i-1", LifetimeID("i-1", 0))
 	must.NotEq(t, LifetimeID("i-1", 7), LifetimeID("i-1", 8))
 	must.Eq(t, "i-1", InstanceOf(LifetimeID("i-1", 7)))
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestHeadAndClaims(t *testing.T) {
+func TestNoChangeIsLostAndNoRequestRunsTwice(t *testing.T) {
 	// With two writers, lost answers, stale reads, and one non-idempotent request
 	// through two hosts, no change is lost or accepted twice, the follower's
 	// revision never decreases, and the request runs at most once.
