--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -91,7 +91,7 @@
 		{name: "no such path", path: "/v2", body: completion, status: 404, code: codeBadRequest, verdict: "not-run"},
 		{name: "too many streams", body: completion, full: true, status: 503, code: dispatch.CodeOverloaded, verdict: "not-run", retry: "1"},
 		{name: "refused", body: completion, dispatcher: refused, status: 429, code: "overloaded", verdict: "not-run", retry: "2"},
-		{name: "whole", body: completion, dispatcher: completed, status: 200, verdict: "ran"},
+		{name: "complete response", body: completion, dispatcher: completed, status: 200, verdict: "ran"},
 		{name: "models", method: "GET", path: "/v1/models", status: 200},
 		{name: "service", path: "/services/dispatch-api/tugs/7", status: 201, verdict: "ran"},
 		{name: "no such service", path: "/services/other/x", status: 404, code: codeUnknownModel, verdict: "not-run"},
--- a/internal/ingress/keys_test.go
+++ b/internal/ingress/keys_test.go
@@ -41,9 +41,9 @@
 		"public, another key":           {harbourWorkspaces(), postWithAuthorization("/open/x", "Bearer other", 3), http.StatusOK, "", true},
 		"public, its key":               {harbourWorkspaces(), postWithAuthorization("/open/x", "Bearer "+testKey, 3), http.StatusOK, "harbour", true},
 		"no workspace is listed":        {site.NewWorkspaces(nil), postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusUnauthorized, "", true},
-		"its last key is gone":          {site.NewWorkspaces([]*site.Workspace{{Name: "harbour"}}), postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusUnauthorized, "", true},
-		"keys do not count, no key":     {nil, post("/a/x", 3), http.StatusOK, "", false},
-		"keys do not count, with a key": {nil, postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusOK, "", false},
+		"last key removed":              {site.NewWorkspaces([]*site.Workspace{{Name: "harbour"}}), postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusUnauthorized, "", true},
+		"keys not enforced, no key":     {nil, post("/a/x", 3), http.StatusOK, "", false},
+		"keys not enforced, with a key": {nil, postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusOK, "", false},
 		"no route, no key":              {harbourWorkspaces(), post("/b/x", 3), http.StatusNotFound, "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/registry/follow_test.go
+++ b/internal/registry/follow_test.go
@@ -119,10 +119,10 @@
 		store  staleStore
 		copied int
 	}{
-		{name: "behind", store: staleStore{copied: Listing{Records: []Record{record("a", 1)}, Position: Position{Era: 1, Revision: 5}}}, copied: 1},
-		{name: "of an earlier era", store: staleStore{copied: Listing{Records: []Record{record("a", 1), record("b", 40), record("lost", 45)}, Position: Position{Era: 1, Revision: 50}}}, copied: 1},
-		{name: "away", store: staleStore{away: true}},
-		{name: "knows nothing", store: staleStore{}},
+		{name: "copy is behind", store: staleStore{copied: Listing{Records: []Record{record("a", 1)}, Position: Position{Era: 1, Revision: 5}}}, copied: 1},
+		{name: "copy is of an earlier era", store: staleStore{copied: Listing{Records: []Record{record("a", 1), record("b", 40), record("lost", 45)}, Position: Position{Era: 1, Revision: 50}}}, copied: 1},
+		{name: "copy is down", store: staleStore{away: true}},
+		{name: "copy is empty", store: staleStore{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -30,16 +30,16 @@
 		runner       string
 		needsReplica bool
 	}{
-		{"nowhere", nil, PresetStalls, ActionNone, "", false},
-		{"leaving only", []Located{leaving}, PresetStalls, ActionNone, "", false},
-		{"resident before being loaded", []Located{located("r1", residency.SlotLoading, 0), located("r2", residency.SlotResident, 7)}, PresetStalls, ActionSend, "r2", false},
-		{"the emptier for short stalls", []Located{located("r1", residency.SlotResident, 5), located("r2", residency.SlotResident, 2)}, PresetStalls, ActionSend, "r2", false},
-		{"the fuller for full batches", []Located{located("r1", residency.SlotResident, 5), located("r2", residency.SlotResident, 2)}, PresetBatches, ActionSend, "r1", false},
+		{"on no runner", nil, PresetStalls, ActionNone, "", false},
+		{"only on a leaving runner", []Located{leaving}, PresetStalls, ActionNone, "", false},
+		{"resident before loading", []Located{located("r1", residency.SlotLoading, 0), located("r2", residency.SlotResident, 7)}, PresetStalls, ActionSend, "r2", false},
+		{"least loaded for short stalls", []Located{located("r1", residency.SlotResident, 5), located("r2", residency.SlotResident, 2)}, PresetStalls, ActionSend, "r2", false},
+		{"most loaded for full batches", []Located{located("r1", residency.SlotResident, 5), located("r2", residency.SlotResident, 2)}, PresetBatches, ActionSend, "r1", false},
 		{"not full before queued, also for full batches", []Located{located("r1", residency.SlotResident, 9), located("r2", residency.SlotResident, 2)}, PresetBatches, ActionSend, "r2", false},
-		{"join a load", []Located{located("r1", residency.SlotPending, 0)}, PresetStalls, ActionJoin, "r1", false},
-		{"a busy copy is worth another", []Located{located("r1", residency.SlotResident, 20)}, PresetStalls, ActionSend, "r1", true},
-		{"another copy is on its way", []Located{located("r1", residency.SlotResident, 20), located("r2", residency.SlotLoading, 0)}, PresetStalls, ActionSend, "r1", false},
-		{"evicting does not count", []Located{located("r1", residency.SlotEvicting, 0)}, PresetStalls, ActionNone, "", false},
+		{"joins a pending load", []Located{located("r1", residency.SlotPending, 0)}, PresetStalls, ActionJoin, "r1", false},
+		{"only replica is busy", []Located{located("r1", residency.SlotResident, 20)}, PresetStalls, ActionSend, "r1", true},
+		{"another replica is loading", []Located{located("r1", residency.SlotResident, 20), located("r2", residency.SlotLoading, 0)}, PresetStalls, ActionSend, "r1", false},
+		{"being evicted", []Located{located("r1", residency.SlotEvicting, 0)}, PresetStalls, ActionNone, "", false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
 			got := Choose(row.located, row.weights, testTimes, avoidNone)
--- a/spec/era_test.go
+++ b/spec/era_test.go
@@ -18,11 +18,11 @@
 // With any safeguard switched off, the exploration finds orders that violate the invariant.
 func TestEachEraSafeguardIsNeeded(t *testing.T) {
 	for name, off := range map[string]func(g *EraSafeguards){
-		"tokens by era":   func(g *EraSafeguards) { g.TokensByEra = false },
-		"wait":            func(g *EraSafeguards) { g.WaitUntilSettled = false },
-		"continuity":      func(g *EraSafeguards) { g.ContinuousLease = false },
-		"restart waits":   func(g *EraSafeguards) { g.WaitAfterRestart = false },
-		"replace records": func(g *EraSafeguards) { g.ReplaceRecords = false },
+		"tokens by era":      func(g *EraSafeguards) { g.TokensByEra = false },
+		"wait until settled": func(g *EraSafeguards) { g.WaitUntilSettled = false },
+		"continuous lease":   func(g *EraSafeguards) { g.ContinuousLease = false },
+		"wait after restart": func(g *EraSafeguards) { g.WaitAfterRestart = false },
+		"replace records":    func(g *EraSafeguards) { g.ReplaceRecords = false },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := EraProtocol()
--- a/spec/quota_test.go
+++ b/spec/quota_test.go
@@ -20,10 +20,10 @@
 func TestEachSafeguardOfTheQuotaIsNeeded(t *testing.T) {
 	for name, off := range map[string]func(g *QuotaSafeguards){
 		"lease checked":               func(g *QuotaSafeguards) { g.LeaseChecked = false },
-		"a bucket starts empty":       func(g *QuotaSafeguards) { g.StartWithEmptyBucket = false },
-		"anew under the next lease":   func(g *QuotaSafeguards) { g.ResetOnNewLease, g.DropLostBucket = false, false },
-		"what went away is forgotten": func(g *QuotaSafeguards) { g.DropLostBucket = false },
-		"settling":                    func(g *QuotaSafeguards) { g.SettlingTime = false },
+		"bucket starts empty":         func(g *QuotaSafeguards) { g.StartWithEmptyBucket = false },
+		"bucket reset on a new lease": func(g *QuotaSafeguards) { g.ResetOnNewLease, g.DropLostBucket = false, false },
+		"lost bucket dropped":         func(g *QuotaSafeguards) { g.DropLostBucket = false },
+		"settling time":               func(g *QuotaSafeguards) { g.SettlingTime = false },
 	} {
 		t.Run(name, func(t *testing.T) {
 			g := QuotaProtocol()
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -71,10 +71,10 @@
 	must.True(t, complete)
 	must.SliceEmpty(t, broken)
 	for name, off := range map[string]func(g *StoreSafeguards){
-		"conditional update": func(g *StoreSafeguards) { g.Conditional = false },
-		"read back":          func(g *StoreSafeguards) { g.VerifyAfterLostAnswer = false },
-		"never back":         func(g *StoreSafeguards) { g.RejectOlderRevisions = false },
-		"claim":              func(g *StoreSafeguards) { g.RequireClaim = false },
+		"conditional update":       func(g *StoreSafeguards) { g.Conditional = false },
+		"read back":                func(g *StoreSafeguards) { g.VerifyAfterLostAnswer = false },
+		"older revisions rejected": func(g *StoreSafeguards) { g.RejectOlderRevisions = false },
+		"claim":                    func(g *StoreSafeguards) { g.RequireClaim = false },
 	} {
 		g := StoreProtocol()
 		off(&g)
