--- a/internal/directory/directory_test.go
+++ b/internal/directory/directory_test.go
@@ -105,7 +105,7 @@
 // The store is restored from an older copy that lists a runner as ready that has left, and one
 // that was removed. They get no work until the entries of runners that no longer exist have
 // had time to expire; a runner that is still listed then is live.
-func TestStoreRestoreDoesNotReviveRunnersThatLeft(t *testing.T) {
+func TestEntriesOfDepartedRunnersAreIgnoredAfterRestore(t *testing.T) {
 	now := time.Unix(1000, 0)
 	d := newDirectory(&now)
 	entries := []registry.Record{record("a", "false", 1), record("b", "false", 2), record("c", "false", 3)}
