--- a/internal/adminapi/adminapi_test.go
+++ b/internal/adminapi/adminapi_test.go
@@ -49,7 +49,7 @@
 	return snapshot
 }
 
-func TestContract(t *testing.T) {
+func TestResponsePerRequestAndFailure(t *testing.T) {
 	const deletion = `{"change_id":"c1","from":4,"ops":[{"delete_rule":"tug-calls-once"}]}`
 	unavailable := &objectapi.Error{Op: "get", Cause: objectapi.ErrUnavailable}
 	for _, row := range []struct {
@@ -68,16 +68,16 @@
 		{name: "accepted", method: "POST", path: "/v1/changes", body: deletion, status: 200, accepted: 1},
 		{name: "nothing to change", method: "POST", path: "/v1/changes", body: `{"change_id":"c1","from":4}`, status: 200},
 		{name: "dry run", method: "POST", path: "/v1/changes", body: `{"dry_run":true,"ops":[{"delete_rule":"tug-calls-once"}]}`, status: 200},
-		{name: "dry run of a wrong change", method: "POST", path: "/v1/changes", body: `{"dry_run":true,"ops":[{"delete_rule":"x"}]}`, status: 422, code: CodeRejected, verdict: verdict.NotRun},
+		{name: "dry run of a rejected change", method: "POST", path: "/v1/changes", body: `{"dry_run":true,"ops":[{"delete_rule":"x"}]}`, status: 422, code: CodeRejected, verdict: verdict.NotRun},
 		{name: "no identifier", method: "POST", path: "/v1/changes", body: `{"ops":[]}`, status: 400, code: CodeBadRequest, verdict: verdict.NotRun},
 		{name: "misspelt field", method: "POST", path: "/v1/changes", body: `{"change_id":"c","opps":[]}`, status: 400, code: CodeBadRequest, verdict: verdict.NotRun},
 		{name: "ops and document", method: "POST", path: "/v1/changes", body: `{"change_id":"c","ops":[{}],"document":{}}`, status: 400, code: CodeBadRequest, verdict: verdict.NotRun},
 		{name: "old revision", method: "POST", path: "/v1/changes", body: deletion, err: &configlog.StaleError{From: 4, Current: 5}, status: 409, code: CodeStale, verdict: verdict.NotRun},
-		{name: "wrong change", method: "POST", path: "/v1/changes", body: deletion, err: &configlog.RejectedError{Cause: errors.New("x")}, status: 422, code: CodeRejected, verdict: verdict.NotRun},
+		{name: "rejected change", method: "POST", path: "/v1/changes", body: deletion, err: &configlog.RejectedError{Cause: errors.New("x")}, status: 422, code: CodeRejected, verdict: verdict.NotRun},
 		{name: "outcome unknown", method: "POST", path: "/v1/changes", body: deletion, err: &configlog.OutcomeUnknownError{ChangeID: "c1", Cause: errors.New("x")}, status: 504, code: CodeUnknown, verdict: verdict.MayHaveRun},
-		{name: "platform away", method: "POST", path: "/v1/changes", body: deletion, err: unavailable, status: 503, code: CodeUnavailable, verdict: verdict.NotRun},
-		{name: "audit while the platform is away", method: "GET", path: "/v1/changes", err: unavailable, status: 503, code: CodeUnavailable, verdict: verdict.NotRun},
-		{name: "audit with a wrong limit", method: "GET", path: "/v1/changes?limit=0", status: 400, code: CodeBadRequest, verdict: verdict.NotRun},
+		{name: "platform unavailable", method: "POST", path: "/v1/changes", body: deletion, err: unavailable, status: 503, code: CodeUnavailable, verdict: verdict.NotRun},
+		{name: "audit while the platform is unavailable", method: "GET", path: "/v1/changes", err: unavailable, status: 503, code: CodeUnavailable, verdict: verdict.NotRun},
+		{name: "audit with an invalid limit", method: "GET", path: "/v1/changes?limit=0", status: 400, code: CodeBadRequest, verdict: verdict.NotRun},
 		{name: "unknown request", method: "GET", path: "/v1/requests/x", err: unavailable, status: 404, code: CodeNotFound, verdict: verdict.NotRun},
 		{name: "unknown host", method: "POST", path: "/v1/hosts/x/drain", err: unavailable, status: 404, code: CodeNotFound, verdict: verdict.NotRun},
 		{name: "metrics need a key", method: "GET", path: "/debug/vars", key: "-", status: 401, code: CodeUnauthorized, verdict: verdict.NotRun},
--- a/internal/callerapi/callerapi_test.go
+++ b/internal/callerapi/callerapi_test.go
@@ -73,7 +73,7 @@
 const firstPiece = `{"id":"x","model":"mooring-plan@2","choices":[{"index":0,"text":"one ","delta":{}}]}`
 const secondPiece = `{"id":"x","model":"mooring-plan@2","choices":[{"index":0,"text":"two","finish_reason":"stop","delta":{}}]}`
 
-func TestContract(t *testing.T) {
+func TestResponsePerRequestAndOutcome(t *testing.T) {
 	completion := `{"model":"mooring-plan"}`
 	refused := fakeDispatcher{refusal: &dispatch.Refusal{Status: 429, Code: "overloaded", Verdict: verdict.NotRun, RetryAfter: 1500 * time.Millisecond}}
 	completed := fakeDispatcher{pieces: []string{firstPiece, secondPiece}}
@@ -91,7 +91,7 @@
 		{name: "no such path", path: "/v2", body: completion, status: 404, code: codeBadRequest, verdict: "not-run"},
 		{name: "too many streams", body: completion, full: true, status: 503, code: dispatch.CodeOverloaded, verdict: "not-run", retry: "1"},
 		{name: "refused", body: completion, dispatcher: refused, status: 429, code: "overloaded", verdict: "not-run", retry: "2"},
-		{name: "whole", body: completion, dispatcher: completed, status: 200, verdict: "ran"},
+		{name: "complete response", body: completion, dispatcher: completed, status: 200, verdict: "ran"},
 		{name: "models", method: "GET", path: "/v1/models", status: 200},
 		{name: "service", path: "/services/dispatch-api/tugs/7", status: 201, verdict: "ran"},
 		{name: "no such service", path: "/services/other/x", status: 404, code: codeUnknownModel, verdict: "not-run"},
--- a/internal/registry/follow_test.go
+++ b/internal/registry/follow_test.go
@@ -113,16 +113,16 @@
 // A host starts with a listing from a stale copy. The first listing of the store itself
 // must add what the copy lacks and remove what the store has lost, and no watch may begin
 // at the copy's position. If the copy is down or empty, the store must be listed at once.
-func TestFirstListingFromACopy(t *testing.T) {
+func TestListingAfterStartFromStaleCopy(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		store  staleStore
 		copied int
 	}{
-		{name: "behind", store: staleStore{copied: Listing{Records: []Record{record("a", 1)}, Position: Position{Era: 1, Revision: 5}}}, copied: 1},
-		{name: "of an earlier era", store: staleStore{copied: Listing{Records: []Record{record("a", 1), record("b", 40), record("lost", 45)}, Position: Position{Era: 1, Revision: 50}}}, copied: 1},
-		{name: "away", store: staleStore{away: true}},
-		{name: "knows nothing", store: staleStore{}},
+		{name: "copy is behind", store: staleStore{copied: Listing{Records: []Record{record("a", 1)}, Position: Position{Era: 1, Revision: 5}}}, copied: 1},
+		{name: "copy is of an earlier era", store: staleStore{copied: Listing{Records: []Record{record("a", 1), record("b", 40), record("lost", 45)}, Position: Position{Era: 1, Revision: 50}}}, copied: 1},
+		{name: "copy is down", store: staleStore{away: true}},
+		{name: "copy is empty", store: staleStore{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -185,7 +185,7 @@
 // answer, or at the latest when the watch's wait ended. Counted from the end of the
 // answer, a large answer over a slow link, a slow reader and a suspended host would each
 // tell others that nothing newer existed when it did.
-func TestConfirmedAsOfTheAnswer(t *testing.T) {
+func TestRecordsAreConfirmedAsOfTheResponseStart(t *testing.T) {
 	news := []Change{{Record: record("a", 9)}}
 	for _, test := range []struct {
 		name      string
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestHeadAndClaims(t *testing.T) {
+func TestNoChangeIsLostAndNoRequestRunsTwice(t *testing.T) {
 	// With two writers, lost answers, stale reads, and one non-idempotent request
 	// through two hosts, no change is lost or accepted twice, the follower's
 	// revision never decreases, and the request runs at most once.
@@ -71,10 +71,10 @@
 	must.True(t, complete)
 	must.SliceEmpty(t, broken)
 	for name, off := range map[string]func(g *StoreSafeguards){
-		"conditional update": func(g *StoreSafeguards) { g.Conditional = false },
-		"read back":          func(g *StoreSafeguards) { g.VerifyAfterLostAnswer = false },
-		"never back":         func(g *StoreSafeguards) { g.RejectOlderRevisions = false },
-		"claim":              func(g *StoreSafeguards) { g.RequireClaim = false },
+		"conditional update":       func(g *StoreSafeguards) { g.Conditional = false },
+		"read back":                func(g *StoreSafeguards) { g.VerifyAfterLostAnswer = false },
+		"older revisions rejected": func(g *StoreSafeguards) { g.RejectOlderRevisions = false },
+		"claim":                    func(g *StoreSafeguards) { g.RequireClaim = false },
 	} {
 		g := StoreProtocol()
 		off(&g)
