--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -1,5 +1,5 @@
-// Package control manages the runners that this node owns: it takes them over
-// under this node's lease, polls their load reports, and sends the orders to
+// Package control manages the runners that this host owns: it takes them over
+// under this host's lease, polls their load reports, and sends the orders to
 // load and evict. The rules are in package residency; this package does the
 // I/O.
 package control
@@ -75,12 +75,12 @@
 	Log     hclog.Logger
 }
 
-// Controller manages the runners that this node owns. It is safe for concurrent
+// Controller manages the runners that this host owns. It is safe for concurrent
 // use.
 type Controller struct {
 	cfg  Config
 	deps Deps
-	// lease is this node's own; observer tracks the leases of peers.
+	// lease is this host's own; observer tracks the leases of peers.
 	lease    *lease.Holder
 	observer *lease.Observer
 	node     nodeLease
@@ -90,7 +90,7 @@
 	draining bool
 }
 
-// managedRunner is a runner that this node owns or has owned.
+// managedRunner is a runner that this host owns or has owned.
 type managedRunner struct {
 	runner *residency.Runner
 	host   fleet.Host
@@ -131,7 +131,7 @@
 	}
 }
 
-// ownedRunner returns a runner that this node owns, or nil.
+// ownedRunner returns a runner that this host owns, or nil.
 func (c *Controller) ownedRunner(id string) *managedRunner {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,7 +145,7 @@
 	return m
 }
 
-// Owned returns the runners that this node owns.
+// Owned returns the runners that this host owns.
 func (c *Controller) Owned() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -167,11 +167,11 @@
 		all = append(all, m)
 	}
 	c.mu.Unlock()
-	wanted := 0
+	count := 0
 	for _, m := range all {
-		wanted += m.awaitedLoads()
+		count += m.awaitedLoads()
 	}
-	return wanted
+	return count
 }
 
 // publishChange wakes those waiting for a change of a runner and publishes its
@@ -194,7 +194,7 @@
 	return m.changed
 }
 
-// Run renews the node's lease, and takes over and releases runners until the
+// Run renews this host's lease, and takes over and releases runners until the
 // context ends.
 func (c *Controller) Run(ctx context.Context) {
 	var wg sync.WaitGroup
@@ -218,5 +218,5 @@
 }
 
 // LeaseValidUntil returns the time until which nobody can have broken this
-// node's lease.
+// host's lease.
 func (c *Controller) LeaseValidUntil() time.Time { return c.lease.ValidUntil() }
--- a/internal/control/evict.go
+++ b/internal/control/evict.go
@@ -120,8 +120,8 @@
 // fencing needs.
 func (c *Controller) sendEviction(ctx context.Context, m *managedRunner, model string) error {
 	intent := c.newIntent(m, model)
-	// Counted before the lease is checked, so that the answer "no orders out"
-	// to a successor stays true even if this process is paused here.
+	// Counted before the lease is checked, so that listPins does not tell a
+	// successor that no eviction is in flight while this process is paused here.
 	m.addEvictionsInFlight(1)
 	defer m.addEvictionsInFlight(-1)
 	if !m.host.ChecksFence {
@@ -132,7 +132,7 @@
 		if !c.lease.MayOrder(time.Now(), 0) {
 			m.runner.EvictUnknown(intent)
 			m.markFinished(intent)
-			return errors.New("this node's lease may have ended")
+			return errors.New("this host's lease may have ended")
 		}
 	}
 	// A handover that begins now waits for the answer: cancelling the order
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -238,7 +238,7 @@
 }
 
 // Prefetch requests a load that nobody waits for yet. It reports whether this
-// node took it.
+// host took it.
 func (c *Controller) Prefetch(runner, model string, value float64) bool {
 	m := c.ownedRunner(runner)
 	if m == nil {
--- a/internal/control/nodelease.go
+++ b/internal/control/nodelease.go
@@ -14,10 +14,11 @@
 // renewalsPerLife is the number of renewals within a lease's lifetime.
 const renewalsPerLife = 3
 
-// renewAttempts bounds the attempts at one renewal that found another version.
+// renewAttempts bounds the attempts at one renewal: the stored lease may have a
+// version other than the known one.
 const renewAttempts = 2
 
-// nodeLease is the stored state of this node's lease.
+// nodeLease is what this host knows of its own stored lease.
 type nodeLease struct {
 	mu      sync.Mutex
 	version objectapi.Version
@@ -40,7 +41,7 @@
 	}
 }
 
-// renew renews the node's lease once. A conflict means that a peer broke the
+// renew renews this host's lease once. A conflict means that a peer broke the
 // lease while this process was paused or cut off: all ownership is lost then.
 func (c *Controller) renew(ctx context.Context) {
 	c.node.mu.Lock()
@@ -79,7 +80,7 @@
 	return c.deps.Objects.Put(ctx, lease.Key(record.Host), text, version)
 }
 
-// recoverLease reads the stored lease of this node. It may be our own renewal
+// recoverLease reads the stored lease of this host. It may be our own renewal
 // whose answer was lost, the lease of an earlier process, or our lease, broken
 // by a peer. In the last case ownership ends before the lease is renewed.
 func (c *Controller) recoverLease(ctx context.Context) bool {
@@ -119,7 +120,7 @@
 }
 
 // breakIfExpired breaks the lease of a host that has not renewed it for its
-// whole lifetime, measured by this node's clock. The update is conditional, so
+// whole lifetime, measured by this host's clock. The update is conditional, so
 // a renewal in the meantime wins.
 func (c *Controller) breakIfExpired(ctx context.Context, host string) {
 	record, version, err := c.readLease(ctx, host)
@@ -135,7 +136,7 @@
 	}
 }
 
-// releaseLease releases this node's lease at a planned stop, so that successors
+// releaseLease releases this host's lease at a planned stop, so that successors
 // need not wait until it expires.
 func (c *Controller) releaseLease(ctx context.Context) {
 	c.node.mu.Lock()
--- a/internal/control/ownership.go
+++ b/internal/control/ownership.go
@@ -26,7 +26,7 @@
 	}
 }
 
-// reconcile takes over the runners that this node should own, and releases the
+// reconcile takes over the runners that this host should own, and releases the
 // others.
 func (c *Controller) reconcile(ctx context.Context, now time.Time) {
 	for _, host := range c.deps.Hosts.ByRole(fleet.RoleRunner) {
@@ -142,7 +142,7 @@
 	record, version := m.record, m.version
 	m.mu.Unlock()
 	if _, err := c.writeRecord(ctx, record.Release(), version); err != nil {
-		c.deps.Log.Warn("releasing runner failed; its next owner waits for this node's lease to end", "runner", m.host.ID, "error", err)
+		c.deps.Log.Warn("releasing runner failed; its next owner waits for this host's lease to end", "runner", m.host.ID, "error", err)
 	}
 	c.publishChange(m)
 	c.deps.Log.Info("runner released", "runner", m.host.ID)
--- a/internal/control/pins.go
+++ b/internal/control/pins.go
@@ -23,7 +23,8 @@
 // Refusal is the reason why an owner grants no pin.
 type Refusal string
 
-// After each of these the caller may try another runner.
+// After RefusedLoadBackoff the entry host refuses its request; after each of the
+// others it may try another runner.
 const (
 	RefusedNotOwner    Refusal = "not_owner"
 	RefusedInDoubt     Refusal = "in_doubt"
@@ -44,7 +45,7 @@
 type AcquireResult struct {
 	Pin     *residency.Pin `json:"pin,omitempty"`
 	Refusal Refusal        `json:"refusal,omitempty"`
-	// ExpectedMS is the owner's estimate of the time until the load ends, in
+	// ExpectedMS is unused. It is the owner's estimate of the time until the load ends, in
 	// milliseconds from the request.
 	ExpectedMS int64 `json:"expected_ms,omitempty"`
 	// Loaded reports whether the caller had to wait for a load.
@@ -137,7 +138,7 @@
 			return AcquireResult{Refusal: refusal}, nil
 		}
 		if errors.Is(err, residency.ErrEvicting) {
-			// The model is in demand again: call the recall off.
+			// The model is in demand again: cancel the recall.
 			m.runner.CancelRecall(p.Model)
 		}
 		if pending == nil && errors.Is(err, residency.ErrNotResident) {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -106,7 +106,7 @@
 // to stop got no answer until their limit of half a minute had passed.
 func (d *Dispatcher) HandoverDone() { time.AfterFunc(takeoverTime, d.endHandover) }
 
-// Request is an admitted request of a caller.
+// Request is a caller's request.
 type Request struct {
 	ID       string
 	Caller   string
--- a/internal/loading/loading_test.go
+++ b/internal/loading/loading_test.go
@@ -72,7 +72,7 @@
 }
 
 func TestFailingModelDoesNotExhaustAllowance(t *testing.T) {
-	// A model's loads always fail. After two more attempts they back off, while
+	// A model's loads always fail. From the third failure on they back off, while
 	// other models keep loading.
 	now := time.Unix(0, 0)
 	a := NewAllowance(1000, 1, now)
--- a/internal/loading/queue.go
+++ b/internal/loading/queue.go
@@ -79,7 +79,8 @@
 	// failuresBeforeBackoff is the number of failures that are retried
 	// elsewhere at once.
 	failuresBeforeBackoff = 2
-	meanSmoothing         = 8
+	// meanSmoothing is the smoothing divisor of the mean load time.
+	meanSmoothing = 8
 )
 
 // NewQueue returns a queue over an allowance. defaultLoadTime is the assumed
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -40,6 +40,7 @@
 	Changes  int      `long:"changes" description:"make so many changes and time them"`
 }
 
+// ticksPerSecond is the unit of the processor times in /proc/PID/stat.
 const ticksPerSecond = 100
 
 func main() {
@@ -166,7 +167,8 @@
 	return times, failed
 }
 
-// cpuSeconds returns the processor time that a process has used.
+// cpuSeconds returns the processor time that a process has used, or 0 if it is
+// unknown.
 func cpuSeconds(pid int) float64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
@@ -178,7 +180,7 @@
 	return (user + system) / ticksPerSecond
 }
 
-// residentKB returns a process's resident memory.
+// residentKB returns a process's resident memory in KB, or 0 if it is unknown.
 func residentKB(pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
--- a/internal/residency/slots.go
+++ b/internal/residency/slots.go
@@ -225,11 +225,14 @@
 
 // View is what an owner publishes about a runner.
 type View struct {
-	Runner   string     `json:"id"`
-	Owner    string     `json:"owner"`
-	Fence    uint64     `json:"fence"`
-	Boot     string     `json:"boot,omitempty"`
-	Slots    int        `json:"slots"`
+	Runner string `json:"id"`
+	Owner  string `json:"owner"`
+	Fence  uint64 `json:"fence"`
+	// Boot identifies the engine's last start.
+	Boot  string `json:"boot,omitempty"`
+	Slots int    `json:"slots"`
+	// MaxBatch is the size of the engine's batch, and Fill the fraction of it in
+	// use, as the engine reports it.
 	MaxBatch int        `json:"batch"`
 	Running  int        `json:"running"`
 	Queued   int        `json:"queued"`
@@ -238,10 +241,12 @@
 	// Wanted lists the models that are to be loaded and have no slot yet,
 	// sorted.
 	Wanted []string `json:"wanted,omitempty"`
-	Doubts int      `json:"doubts,omitempty"`
+	// Doubts is the number of evictions that may still take effect.
+	Doubts int `json:"doubts,omitempty"`
 	// Evictable is the number of models that could be evicted now.
 	Evictable int `json:"evictable"`
-	Unheard   int `json:"unheard,omitempty"`
+	// Unheard is the number of members that have not reported their pins yet.
+	Unheard int `json:"unheard,omitempty"`
 }
 
 // View returns the published state of the runner, the slots sorted by model.
--- a/internal/standin/cmd/standins/main.go
+++ b/internal/standin/cmd/standins/main.go
@@ -18,7 +18,7 @@
 type options struct {
 	Listen    string        `long:"listen" default:"127.0.0.1:9000" description:"address of the platform"`
 	Runners   int           `long:"runners" default:"4" description:"number of engines"`
-	Unfenced  int           `long:"unfenced" default:"0" description:"number of engines that ignore fencing numbers"`
+	Unfenced  int           `long:"unfenced" default:"0" description:"number of engines that ignore fencing tokens"`
 	Slots     int           `long:"slots" default:"4" description:"adapter slots of an engine"`
 	MaxBatch  int           `long:"max-batch" default:"32" description:"places in an engine's batch"`
 	TokenTime time.Duration `long:"token-time" default:"20ms" description:"time of one token"`
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -41,8 +41,9 @@
 	faults   Faults
 	counts   Counts
 	runs     map[string]int
-	// running counts the running requests and runningAt is when it last changed; busy
-	// and work are what BatchUtilization is computed from.
+	// running counts the running requests and runningAt is when it last changed. busy is
+	// the time with any running request; work is the time that requests have spent in the
+	// batch, summed over all of them.
 	running    int
 	runningAt  time.Time
 	busy, work time.Duration
@@ -60,6 +61,7 @@
 	return e.busy, float64(e.work) / float64(e.busy) / float64(e.cfg.MaxBatch)
 }
 
+// accountLocked updates busy and work and changes the number of running requests.
 func (e *Engine) accountLocked(change int) {
 	now := time.Now()
 	if e.running > 0 {
@@ -82,8 +84,9 @@
 	HoldOrder    func(order engine.Order)
 }
 
-// Counts holds an engine's counters. EvictedInUse counts evictions of adapters with running
-// requests, NoSlot loads that found no free slot.
+// Counts holds an engine's counters. StaleOrders counts orders refused for an old fencing
+// token, EvictedInUse evictions of adapters with running requests, NoSlot loads that found
+// no free slot.
 type Counts struct {
 	Requests, Cancels, Resumes, Loads, Evictions, StaleOrders int
 	EvictedInUse, NoSlot                                      int
--- a/internal/standin/platform.go
+++ b/internal/standin/platform.go
@@ -53,10 +53,10 @@
 }
 
 // MuteWatches makes watches wait until their timeout and return no events.
-func (p *Platform) MuteWatches(silent bool) {
+func (p *Platform) MuteWatches(mute bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.muteWatches = silent
+	p.muteWatches = mute
 }
 
 // DropResponses makes the next n writes take effect but aborts their responses.
