--- a/internal/experiment/caller.go
+++ b/internal/experiment/caller.go
@@ -15,43 +15,57 @@
 
 // Timing of a caller and of the product's handling of a request, as in package serve.
 const (
-	retryAfter        = 300 * time.Millisecond
-	callerSilence     = 2 * time.Second
-	silenceTargets    = 4
-	silenceGaps       = 8
+	// retryAfter is the time after which a refused caller retries.
+	retryAfter = 300 * time.Millisecond
+	// A caller abandons a request without an event after callerSilence, after silenceTargets
+	// times its target latency or after silenceGaps times its target gap, whichever is longest.
+	callerSilence  = 2 * time.Second
+	silenceTargets = 4
+	silenceGaps    = 8
+	// sendReserve and firstEventReserve are the parts of the caller's silence and of the
+	// target latency that are kept for sending the request and for its first event.
 	sendReserve       = 150 * time.Millisecond
 	firstEventReserve = 60 * time.Millisecond
+	// promptWaitDivisor divides the target latency to give the wait for prefill that is
+	// accepted.
 	promptWaitDivisor = 2
-	missingPause      = 30 * time.Millisecond
-	maxSends          = 4
-	suspectFactor     = 2
+	// missingPause is the pause before another search after an engine lacked the adapter.
+	missingPause = 30 * time.Millisecond
+	maxSends     = 4
+	// suspectFactor is the multiple of the target latency after which a runner without a
+	// first event is suspected.
+	suspectFactor = 2
 	// outputSpread is the standard deviation of the logarithm of answer lengths.
 	outputSpread = 0.7
 )
 
 // request is one caller's request, including its retry.
 type request struct {
-	sim     *simulation
-	kind    *KindConfig
-	key     adapters.Key
+	sim  *simulation
+	kind *KindConfig
+	key  adapters.Key
+	// prompt and output are the numbers of tokens of the prompt and of the answer.
 	prompt  int
 	output  int
 	begun   time.Time
 	retried bool
 
 	// The fields below belong to the current attempt.
-	host     *host
-	arrived  time.Time
-	search   *placing.Search
-	runners  []*site.Runner
-	step     placing.Step
-	last     bool
-	waited   bool
-	sends    int
-	engine   *engine
-	run      *engineRun
-	first    time.Time
-	lastSeen time.Time
+	host    *host
+	arrived time.Time
+	search  *placing.Search
+	runners []*site.Runner
+	step    placing.Step
+	// lastResort is set if every other runner has refused; waited is set once the owner has
+	// told the host to ask again.
+	lastResort bool
+	waited     bool
+	sends      int
+	engine     *engine
+	run        *engineRun
+	first      time.Time
+	lastSeen   time.Time
+	// gap is the longest time between two events.
 	gap      time.Duration
 	finished bool
 	tried    map[string]bool
@@ -173,16 +187,16 @@
 func (r *request) askNext() {
 	sim := r.sim
 	for {
-		step, last, more := r.search.Next(sim.choices.Float64())
+		step, lastResort, more := r.search.Next(sim.choices.Float64())
 		if !more || r.timeLeft() <= 0 {
 			r.retryOrRefuse()
 			return
 		}
 		runner := r.runners[step.Rank]
-		if r.tried[runner.ID] || (!last && r.host.board.View(runner.ID, sim.clock.now).Suspect) {
+		if r.tried[runner.ID] || (!lastResort && r.host.board.View(runner.ID, sim.clock.now).Suspect) {
 			continue
 		}
-		r.step, r.last, r.waited = step, last, false
+		r.step, r.lastResort, r.waited = step, lastResort, false
 		r.askOwner()
 		return
 	}
@@ -194,18 +208,18 @@
 	delay := sim.latency(r.host.centre, runner.DataCentre)
 	sim.result.Asks++
 	sim.clock.after(delay, func() {
-		k := sim.controllers[runner.ID]
-		if k == nil || r.finished {
+		c := sim.controllers[runner.ID]
+		if c == nil || r.finished {
 			sim.clock.after(delay, func() { r.refused(runner, adapters.ErrNotOwner) })
 			return
 		}
 		target := millis(r.kind.TargetMS)
-		admitted, err := k.Admit(adapters.AdmissionRequest{
+		admitted, err := c.Admit(adapters.AdmissionRequest{
 			Key: r.key, PromptTokens: r.prompt, MaxOutputTokens: r.output, ExpectedOutputTokens: r.output, PromptWait: target / promptWaitDivisor,
-			LatencyBudget: r.arrived.Add(target - firstEventReserve).Sub(sim.clock.now), MaxWait: r.timeLeft(), LastResort: r.last,
+			LatencyBudget: r.arrived.Add(target - firstEventReserve).Sub(sim.clock.now), MaxWait: r.timeLeft(), LastResort: r.lastResort,
 			Home: r.step.Home && r.key.Name != "" && sim.policy == Product, Retry: r.step.Retry, Waited: r.waited,
 		})
-		sim.scheduleStep(k, 0)
+		sim.scheduleStep(c, 0)
 		if err != nil {
 			sim.clock.after(delay, func() { r.refused(runner, err) })
 			return
@@ -283,8 +297,8 @@
 		if sim.load[runner] > 0 {
 			sim.load[runner]--
 		}
-		if k := sim.controllers[runner]; k != nil {
-			k.RequestsEnded(map[site.Adapter]int{key.Adapter: 1})
+		if c := sim.controllers[runner]; c != nil {
+			c.RequestsEnded(map[site.Adapter]int{key.Adapter: 1})
 		}
 	})
 }
@@ -412,9 +426,9 @@
 		r.startSearch()
 		return
 	}
-	if k := sim.controllers[runner.ID]; k != nil {
-		k.AdapterMissing(r.key.Adapter)
-		sim.scheduleStep(k, 0)
+	if c := sim.controllers[runner.ID]; c != nil {
+		c.AdapterMissing(r.key.Adapter)
+		sim.scheduleStep(c, 0)
 	}
 	sim.clock.after(missingPause, r.startSearch)
 }
--- a/internal/experiment/config.go
+++ b/internal/experiment/config.go
@@ -6,7 +6,8 @@
 // their single retry, and the network latency are modelled. A run has one seed and is
 // exactly reproducible. It shows how a change to a decision performs under a load,
 // compared with the same decisions without homes that know replicas, and with a
-// reference that has full knowledge at any time.
+// reference that has full knowledge at any time. An adapter's home is the runner that ranks
+// first for it; the home's owner is told which other runners hold the adapter.
 package experiment
 
 import (
@@ -50,7 +51,9 @@
 
 // EngineConfig describes the runners, which are all alike.
 type EngineConfig struct {
-	Count  int `toml:"count"`
+	Count int `toml:"count"`
+	// Slots is the number of requests in a batch, Queue the number that may wait for one,
+	// and Places the number of adapters that an engine can hold.
 	Slots  int `toml:"slots"`
 	Queue  int `toml:"queue"`
 	Places int `toml:"places"`
@@ -70,6 +73,7 @@
 
 // StoreConfig describes the weight store.
 type StoreConfig struct {
+	// LoadMS is the time of a load at full speed.
 	LoadMS float64 `toml:"load_ms"`
 	// Full is the number of concurrent loads that are served at full speed.
 	Full int `toml:"full"`
@@ -79,20 +83,27 @@
 
 // DemandConfig describes which adapters are requested.
 type DemandConfig struct {
-	Adapters int     `toml:"adapters"`
-	Zipf     float64 `toml:"zipf"`
+	Adapters int `toml:"adapters"`
+	// Zipf is the exponent of the distribution of requests over adapters.
+	Zipf float64 `toml:"zipf"`
 	// Named is the share of requests that name an adapter.
 	Named float64 `toml:"named"`
 }
 
 // KindConfig describes a kind of request.
 type KindConfig struct {
-	Name      string  `toml:"name"`
-	PerS      float64 `toml:"per_s"`
-	Prompt    float64 `toml:"prompt"`
-	Spread    float64 `toml:"spread"`
-	MostRead  int     `toml:"most_read"`
-	Events    float64 `toml:"events"`
+	Name string `toml:"name"`
+	// PerS is the number of requests per second.
+	PerS float64 `toml:"per_s"`
+	// Prompt is the mean number of prompt tokens, Spread the standard deviation of its
+	// logarithm, and MostRead its maximum, if above zero.
+	Prompt   float64 `toml:"prompt"`
+	Spread   float64 `toml:"spread"`
+	MostRead int     `toml:"most_read"`
+	// Events is the mean number of events of an answer.
+	Events float64 `toml:"events"`
+	// An answer is in time if its first event arrives within TargetMS and no two events are
+	// further apart than GapMS.
 	TargetMS  float64 `toml:"target_ms"`
 	GapMS     float64 `toml:"gap_ms"`
 	DeadlineS float64 `toml:"deadline_s"`
@@ -122,7 +133,8 @@
 	Share float64 `toml:"share"`
 }
 
-// RetryConfig configures the retry budget.
+// RetryConfig configures the retry budget: in each window, Ratio times the requests plus
+// Slack retries.
 type RetryConfig struct {
 	Ratio   float64 `toml:"ratio"`
 	Slack   float64 `toml:"slack"`
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -18,7 +18,8 @@
 	incoming map[adapters.Key]*fetch
 	evicting map[adapters.Key]bool
 	// cached holds the adapters that load fast, the most recent last.
-	cached   []adapters.Key
+	cached []adapters.Key
+	// sequence is the number of orders accepted so far.
 	sequence int64
 	running  []*engineRun
 	waiting  []*engineRun
@@ -26,7 +27,8 @@
 	silent   bool
 	gone     bool
 	// pacer is used by the reference policy; owners have their own.
-	pacer  adapters.Pacer
+	pacer adapters.Pacer
+	// steps counts the steps, and filled the requests in the batch, summed over them.
 	steps  int
 	filled int
 }
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -35,8 +35,8 @@
 }
 
 // A burst of 1.8 times the load, two shifts of demand and two runners that crash, with a
-// weight store that is never idle. Callers get nine tenths of the possible worth, more than
-// if homes didn't know what other runners hold, and with fewer fetches.
+// weight store that is never idle. Callers get about 90% of the possible worth, more than if
+// homes didn't know what other runners hold, and with fewer fetches.
 func TestBurst(t *testing.T) {
 	r := runScenario(t, "kushiro", Product, nil)
 	must.GreaterEq(t, 0.86, r.Whole.Share())
@@ -64,8 +64,8 @@
 	must.LessEq(t, 30, r.Whole.Failed)
 }
 
-// 88 hosts with 112 small runners, a quarter of which crash around a burst: nineteen
-// twentieths of the worth is earned, and a request asks about two owners.
+// 88 hosts with 112 small runners, a quarter of which crash around a burst: about 95% of the
+// possible worth is earned, and a request asks about two owners.
 func TestGrown(t *testing.T) {
 	r := runScenario(t, "kushiro-grown", Product, func(cfg *Config) { cfg.LengthS = 14 })
 	must.GreaterEq(t, 0.93, r.Whole.Share())
--- a/internal/experiment/result.go
+++ b/internal/experiment/result.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// Tally counts the outcomes of requests.
+// Tally counts the outcomes of requests. Owed is what they would be worth if all were
+// answered in time, Earned what their answers were worth.
 type Tally struct {
 	Asked   int     `json:"asked"`
 	InTime  int     `json:"in_time"`
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -212,14 +212,14 @@
 		return
 	}
 	spec := adapters.Spec{Model: site.Model{Name: modelName}, Capacity: sim.cfg.Engines.Places, LoadsPerSecond: sim.cfg.Store.LoadsPerS}
-	k := &controller{centre: runner.DataCentre, Controller: adapters.NewController(runner, spec, adapters.ControllerDeps{
+	c := &controller{centre: runner.DataCentre, Controller: adapters.NewController(runner, spec, adapters.ControllerDeps{
 		OnSignal: func(string, *board.Signal) {},
 		Holder:   "owner", Engines: engineAPI{sim}, Authority: soleOwner{}, Times: sim.ownerLoadTimes(runner), StoreLoad: sim.storeLoad, RunnerView: sim.ownerView, Utilization: sim.utilization, TypicalPrefill: unknownPrefill,
 		ModelLoads: adapters.NewModelLoadLimiter(adapters.ModelLoadLimit{}), HostCount: func() int { return sim.cfg.Hosts },
 		Now: func() time.Time { return sim.clock.now }, Log: hclog.NewNullLogger(),
 	})}
-	sim.controllers[runner.ID] = k
-	sim.scheduleStep(k, 0)
+	sim.controllers[runner.ID] = c
+	sim.scheduleStep(c, 0)
 }
 
 // ownerLoadTimes returns what the owner of a runner has learnt about load times.
@@ -239,19 +239,19 @@
 
 // scheduleStep schedules a controller's next step after a pause, in place of the one that was
 // scheduled before.
-func (sim *simulation) scheduleStep(k *controller, pause time.Duration) {
-	k.generation++
-	generation := k.generation
+func (sim *simulation) scheduleStep(c *controller, pause time.Duration) {
+	c.generation++
+	generation := c.generation
 	sim.clock.after(pause, func() {
-		if k.generation != generation {
+		if c.generation != generation {
 			return
 		}
 		orders := sim.result.Orders
-		pause := k.Step(context.Background())
+		pause := c.Step(context.Background())
 		if sim.result.Orders != orders {
 			pause = max(pause, orderRoundTrip)
 		}
-		sim.scheduleStep(k, max(pause, time.Microsecond))
+		sim.scheduleStep(c, max(pause, time.Microsecond))
 	})
 }
 
@@ -342,12 +342,12 @@
 
 // removeInstance removes a runner's instance and tells the other controllers.
 func (sim *simulation) removeInstance(runner string) {
-	if k := sim.controllers[runner]; k != nil {
-		k.generation++
+	if c := sim.controllers[runner]; c != nil {
+		c.generation++
 		delete(sim.controllers, runner)
 	}
-	for _, k := range sim.controllers {
-		k.RunnerRemoved(runner)
+	for _, c := range sim.controllers {
+		c.RunnerRemoved(runner)
 	}
 	delete(sim.load, runner)
 }
--- a/spec/quota.go
+++ b/spec/quota.go
@@ -199,7 +199,7 @@
 }
 
 // ExploreQuota searches the quota model as Explore does.
-func ExploreQuota(g QuotaSafeguards, limit int) (states int, broken []QuotaState, complete bool) {
+func ExploreQuota(g QuotaSafeguards, limit int) (states int, path []QuotaState, complete bool) {
 	return explore(initialQuota(), func(s QuotaState) []QuotaState { return NextQuota(s, g) },
 		func(s QuotaState) bool { return s.Violation != "" }, limit)
 }
--- a/spec/spec.go
+++ b/spec/spec.go
@@ -1,7 +1,7 @@
 // Package spec specifies the core protocols as small state machines that are
 // explored exhaustively within bounds. State covers the ownership of one runner:
-// leases, fencing numbers, pins, recalls, eviction intents, delayed orders, a
-// paused owner, and an engine that checks or ignores fencing numbers. StoreState
+// leases, fencing tokens, pins, recalls, eviction intents, delayed orders, a
+// paused owner, and an engine that checks or ignores fencing tokens. StoreState
 // covers the configuration head and claims, QuotaState the counting of quotas, and
 // EraState a store that is restored from a backup.
 //
@@ -14,32 +14,32 @@
 // Safeguards switches the parts of the ownership protocol. Protocol gives those of
 // the implementation.
 type Safeguards struct {
-	// Fenced: the engine rejects orders with an old fencing number.
+	// Fenced: the engine rejects orders with an old fencing token.
 	Fenced bool
 	// FenceFirst: before a new owner grants pins, it sends the engine an order
-	// with the new fencing number.
+	// with the new fencing token.
 	FenceFirst bool
 	// Intents: an owner stores an eviction intent before it orders the eviction,
 	// and its successor grants no pin on a model with an intent. For engines that
-	// don't check fencing numbers.
+	// don't check fencing tokens.
 	Intents bool
 	// AwaitAllReports: a new owner evicts nothing until every holder has reported
 	// its pins.
 	AwaitAllReports bool
-	// AwaitPinReturns: no model is evicted while a pin on it is out.
+	// AwaitPinReturns: no model is evicted while a holder has a pin on it.
 	AwaitPinReturns bool
 	// VoidRecalledGrants: a holder refuses a grant that its recall has overtaken.
 	VoidRecalledGrants bool
 	// RefuseOldGrants: a holder refuses grants of an earlier owner.
 	RefuseOldGrants bool
 	// Models is the number of models in the runner's slots, up to MaxModels.
-	// They share only the owner, the fencing numbers and the holders' reports;
+	// They share only the owner, the fencing tokens and the holders' reports;
 	// one model reaches most faults.
 	Models int
 }
 
 // Protocol returns the safeguards of the implementation, for an engine that does or
-// does not check fencing numbers.
+// does not check fencing tokens.
 func Protocol(fenced bool) Safeguards {
 	return Safeguards{
 		Fenced: fenced, FenceFirst: fenced, Intents: !fenced, AwaitAllReports: true,
@@ -55,7 +55,8 @@
 	maxSeq    = 2 // grants by one owner
 )
 
-// pinState is what an owner knows about one holder's pin.
+// pinState is what an owner knows about one holder's pin. Out is set while the pin is not
+// returned.
 type pinState struct {
 	Out           bool
 	Seq           uint8
@@ -79,7 +80,7 @@
 // State is one state of the ownership model. It is comparable, so that it can be a
 // map key.
 type State struct {
-	// Fence and Intents are the stored record: the current owner's fencing number
+	// Fence and Intents are the stored record: the current owner's fencing token
 	// and the evictions that were announced.
 	Fence   uint8
 	Intents [MaxModels]bool
@@ -87,7 +88,7 @@
 	// Grants and Recalls are messages in transit, by owner, model and holder.
 	Grants  [Owners][MaxModels][Holders]pinMessage
 	Recalls [Owners][MaxModels][Holders]pinMessage
-	// HolderFence is the highest fencing number that a holder knows; the fields up
+	// HolderFence is the highest fencing token that a holder knows; the fields up
 	// to Using are the holders' state too.
 	HolderFence [Holders]uint8
 	Held        [MaxModels][Holders]bool
@@ -97,7 +98,7 @@
 	Using       [MaxModels][Holders]bool
 	// Orders are eviction orders in transit to the engine, by owner.
 	Orders [Owners][MaxModels]bool
-	// EngineFence is the highest fencing number that the engine has seen, Loaded
+	// EngineFence is the highest fencing token that the engine has seen, Loaded
 	// the models that it holds.
 	EngineFence uint8
 	Loaded      [MaxModels]bool
@@ -130,7 +131,7 @@
 	}
 	takeOver(s, g, add)
 	for o := range Owners {
-		openEngine(s, g, o, add)
+		fenceEngine(s, g, o, add)
 		for m := range g.Models {
 			ownerSteps(s, g, o, m, add)
 			for h := range Holders {
@@ -173,8 +174,9 @@
 	})
 }
 
-// openEngine has the successor's first order raise the engine's fencing number.
-func openEngine(s State, g Safeguards, o int, add addState) {
+// fenceEngine has the successor's first order raise the engine's fencing token, so
+// that the engine rejects later orders of the first owner.
+func fenceEngine(s State, g Safeguards, o int, add addState) {
 	if s.Owners[o].Active && !s.Owners[o].EngineFenced && g.FenceFirst {
 		add(func(n *State) {
 			n.EngineFence = max(n.EngineFence, fenceOf(o))
@@ -373,8 +375,8 @@
 
 // Explore searches the ownership model breadth first, up to limit states. It returns
 // the number of distinct states, the shortest path to a violation, if there is one,
-// and whether the search wasn't cut short by the limit.
-func Explore(g Safeguards, limit int) (states int, broken []State, complete bool) {
+// and whether the search ended before it reached the limit.
+func Explore(g Safeguards, limit int) (states int, path []State, complete bool) {
 	return explore(Initial(), func(s State) []State { return Next(s, g) }, func(s State) bool { return s.Violation != "" }, limit)
 }
 
--- a/spec/store.go
+++ b/spec/store.go
@@ -136,7 +136,7 @@
 }
 
 // ExploreStore searches the store model as Explore does.
-func ExploreStore(g StoreSafeguards, limit int) (states int, broken []StoreState, complete bool) {
+func ExploreStore(g StoreSafeguards, limit int) (states int, path []StoreState, complete bool) {
 	return explore(StoreState{}, func(s StoreState) []StoreState { return NextStore(s, g) },
 		func(s StoreState) bool { return s.Violation != "" }, limit)
 }
