--- a/internal/control/evict.go
+++ b/internal/control/evict.go
@@ -51,9 +51,9 @@
 // rankedCandidates returns the models that can be evicted: those in doubt
 // first, since they get no pins, then by increasing demand.
 func (c *Controller) rankedCandidates(m *managedRunner, now time.Time) []residency.EvictionCandidate {
-	wanted := m.modelsToLoad()
+	toLoad := m.modelsToLoad()
 	candidates := slices.DeleteFunc(m.runner.EvictionCandidates(), func(candidate residency.EvictionCandidate) bool {
-		return candidate.Running > 0 || wanted[candidate.Model]
+		return candidate.Running > 0 || toLoad[candidate.Model]
 	})
 	value := make(map[string]float64, len(candidates))
 	for _, candidate := range candidates {
@@ -93,26 +93,26 @@
 
 func (c *Controller) recallAll(ctx context.Context, m *managedRunner, pinned []residency.HolderPin) {
 	var wg sync.WaitGroup
-	for _, out := range pinned {
-		wg.Go(func() { c.recallOne(ctx, m, out) })
+	for _, held := range pinned {
+		wg.Go(func() { c.recallOne(ctx, m, held) })
 	}
 	wg.Wait()
 }
 
-func (c *Controller) recallOne(ctx context.Context, m *managedRunner, out residency.HolderPin) {
+func (c *Controller) recallOne(ctx context.Context, m *managedRunner, held residency.HolderPin) {
 	ctx, cancel := context.WithTimeout(ctx, recallTimeout)
 	defer cancel()
 	var result recallResult
-	if out.Holder == c.cfg.Self.Host {
-		result.Return, result.Returned = c.deps.Holder.Recall(out.Pin)
+	if held.Holder == c.cfg.Self.Host {
+		result.Return, result.Returned = c.deps.Holder.Recall(held.Pin)
 	} else {
-		member, ok := c.deps.Members.Get(out.Holder)
-		if !ok || c.deps.Peers.Call(ctx, member.Address, methodRecall, out.Pin, &result) != nil {
+		member, ok := c.deps.Members.Get(held.Holder)
+		if !ok || c.deps.Peers.Call(ctx, member.Address, methodRecall, held.Pin, &result) != nil {
 			return
 		}
 	}
 	if result.Returned {
-		m.runner.AcceptReturn(out.Holder, result.Return, time.Now())
+		m.runner.AcceptReturn(held.Holder, result.Return, time.Now())
 	}
 }
 
@@ -126,7 +126,7 @@
 	defer m.addEvictionsInFlight(-1)
 	if !m.host.ChecksFence {
 		if err := c.writeIntent(ctx, m, intent); err != nil {
-			m.runner.EvictNotSent(model)
+			m.runner.EvictNotRun(model)
 			return err
 		}
 		if !c.lease.MayOrder(time.Now(), 0) {
@@ -142,7 +142,7 @@
 	case err == nil:
 		m.runner.Evicted(model, time.Now())
 	case verdict.Of(err) == verdict.NotRun:
-		m.runner.EvictNotSent(model)
+		m.runner.EvictNotRun(model)
 		c.endIfFenced(m, err)
 	default:
 		m.runner.EvictUnknown(intent)
--- a/internal/control/runner.go
+++ b/internal/control/runner.go
@@ -29,6 +29,8 @@
 func (c *Controller) pollReports(ctx context.Context, m *managedRunner) {
 	ticker := time.NewTicker(c.cfg.ReportInterval)
 	defer ticker.Stop()
+	// fenced is set when the engine needs no fencing order any more, or never
+	// did.
 	fenced := !m.host.ChecksFence
 	for {
 		asked := time.Now()
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -216,10 +216,10 @@
 	if !s.mayHaveRun || refusal.Verdict != verdict.NotRun {
 		return refusal
 	}
-	whole := *refusal
-	whole.Verdict = verdict.MayHaveRun
-	whole.Message += "; an earlier try may have run"
-	return &whole
+	combined := *refusal
+	combined.Verdict = verdict.MayHaveRun
+	combined.Message += "; an earlier try may have run"
+	return &combined
 }
 
 // runAttempts tries the request until it has an answer, or a retry is unsafe,
--- a/internal/experiment/engine.go
+++ b/internal/experiment/engine.go
@@ -98,7 +98,7 @@
 		f := &fetch{}
 		e.incoming[key] = f
 		e.sim.result.Reloads++
-		e.sim.clock.after(e.sim.store.load/10, func() {
+		e.sim.clock.after(e.sim.store.loadTime/10, func() {
 			if e.incoming[key] == f {
 				arrived()
 			}
--- a/internal/experiment/experiment_test.go
+++ b/internal/experiment/experiment_test.go
@@ -142,7 +142,7 @@
 
 func TestWeightStoreDividesItsRate(t *testing.T) {
 	c := &clock{}
-	s := &weightStore{clock: c, fullSpeed: 2, load: 100 * 1e6}
+	s := &weightStore{clock: c, fullSpeed: 2, loadTime: 100 * 1e6}
 	var done []int
 	for i := range 4 {
 		s.startFetch(func() { done = append(done, i) })
--- a/internal/experiment/weightstore.go
+++ b/internal/experiment/weightstore.go
@@ -5,9 +5,11 @@
 // weightStore models the weight store. Beyond a number of concurrent fetches it divides its
 // rate among them.
 type weightStore struct {
-	clock     *clock
+	clock *clock
+	// fullSpeed is the number of concurrent fetches at full speed, and loadTime the time of
+	// each of them.
 	fullSpeed int
-	load      time.Duration
+	loadTime  time.Duration
 
 	active []*fetch
 	// advancedTo is the time up to which the progress of active fetches is counted.
@@ -25,7 +27,7 @@
 // startFetch starts a fetch.
 func (s *weightStore) startFetch(done func()) *fetch {
 	s.advance()
-	f := &fetch{left: s.load, done: done}
+	f := &fetch{left: s.loadTime, done: done}
 	s.active = append(s.active, f)
 	s.scheduleNext()
 	return f
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -131,7 +131,7 @@
 		fetchedTo: map[adapters.Key]map[string]bool{}, started: epoch.Add(warmUp),
 	}
 	sim.result = newResult(cfg, policy)
-	sim.store = &weightStore{clock: sim.clock, fullSpeed: cfg.Store.Full, load: millis(cfg.Store.LoadMS), advancedTo: epoch}
+	sim.store = &weightStore{clock: sim.clock, fullSpeed: cfg.Store.Full, loadTime: millis(cfg.Store.LoadMS), advancedTo: epoch}
 	for i := range cfg.Hosts {
 		h := &host{name: fmt.Sprintf("h%d", i), centre: sim.dataCentre(i), board: board.New()}
 		sim.hosts = append(sim.hosts, h)
--- a/internal/loading/queue.go
+++ b/internal/loading/queue.go
@@ -184,13 +184,13 @@
 		q.meanLoadTime += (took - q.meanLoadTime) / meanSmoothing
 		return
 	}
-	b := q.failing[model]
-	b.failures++
-	if b.failures > failuresBeforeBackoff {
-		backoff := firstBackoff << min(b.failures-failuresBeforeBackoff-1, 10)
-		b.backoffUntil = now.Add(min(backoff, maxBackoff))
+	state := q.failing[model]
+	state.failures++
+	if state.failures > failuresBeforeBackoff {
+		backoff := firstBackoff << min(state.failures-failuresBeforeBackoff-1, 10)
+		state.backoffUntil = now.Add(min(backoff, maxBackoff))
 	}
-	q.failing[model] = b
+	q.failing[model] = state
 }
 
 // Backoff returns the remaining backoff of a model's loads, or zero.
--- a/internal/loading/service.go
+++ b/internal/loading/service.go
@@ -178,9 +178,9 @@
 		changed := s.queue.Changed()
 		now := time.Now()
 		timer.Reset(min(permitPoll, s.allowance.TimeToNext(now)))
-		if broken := s.queue.Backoff(request.Model, now); broken > 0 {
+		if backoff := s.queue.Backoff(request.Model, now); backoff > 0 {
 			s.queue.Remove(ticket)
-			return permitResult{BrokenMS: broken.Milliseconds()}, nil
+			return permitResult{BrokenMS: backoff.Milliseconds()}, nil
 		}
 		if s.queue.TryPermit(ticket, now, s.permitTTL) {
 			return permitResult{Granted: true, Ticket: ticket}, nil
@@ -251,11 +251,11 @@
 // be done, after all loads that the members say are waiting. It is meaningful
 // on the coordinator only.
 func (s *Service) ExpectedLoadTime() time.Duration {
-	wanted := 0
+	waiting := 0
 	for _, member := range s.members.All() {
-		wanted += member.WaitingLoads
+		waiting += member.WaitingLoads
 	}
-	return s.queue.ExpectedLoadTime(wanted, time.Now())
+	return s.queue.ExpectedLoadTime(waiting, time.Now())
 }
 
 // View returns the state of this host's queue.
--- a/internal/measure/main.go
+++ b/internal/measure/main.go
@@ -32,12 +32,12 @@
 	AdminKey string   `long:"admin-key" description:"operator's key"`
 	Model    string   `long:"model" default:"a1" description:"adapter"`
 	Version  string   `long:"version" default:"1" description:"its current version"`
-	PID      int      `long:"pid" description:"the daemon's process, for its processor time and memory"`
-	Requests int      `long:"requests" default:"2000" description:"requests of a latency run"`
-	Parallel int      `long:"parallel" default:"8" description:"requests at a time"`
-	Pieces   int      `long:"pieces" default:"1" description:"pieces of an answer"`
-	Streams  int      `long:"streams" description:"open so many streams and read the memory"`
-	Changes  int      `long:"changes" description:"make so many changes and time them"`
+	PID      int      `long:"pid" description:"process ID of the daemon, whose processor time and memory are measured"`
+	Requests int      `long:"requests" default:"2000" description:"number of requests in a latency run"`
+	Parallel int      `long:"parallel" default:"8" description:"number of concurrent requests"`
+	Pieces   int      `long:"pieces" default:"1" description:"number of pieces per answer"`
+	Streams  int      `long:"streams" description:"number of streams to open, to measure the memory per stream"`
+	Changes  int      `long:"changes" description:"number of changes to make and time"`
 }
 
 // ticksPerSecond is the unit of the processor times in /proc/PID/stat.
--- a/internal/residency/slots.go
+++ b/internal/residency/slots.go
@@ -193,9 +193,9 @@
 	r.removedAt[model] = now
 }
 
-// EvictNotSent makes a model resident again: the order was not executed and
-// never will be.
-func (r *Runner) EvictNotSent(model string) {
+// EvictNotRun makes a model resident again, after an eviction that was not sent
+// or that the engine refused.
+func (r *Runner) EvictNotRun(model string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if s := r.slots[model]; s != nil && s.state == SlotEvicting {
--- a/internal/standin/cmd/standins/main.go
+++ b/internal/standin/cmd/standins/main.go
@@ -21,10 +21,10 @@
 	Unfenced  int           `long:"unfenced" default:"0" description:"number of engines that ignore fencing tokens"`
 	Slots     int           `long:"slots" default:"4" description:"adapter slots of an engine"`
 	MaxBatch  int           `long:"max-batch" default:"32" description:"places in an engine's batch"`
-	TokenTime time.Duration `long:"token-time" default:"20ms" description:"time of one token"`
-	LoadTime  time.Duration `long:"load-time" default:"300ms" description:"time of one load at full speed"`
+	TokenTime time.Duration `long:"token-time" default:"20ms" description:"time per token"`
+	LoadTime  time.Duration `long:"load-time" default:"300ms" description:"time per load at full speed"`
 	ReportLag time.Duration `long:"report-lag" default:"200ms" description:"lag of the load reports"`
-	Parallel  int           `long:"parallel" default:"1" description:"loads at a time at full speed"`
+	Parallel  int           `long:"parallel" default:"1" description:"number of concurrent loads at full speed"`
 	Entries   []string      `long:"entry" value-name:"ID=DC=HOST:PORT" description:"entry host to list, with its data centre and its address for peers"`
 }
 
--- a/internal/standin/link.go
+++ b/internal/standin/link.go
@@ -38,8 +38,9 @@
 	l.bytesPerSecond[host] = mbps * 1e6 / bitsPerByte
 }
 
-// piece is the size in bytes into which writes are split, so that connections share a link.
-const piece = 4 << 10
+// pieceBytes is the size of the pieces into which writes are split, so that connections
+// share a link.
+const pieceBytes = 4 << 10
 
 // Reserve reserves the links between two hosts for a number of bytes and returns the time
 // until they arrive.
--- a/internal/standin/network.go
+++ b/internal/standin/network.go
@@ -129,7 +129,7 @@
 // Blackhole makes the open connections between two hosts drop all data without either end
 // noticing. New connections work.
 func (n *Network) Blackhole(a, b string) {
-	n.each(a, b, func(conn *memConn) { conn.silence() })
+	n.each(a, b, func(conn *memConn) { conn.blackhole() })
 }
 
 func (n *Network) each(a, b string, do func(conn *memConn)) {
@@ -200,10 +200,9 @@
 	once    sync.Once
 	closed  chan struct{}
 
-	mu     sync.Mutex
-	silent bool
-	// queue holds pieces that wait for a link, which deliver sends while delivering is
-	// set.
+	mu         sync.Mutex
+	blackholed bool
+	// queue holds the pieces that wait for a link; delivering is set while deliver runs.
 	queue      []queuedPiece
 	delivering bool
 }
@@ -219,24 +218,24 @@
 	return has(a) && has(b)
 }
 
-func (c *memConn) silence() {
+func (c *memConn) blackhole() {
 	c.mu.Lock()
-	c.silent = true
+	c.blackholed = true
 	c.mu.Unlock()
 	// A pending write would wait forever for a reader: the deadline ends it.
 	_ = c.Conn.SetWriteDeadline(time.Now())
 }
 
-func (c *memConn) isSilent() bool {
+func (c *memConn) isBlackholed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.silent
+	return c.blackholed
 }
 
 func (c *memConn) Write(data []byte) (int, error) {
 	sent := 0
 	for {
-		next := data[sent:min(len(data), sent+piece)]
+		next := data[sent:min(len(data), sent+pieceBytes)]
 		n, err := c.writePiece(next)
 		sent += n
 		if err != nil || sent == len(data) {
@@ -246,14 +245,14 @@
 }
 
 func (c *memConn) writePiece(data []byte) (int, error) {
-	if c.isSilent() {
+	if c.isBlackholed() {
 		return len(data), nil
 	}
 	if c.enqueue(data) {
 		return len(data), nil
 	}
 	n, err := c.Conn.Write(data)
-	if err != nil && c.isSilent() {
+	if err != nil && c.isBlackholed() {
 		return len(data), nil
 	}
 	return n, err
@@ -299,7 +298,7 @@
 		case <-c.closed:
 			arrived.Stop()
 		}
-		if c.isSilent() {
+		if c.isBlackholed() {
 			continue
 		}
 		if _, err := c.Conn.Write(next.data); err != nil {
@@ -310,7 +309,7 @@
 
 func (c *memConn) Read(data []byte) (int, error) {
 	n, err := c.Conn.Read(data)
-	if c.isSilent() && (n > 0 || err == nil) {
+	if c.isBlackholed() && (n > 0 || err == nil) {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -12,18 +12,24 @@
 
 // EnvironmentConfig configures an Environment.
 type EnvironmentConfig struct {
-	Runners       int
-	Slots         int
-	MaxBatch      int
-	TokenTime     time.Duration
-	LoadTime      time.Duration
-	ReportLag     time.Duration
+	Runners int
+	// Slots is the number of adapters that an engine can hold, MaxBatch the number of
+	// requests that it runs at a time.
+	Slots     int
+	MaxBatch  int
+	TokenTime time.Duration
+	LoadTime  time.Duration
+	ReportLag time.Duration
+	// ParallelLoads is the number of concurrent loads that the weight store serves at full
+	// speed.
 	ParallelLoads int
-	Base          string
-	DataCentre    string
+	// Base is the engines' base model.
+	Base       string
+	DataCentre string
 	// Unfenced is the number of runners that don't check fencing tokens.
 	Unfenced int
-	Service  string
+	// Service is the name of the plain service; without a name there is none.
+	Service string
 }
 
 // Environment is a stand-in platform with runners and a plain service, each with its own
--- a/spec/era_test.go
+++ b/spec/era_test.go
@@ -10,9 +10,9 @@
 // reconnected and a process restarts: no two hosts order the runner within the gap, and no
 // token is lower than one before.
 func TestNoTwoHostsOrderAcrossARestore(t *testing.T) {
-	states, broken, complete := ExploreEra(EraProtocol(), 2*limit(t))
+	states, path, complete := ExploreEra(EraProtocol(), 2*limit(t))
 	t.Logf("%d distinct states, every one within the bounds: %t", states, complete)
-	must.SliceEmpty(t, broken, must.Sprintf("%+v", broken))
+	must.SliceEmpty(t, path, must.Sprintf("%+v", path))
 }
 
 // With any safeguard switched off, the exploration finds orders that violate the invariant.
@@ -27,9 +27,9 @@
 		t.Run(name, func(t *testing.T) {
 			g := EraProtocol()
 			off(&g)
-			states, broken, complete := ExploreEra(g, 4*limit(t))
-			must.SliceNotEmpty(t, broken, must.Sprintf("%d states, complete %t", states, complete))
-			t.Logf("%s after %d steps, %d states", broken[len(broken)-1].Violation, len(broken)-1, states)
+			states, path, complete := ExploreEra(g, 4*limit(t))
+			must.SliceNotEmpty(t, path, must.Sprintf("%d states, complete %t", states, complete))
+			t.Logf("%s after %d steps, %d states", path[len(path)-1].Violation, len(path)-1, states)
 		})
 	}
 }
--- a/spec/quota_test.go
+++ b/spec/quota_test.go
@@ -10,9 +10,9 @@
 // full. The first one is partitioned, restarted, loses its lease and rejoins, in any order: no
 // window holds more than the quota allows.
 func TestNoWindowHoldsMoreThanTheQuota(t *testing.T) {
-	states, broken, complete := ExploreQuota(QuotaProtocol(), 4*limit(t))
+	states, path, complete := ExploreQuota(QuotaProtocol(), 4*limit(t))
 	t.Logf("%d distinct states, every one within the bounds: %t", states, complete)
-	must.SliceEmpty(t, broken, must.Sprintf("%+v", broken))
+	must.SliceEmpty(t, path, must.Sprintf("%+v", path))
 	must.True(t, complete)
 }
 
@@ -28,9 +28,9 @@
 		t.Run(name, func(t *testing.T) {
 			g := QuotaProtocol()
 			off(&g)
-			states, broken, complete := ExploreQuota(g, 4*limit(t))
-			must.SliceNotEmpty(t, broken, must.Sprintf("%d states, complete %t", states, complete))
-			t.Logf("%s after %d steps, %d states", broken[len(broken)-1].Violation, len(broken)-1, states)
+			states, path, complete := ExploreQuota(g, 4*limit(t))
+			must.SliceNotEmpty(t, path, must.Sprintf("%d states, complete %t", states, complete))
+			t.Logf("%s after %d steps, %d states", path[len(path)-1].Violation, len(path)-1, states)
 		})
 	}
 }
--- a/spec/spec_test.go
+++ b/spec/spec_test.go
@@ -23,15 +23,15 @@
 	// delayed, no model is evicted while a holder uses it.
 	for name, fenced := range map[string]bool{"fenced": true, "unfenced": false} {
 		t.Run(name, func(t *testing.T) {
-			states, broken, complete := Explore(Protocol(fenced), limit(t))
+			states, path, complete := Explore(Protocol(fenced), limit(t))
 			t.Logf("one model: %d distinct states, every one within the bounds: %t", states, complete)
-			must.SliceEmpty(t, broken, must.Sprintf("%+v", broken))
+			must.SliceEmpty(t, path, must.Sprintf("%+v", path))
 			must.True(t, complete)
 			two := Protocol(fenced)
 			two.Models = 2
-			states, broken, complete = Explore(two, limit(t)/4)
+			states, path, complete = Explore(two, limit(t)/4)
 			t.Logf("two models: %d distinct states, every one within the bounds: %t", states, complete)
-			must.SliceEmpty(t, broken, must.Sprintf("%+v", broken))
+			must.SliceEmpty(t, path, must.Sprintf("%+v", path))
 		})
 	}
 }
@@ -55,9 +55,9 @@
 		t.Run(row.name, func(t *testing.T) {
 			g := Protocol(row.fenced)
 			row.off(&g)
-			states, broken, _ := Explore(g, limit(t))
-			must.SliceNotEmpty(t, broken, must.Sprintf("%d states", states))
-			t.Logf("%s after %d steps, %d states", broken[len(broken)-1].Violation, len(broken)-1, states)
+			states, path, _ := Explore(g, limit(t))
+			must.SliceNotEmpty(t, path, must.Sprintf("%d states", states))
+			t.Logf("%s after %d steps, %d states", path[len(path)-1].Violation, len(path)-1, states)
 		})
 	}
 }
@@ -66,10 +66,10 @@
 	// With two writers, lost answers, stale reads, and one non-idempotent request
 	// through two hosts, no change is lost or accepted twice, the follower's
 	// revision never decreases, and the request runs at most once.
-	states, broken, complete := ExploreStore(StoreProtocol(), limit(t))
+	states, path, complete := ExploreStore(StoreProtocol(), limit(t))
 	t.Logf("%d distinct states", states)
 	must.True(t, complete)
-	must.SliceEmpty(t, broken)
+	must.SliceEmpty(t, path)
 	for name, off := range map[string]func(g *StoreSafeguards){
 		"conditional update": func(g *StoreSafeguards) { g.Conditional = false },
 		"read back":          func(g *StoreSafeguards) { g.VerifyAfterLostAnswer = false },
@@ -78,7 +78,7 @@
 	} {
 		g := StoreProtocol()
 		off(&g)
-		_, broken, _ := ExploreStore(g, limit(t))
-		must.SliceNotEmpty(t, broken, must.Sprint(name))
+		_, path, _ := ExploreStore(g, limit(t))
+		must.SliceNotEmpty(t, path, must.Sprint(name))
 	}
 }
--- a/spec/store.go
+++ b/spec/store.go
@@ -95,7 +95,7 @@
 
 func commitChange(n *StoreState, w int, phase uint8) {
 	if n.Writers[w].Read != n.Head {
-		n.Violation = "a change was lost under another"
+		n.Violation = "a change overwrote another"
 	}
 	n.Stale[n.Head] = true
 	n.Head = n.Writers[w].Read + 1
@@ -111,7 +111,7 @@
 		if g.RejectOlderRevisions {
 			return
 		}
-		n.Violation = "a revision went back"
+		n.Violation = "the follower's revision decreased"
 	}
 	n.Follower = revision
 }
