--- a/internal/control/controller.go
+++ b/internal/control/controller.go
@@ -83,7 +83,7 @@
 	// lease is this host's own; observer tracks the leases of peers.
 	lease    *lease.Holder
 	observer *lease.Observer
-	node     nodeLease
+	stored   storedLease
 
 	mu       sync.Mutex
 	runners  map[string]*managedRunner
@@ -217,6 +217,6 @@
 	}
 }
 
-// LeaseValidUntil returns the time until which nobody can have broken this
+// LeaseValidUntil returns the time until which no peer can have broken this
 // host's lease.
 func (c *Controller) LeaseValidUntil() time.Time { return c.lease.ValidUntil() }
--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -18,7 +18,7 @@
 	// the callers that arrived meanwhile.
 	permitWait = time.Second
 	retryDelay = 50 * time.Millisecond
-	// failureTTL is how long a failed load is remembered. Callers that ask for
+	// failureTTL is how long a failed load is remembered. Callers that request
 	// it are refused meanwhile, so that they try another runner.
 	failureTTL = 2 * time.Second
 )
--- a/internal/control/nodelease.go
+++ b/internal/control/nodelease.go
@@ -18,8 +18,8 @@
 // version other than the known one.
 const renewAttempts = 2
 
-// nodeLease is what this host knows of its own stored lease.
-type nodeLease struct {
+// storedLease is what this host knows of its own stored lease.
+type storedLease struct {
 	mu      sync.Mutex
 	version objectapi.Version
 	renewal uint64
@@ -44,8 +44,8 @@
 // renew renews this host's lease once. A conflict means that a peer broke the
 // lease while this process was paused or cut off: all ownership is lost then.
 func (c *Controller) renew(ctx context.Context) {
-	c.node.mu.Lock()
-	defer c.node.mu.Unlock()
+	c.stored.mu.Lock()
+	defer c.stored.mu.Unlock()
 	for range renewAttempts {
 		if c.isDraining() || !c.renewOnce(ctx) {
 			return
@@ -55,14 +55,14 @@
 
 // renewOnce reports whether to try again at once.
 func (c *Controller) renewOnce(ctx context.Context) bool {
-	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.node.renewal + 1}
+	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.stored.renewal + 1}
 	sent := time.Now()
-	version, err := c.putLease(ctx, record, c.node.version)
+	version, err := c.putLease(ctx, record, c.stored.version)
 	switch {
 	case err == nil:
-		c.node.version = version
-		c.node.renewal++
-		c.node.held = true
+		c.stored.version = version
+		c.stored.renewal++
+		c.stored.held = true
 		c.lease.RecordRenewal(sent)
 	case errors.Is(err, objectapi.ErrConflict), errors.Is(err, objectapi.ErrAnswerLost):
 		return c.recoverLease(ctx)
@@ -88,14 +88,14 @@
 	if err != nil {
 		return false
 	}
-	if c.node.held && !record.HeldBy(c.cfg.Self.Incarnation) {
+	if c.stored.held && !record.HeldBy(c.cfg.Self.Incarnation) {
 		c.deps.Log.Warn("lease has ended; all runners are given up", "ended_by", record.EndedBy, "holder", record.Incarnation)
-		c.node.held = false
+		c.stored.held = false
 		c.lease.MarkLost()
 		c.endAllOwnership()
 	}
-	c.node.version = version
-	c.node.renewal = max(c.node.renewal, record.Renewal)
+	c.stored.version = version
+	c.stored.renewal = max(c.stored.renewal, record.Renewal)
 	return true
 }
 
@@ -139,13 +139,13 @@
 // releaseLease releases this host's lease at a planned stop, so that successors
 // need not wait until it expires.
 func (c *Controller) releaseLease(ctx context.Context) {
-	c.node.mu.Lock()
-	defer c.node.mu.Unlock()
-	if !c.node.held {
+	c.stored.mu.Lock()
+	defer c.stored.mu.Unlock()
+	if !c.stored.held {
 		return
 	}
-	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.node.renewal + 1, EndedBy: c.cfg.Self.Host}
-	if _, err := c.putLease(ctx, record, c.node.version); err != nil {
+	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.stored.renewal + 1, EndedBy: c.cfg.Self.Host}
+	if _, err := c.putLease(ctx, record, c.stored.version); err != nil {
 		c.deps.Log.Warn("releasing lease failed; successors wait until it expires", "error", err)
 	}
 	c.lease.MarkLost()
--- a/internal/dispatch/services.go
+++ b/internal/dispatch/services.go
@@ -8,7 +8,7 @@
 	"github.com/cherrystage/cherrystage/internal/plain"
 )
 
-// serviceHost selects a live host of a service, in turn.
+// serviceHost selects a live host of a service that its breaker allows, round robin.
 func (d *Dispatcher) serviceHost(service string, avoided map[string]bool) (fleet.Host, bool) {
 	now := time.Now()
 	var hosts []fleet.Host
--- a/spec/spec.go
+++ b/spec/spec.go
@@ -63,7 +63,7 @@
 	ReportPending bool
 }
 
-// owner is one owner's knowledge. Owner 0 has fence 1, owner 1 has fence 2.
+// owner is what one owner knows. Owner 0 has fence 1, owner 1 has fence 2.
 type owner struct {
 	Active       bool
 	EngineFenced bool
