--- a/internal/node/config_test.go
+++ b/internal/node/config_test.go
@@ -79,7 +79,7 @@
 
 func TestRace08HostStartsWhileStoreIsDown(t *testing.T) {
 	// The object API is down, and one of two hosts was cut off and is a revision behind. A new
-	// host that hears both adopts the newer revision, and no host returns to an older one.
+	// host that receives both adopts the newer revision, and no host returns to an older one.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		c.net.Partition("e2", "e1")
 		c.net.Partition("e2", "platform")
@@ -136,7 +136,7 @@
 
 func TestStoreDownForAnHour(t *testing.T) {
 	// The object API is down for an hour. Requests are still served, including loads and
-	// evictions, because these engines check fencing numbers. A change is rejected immediately
+	// evictions, because these engines check fencing tokens. A change is rejected immediately
 	// with verdict not-run. When the API returns, the hosts do not flood it.
 	inCluster(t, 4, smallEnvironment(), func(c *cluster) {
 		c.loadModels("e1", "a0", "a1", "a2", "a3")
@@ -201,7 +201,7 @@
 }
 
 func TestNewHostIsNotReadyBehindItsPeers(t *testing.T) {
-	// The object API is down and one of two hosts is a revision behind. A new host hears that
+	// The object API is down and one of two hosts is a revision behind. A new host learns that
 	// host first. It does not report ready before it has heard the other one, or callers would
 	// see the accepted change revert.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
--- a/internal/node/races_test.go
+++ b/internal/node/races_test.go
@@ -49,7 +49,7 @@
 
 func TestRace01LateEvictionOfPausedOwner(t *testing.T) {
 	// The owner of a runner checks its lease, sends an eviction and is cut off. The engine,
-	// which ignores fencing numbers, executes the order 40 s later, when a successor has taken
+	// which ignores fencing tokens, executes the order 40 s later, when a successor has taken
 	// over. The successor has read the stored intent to evict and does not let requests use the
 	// adapter on that runner, so a stream from the adapter is complete.
 	envConfig := smallEnvironment()
@@ -209,7 +209,7 @@
 	// An owner takes over an engine that reports itself empty. An order of an earlier owner then
 	// loads an adapter, which is used, and is followed by a late eviction of the earlier owner.
 	// The engine rejects the eviction, because the new owner had it execute an order with the
-	// new fencing number before it allowed the adapter to be used.
+	// new fencing token before it allowed the adapter to be used.
 	inCluster(t, 2, smallEnvironment(), func(c *cluster) {
 		client := engine.NewClient(engine.Config{Dial: c.net.Host("former").Dial, ConnectTimeout: time.Second, OrderTimeout: time.Minute})
 		late := engine.Order{Kind: engine.OrderLoad, Model: "a0@1"}
@@ -293,7 +293,7 @@
 }
 
 func TestRace15AllowanceKeptWhileCutOff(t *testing.T) {
-	// No hosts hear each other, and each receives requests for many adapters. Each keeps to its
+	// No hosts can reach each other, and each receives requests for many adapters. Each keeps to its
 	// own share, so that in no time window the weight store receives more loads than it allows.
 	envConfig := smallEnvironment()
 	envConfig.LoadTime = 10 * time.Millisecond
--- a/internal/standin/world.go
+++ b/internal/standin/world.go
@@ -21,7 +21,7 @@
 	ParallelLoads int
 	Base          string
 	DataCentre    string
-	// Unfenced is the number of runners that don't check fencing numbers.
+	// Unfenced is the number of runners that don't check fencing tokens.
 	Unfenced int
 	Service  string
 }
--- a/spec/spec.go
+++ b/spec/spec.go
@@ -1,7 +1,7 @@
 // Package spec specifies the core protocols as small state machines that are
 // explored exhaustively within bounds. State covers the ownership of one runner:
-// leases, fencing numbers, pins, recalls, eviction intents, delayed orders, a
-// paused owner, and an engine that checks or ignores fencing numbers. StoreState
+// leases, fencing tokens, pins, recalls, eviction intents, delayed orders, a
+// paused owner, and an engine that checks or ignores fencing tokens. StoreState
 // covers the configuration head and claims, QuotaState the counting of quotas, and
 // EraState a store that is restored from a backup.
 //
@@ -14,14 +14,14 @@
 // Safeguards switches the parts of the ownership protocol. Protocol gives those of
 // the implementation.
 type Safeguards struct {
-	// Fenced: the engine rejects orders with an old fencing number.
+	// Fenced: the engine rejects orders with an old fencing token.
 	Fenced bool
 	// FenceFirst: before a new owner grants pins, it sends the engine an order
-	// with the new fencing number.
+	// with the new fencing token.
 	FenceFirst bool
 	// Intents: an owner stores an eviction intent before it orders the eviction,
 	// and its successor grants no pin on a model with an intent. For engines that
-	// don't check fencing numbers.
+	// don't check fencing tokens.
 	Intents bool
 	// AwaitAllReports: a new owner evicts nothing until every holder has reported
 	// its pins.
@@ -33,13 +33,13 @@
 	// RefuseOldGrants: a holder refuses grants of an earlier owner.
 	RefuseOldGrants bool
 	// Models is the number of models in the runner's slots, up to MaxModels.
-	// They share only the owner, the fencing numbers and the holders' reports;
+	// They share only the owner, the fencing tokens and the holders' reports;
 	// one model reaches most faults.
 	Models int
 }
 
 // Protocol returns the safeguards of the implementation, for an engine that does or
-// does not check fencing numbers.
+// does not check fencing tokens.
 func Protocol(fenced bool) Safeguards {
 	return Safeguards{
 		Fenced: fenced, FenceFirst: fenced, Intents: !fenced, AwaitAllReports: true,
@@ -79,7 +79,7 @@
 // State is one state of the ownership model. It is comparable, so that it can be a
 // map key.
 type State struct {
-	// Fence and Intents are the stored record: the current owner's fencing number
+	// Fence and Intents are the stored record: the current owner's fencing token
 	// and the evictions that were announced.
 	Fence   uint8
 	Intents [MaxModels]bool
@@ -87,7 +87,7 @@
 	// Grants and Recalls are messages in transit, by owner, model and holder.
 	Grants  [Owners][MaxModels][Holders]pinMessage
 	Recalls [Owners][MaxModels][Holders]pinMessage
-	// HolderFence is the highest fencing number that a holder knows; the fields up
+	// HolderFence is the highest fencing token that a holder knows; the fields up
 	// to Using are the holders' state too.
 	HolderFence [Holders]uint8
 	Held        [MaxModels][Holders]bool
@@ -97,7 +97,7 @@
 	Using       [MaxModels][Holders]bool
 	// Orders are eviction orders in transit to the engine, by owner.
 	Orders [Owners][MaxModels]bool
-	// EngineFence is the highest fencing number that the engine has seen, Loaded
+	// EngineFence is the highest fencing token that the engine has seen, Loaded
 	// the models that it holds.
 	EngineFence uint8
 	Loaded      [MaxModels]bool
@@ -173,7 +173,7 @@
 	})
 }
 
-// openEngine has the successor's first order raise the engine's fencing number.
+// openEngine has the successor's first order raise the engine's fencing token.
 func openEngine(s State, g Safeguards, o int, add addState) {
 	if s.Owners[o].Active && !s.Owners[o].EngineFenced && g.FenceFirst {
 		add(func(n *State) {
