--- a/internal/adapters/late.go
+++ b/internal/adapters/late.go
@@ -12,7 +12,7 @@
 // They guard against this failure: a runner loses answers, crashes and restarts under
 // its instance. Its sequence starts again, and a load meant for the previous lifetime
 // is carried out once the sequence reaches that load's number. If all slots are taken
-// by then, the runner is told to hold more than it can and crashes. Within one
+// by then, the runner is ordered to hold more than it can and crashes. Within one
 // lifetime this can't happen, since the sequence only grows and an order for an
 // earlier number is void.
 type LateOrders map[int64]lateOrder
--- a/internal/adapters/limited_test.go
+++ b/internal/adapters/limited_test.go
@@ -25,9 +25,9 @@
 	_, err = c.Admit(testRequest(3, time.Second))
 	must.NoError(t, err, must.Sprint("its limit may be over"))
 	c.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
-	last := testRequest(2, time.Second)
-	last.LastResort = true
-	_, err = c.Admit(last)
+	lastResort := testRequest(2, time.Second)
+	lastResort.LastResort = true
+	_, err = c.Admit(lastResort)
 	must.NoError(t, err, must.Sprint("no other runner admits it"))
 }
 
--- a/internal/adapters/replicas.go
+++ b/internal/adapters/replicas.go
@@ -6,7 +6,7 @@
 // hold them. It is not safe for concurrent use.
 //
 // An adapter's home is sometimes busy or has loads queued, and a request goes to the
-// adapter's next runner. When the home wasn't told, each later request made the home
+// adapter's next runner. When the home wasn't informed, each later request made the home
 // load the adapter too. In a simulated day with many cold adapters 1,237 were fetched
 // where 838 had been requested: a third of the fetches were useless, although the
 // weight store was never idle.
--- a/internal/adapters/replicas_test.go
+++ b/internal/adapters/replicas_test.go
@@ -100,7 +100,7 @@
 }
 
 // Three fetches are requested, and then an adapter that was unloaded a moment ago.
-// The latter needs nothing from the weight store: its load is ordered first, beside a
+// The latter needs nothing from the weight store: its load is ordered first, during a
 // running fetch, and its request waits for 30 ms instead of for the fetches.
 func TestReloadsGoBeforeFetches(t *testing.T) {
 	now := epoch
--- a/internal/serve/search.go
+++ b/internal/serve/search.go
@@ -20,7 +20,7 @@
 		runners = nearFirst(runners, l.s.DataCentre)
 	}
 	for {
-		step, last, more := search.Next(rand.Float64())
+		step, lastResort, more := search.Next(rand.Float64())
 		if !more {
 			break
 		}
@@ -29,20 +29,20 @@
 		if view.BlockedFor > 0 {
 			l.skip(l.runner.ID, view.BlockedFor)
 		}
-		barred := view.BlockedFor > 0 || !last && view.Refusing
-		if barred && (last || !step.Home) {
+		barred := view.BlockedFor > 0 || !lastResort && view.Refusing
+		if barred && (lastResort || !step.Home) {
 			continue
 		}
-		if !barred && (l.tried[l.runner.ID] || !last && view.Suspect) {
+		if !barred && (l.tried[l.runner.ID] || !lastResort && view.Suspect) {
 			continue
 		}
-		if last && view.Limited && !l.acquirePermitEarly(ctx) {
+		if lastResort && view.Limited && !l.acquirePermitEarly(ctx) {
 			// On the last walk over the runners, admission may cause a fetch. Without a permit
 			// first, adapters would be fetched and others evicted for requests that are then
 			// not sent.
 			continue
 		}
-		err := l.admit(ctx, runners[0], step, last, barred)
+		err := l.admit(ctx, runners[0], step, lastResort, barred)
 		if err == nil {
 			l.rank, l.near = step.Rank, search.PreferLocal()
 			search.Admitted(step.Rank)
@@ -110,7 +110,7 @@
 // admit waits until the request may be sent to the runner, and returns the refusal if the
 // owner does not admit it. The owner of a barred runner is asked only for the other runners
 // that hold the adapter.
-func (l *lifecycle) admit(ctx context.Context, home *site.Runner, step placing.Step, last, barred bool) error {
+func (l *lifecycle) admit(ctx context.Context, home *site.Runner, step placing.Step, lastResort, barred bool) error {
 	waited := false
 	for {
 		within := l.timeToStart()
@@ -122,7 +122,7 @@
 			PromptWait:           l.route.TargetLatency / promptWaitDivisor,
 			LatencyBudget:        l.arrived.Add(l.route.TargetLatency - firstEventMargin).Sub(l.s.Now()),
 			MaxWait:              within,
-			LastResort:           last,
+			LastResort:           lastResort,
 			Home:                 step.Home && l.key.Name != "",
 			Retry:                step.Retry,
 			Waited:               waited,
@@ -134,7 +134,7 @@
 			err = adapters.ErrBarred
 		}
 		if err != nil {
-			l.s.Log.Debug("not admitted", "id", l.request.ID, "runner", l.runner.ID, "adapter", l.key.String(), "last", last, "error", err.Error())
+			l.s.Log.Debug("not admitted", "id", l.request.ID, "runner", l.runner.ID, "adapter", l.key.String(), "last", lastResort, "error", err.Error())
 			l.refusals = append(l.refusals, err.Error())
 			l.refusedBy = append(l.refusedBy, l.runner.ID+"@"+l.s.Owners.OwnerOf(l.runner))
 			return err
