--- a/internal/entry/counter.go
+++ b/internal/entry/counter.go
@@ -8,8 +8,8 @@
 	"github.com/pkg/errors"
 )
 
-// leasedCounter counts for the whole fleet those parts for which this host ranks first,
-// while its lease gives it the right to.
+// leasedCounter counts for the whole fleet those parts that this host leads: it ranks first
+// for them and its lease is valid.
 type leasedCounter struct {
 	host    string
 	mesh    *mesh.State
@@ -26,7 +26,8 @@
 
 var errNotCountingHost = errors.New("this host does not count it")
 
-// ownership returns this host's right to count a part, or errNotCountingHost.
+// ownership returns this host's leadership of a part, or errNotCountingHost if this host does
+// not lead it.
 func (c *leasedCounter) ownership(key string, part int, now time.Time) (quota.Ownership, error) {
 	leadership, ok := c.mesh.Leads(c.keyOf(key, part), now)
 	if !ok {
@@ -41,7 +42,7 @@
 }
 
 // dropReassigned drops the counts of parts that moved to other hosts when hosts joined or
-// left. If such a part comes back, its count starts anew.
+// left. If such a part comes back, its count starts from zero.
 func (c *leasedCounter) dropReassigned() {
 	changedAt := c.mesh.MembershipChangedAt()
 	if changedAt.Equal(c.membershipAppliedAt) {
--- a/internal/entry/quarantine_test.go
+++ b/internal/entry/quarantine_test.go
@@ -135,7 +135,7 @@
 	})
 }
 
-// The counting hosts of a request are lost or partitioned off at once, before their leases
+// The counting hosts of a request are lost or partitioned off together, before their leases
 // expire. The next-ranked hosts count in their place. They are the same for all reporting
 // hosts, so that the crashes are still added up.
 func TestCrashesAreCountedInPlaceOfLostHosts(t *testing.T) {
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -26,7 +26,7 @@
 // newBucket returns the bucket of a part that no other host grants units of after since, which
 // may be in the future. The bucket starts empty and fills from since on: a full one would grant
 // the burst a second time after a restart of the fleet, and one that fills earlier would grant
-// units that the previous owner grants too.
+// units that the previous leader grants too.
 func newBucket(since time.Time) *bucket { return &bucket{refilledAt: since} }
 
 // refill adds the units accrued since the last call.
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -10,15 +10,15 @@
 // shardCount is the number of independently locked shards.
 const shardCount = 16
 
-// Ownership is a host's exclusive right to grant units of a part: the time since which no other
-// host has granted any, and the epoch of the host lease that it is based on.
+// Ownership is a host's leadership of a part, the exclusive right to grant its units: the time
+// since which no other host has granted any, and the epoch of the host lease that it is based on.
 type Ownership struct {
 	Since time.Time
 	Epoch int64
 }
 
 // Counter holds the token buckets of the parts that this host counts for all hosts. The caller
-// decides whether the host owns a part. It is safe for concurrent use.
+// decides whether the host leads a part. It is safe for concurrent use.
 type Counter struct {
 	shards [shardCount]counterShard
 }
@@ -50,7 +50,7 @@
 
 func shardOf(key string) int { return int(xxhash.Sum64String(key) % shardCount) }
 
-// Grant handles a grant request under the given limit and ownership.
+// Grant handles a grant request under the given limit and leadership.
 //
 // After a host's lease is broken another host grants units of the part, so a bucket is replaced
 // by an empty one when the lease epoch changes. Otherwise the same units would be granted twice.
@@ -67,7 +67,7 @@
 	return part.take(request, limit, now)
 }
 
-// Retain drops the parts that this host no longer owns.
+// Retain drops the parts that this host no longer leads.
 func (c *Counter) Retain(owned func(key string, part int) bool) {
 	for i := range c.shards {
 		c.shards[i].retain(owned)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -48,7 +48,7 @@
 type fleet struct {
 	quota    site.Quota
 	counters [Parts]*Counter
-	// since is when each part's ownership begins; down marks parts without a counting host.
+	// since is when each part's leadership begins; down marks parts without a counting host.
 	since [Parts]time.Time
 	epoch [Parts]int64
 	down  [Parts]bool
@@ -270,7 +270,7 @@
 }
 
 // A host that has just joined is asked before all others know of it. Its bucket starts to fill
-// when its ownership begins, not when it is first asked: until then the previous owner still
+// when its leadership begins, not when it is first asked: until then the previous leader still
 // grants units.
 func TestBucketIsEmptyBeforeOwnershipBegins(t *testing.T) {
 	c := NewCounter()
@@ -329,8 +329,8 @@
 	must.False(t, ok)
 }
 
-// The bucket of a part that another host owns is dropped; it would otherwise have refilled by
-// the time this host owns the part again.
+// The bucket of a part that another host leads is dropped; it would otherwise have refilled by
+// the time this host leads the part again.
 func TestRetainDropsPartsOfOtherHosts(t *testing.T) {
 	c := NewCounter()
 	limit, ownership := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
