--- a/internal/experiment/config.go
+++ b/internal/experiment/config.go
@@ -41,7 +41,7 @@
 	// Shifts move the demand to other adapters.
 	Shifts []ShiftConfig `toml:"shifts"`
 	// Crashes remove runners, Silences make them unresponsive for a time, and Losses stop
-	// all hosts at once.
+	// all hosts simultaneously.
 	Crashes  []FaultConfig `toml:"crashes"`
 	Silences []FaultConfig `toml:"silences"`
 	Losses   []FaultConfig `toml:"losses"`
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -38,7 +38,7 @@
 	modelName = "base"
 	// orderRoundTrip is the time that an order and its answer take.
 	orderRoundTrip = 3 * time.Millisecond
-	// endReportDelay is the time from a request's end until the engine's owner hears of it.
+	// endReportDelay is the time from a request's end until the engine's owner learns of it.
 	endReportDelay = 100 * time.Millisecond
 	// suspicionInterval is how often hosts tell each other which runners they avoid.
 	suspicionInterval = 300 * time.Millisecond
--- a/internal/loading/loading_test.go
+++ b/internal/loading/loading_test.go
@@ -11,7 +11,7 @@
 func TestSharesAreNeverUsedTwice(t *testing.T) {
 	// Four hosts lend their shares first to one coordinator, then to another
 	// whose membership view differs, with partitions in between. Whatever each
-	// host believes, the loads in total stay within the allowance.
+	// host assumes, the loads in total stay within the allowance.
 	const hosts, perSecond = 4, 4.0
 	now := time.Unix(0, 0)
 	var all []*Allowance
--- a/internal/mesh/archive.go
+++ b/internal/mesh/archive.go
@@ -24,7 +24,7 @@
 	// Messages queued behind it, such as heartbeats, still meet their timeouts.
 	pieceBytes = 16 << 10
 	// maxArchives, maxArchiveBytes and archiveRetention bound the cache. It needs an
-	// archive for each host that hears of a change from this one, since each may lack
+	// archive for each host that learns of a change from this one, since each may lack
 	// something else.
 	maxArchives      = 32
 	maxArchiveBytes  = 2 << 20
--- a/internal/mesh/breakattempt.go
+++ b/internal/mesh/breakattempt.go
@@ -27,7 +27,7 @@
 // startBreak begins to break a dead host's lease in the background, unless an attempt is
 // running or its backoff has not passed.
 //
-// When many hosts fall silent at once, the votes on each of them wait a second for
+// When many hosts fall silent together, the votes on each of them wait a second for
 // witnesses that are silent too. Votes asked for one after the other kept the surviving
 // hosts from renewing their own leases, which then expired as well and left all runners
 // without an owner. Concurrent attempts with a backoff do not block renewals.
--- a/internal/mesh/fetch.go
+++ b/internal/mesh/fetch.go
@@ -163,7 +163,7 @@
 	data    []byte
 }
 
-// start resumes the announced archive, or begins anew if it is another one.
+// start resumes the announced archive, or starts over if it is another one.
 func (p *partialArchive) start(announced Announcement) {
 	if p.archive != announced.Archive {
 		*p = partialArchive{archive: announced.Archive}
--- a/internal/mesh/freshness.go
+++ b/internal/mesh/freshness.go
@@ -187,8 +187,8 @@
 	f.lastContact = f.now()
 }
 
-// learn merges the versions that the peer at an address had at a moment, and returns the
-// kinds to fetch.
+// learn merges the versions that the peer at an address had at the given time, and returns
+// the kinds to fetch.
 func (f *freshness) learn(address string, theirs map[string]KnownVersion, moment time.Time) []string {
 	f.adoptPositions(theirs)
 	f.mu.Lock()
--- a/internal/mesh/heartbeat.go
+++ b/internal/mesh/heartbeat.go
@@ -164,7 +164,7 @@
 	return HeartbeatResult{Promised: promised, Known: s.freshness.newsFor(heartbeat.Known), Status: s.status()}, nil
 }
 
-// learn merges what a peer knew at a moment and fetches the kinds in which it is ahead.
+// learn merges what a peer knew at the given time and fetches the kinds in which it is ahead.
 func (s *Service) learn(host, address string, known map[string]KnownVersion, status json.RawMessage, moment time.Time) {
 	s.freshness.noteContact()
 	for _, kind := range s.freshness.learn(address, known, moment) {
--- a/internal/mesh/join_test.go
+++ b/internal/mesh/join_test.go
@@ -54,7 +54,7 @@
 }
 
 // Both watchers of a large fleet die. The others must not all ask the store at the same
-// moment: two ask at once and twice as many in each further turn, so that those with an
+// moment: two ask in the first turn and twice as many in each further turn, so that those with an
 // answer can inform the rest. Whatever they send, the last host has asked after the last
 // turn.
 func TestFallbackQueriesAreStaggered(t *testing.T) {
--- a/internal/mesh/state.go
+++ b/internal/mesh/state.go
@@ -41,7 +41,7 @@
 func (t Timing) breakTimeout() time.Duration { return t.Lease + t.OrderGap + t.Margin }
 
 const (
-	// maxWitnesses is the number of a host's witnesses. With five, two can fail at once
+	// maxWitnesses is the number of a host's witnesses. With five, two can fail together
 	// before the store is needed.
 	maxWitnesses = 5
 	// witnessTimeout is how long a witness may leave heartbeats unanswered before it is
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -54,7 +54,7 @@
 	return n, err
 }
 
-// receivedSince reports whether data arrived on the connection after a moment.
+// receivedSince reports whether data arrived on the connection after the given time.
 func (l *link) receivedSince(moment time.Time) bool {
 	heard := l.lastRead.Load()
 	return heard != nil && heard.After(moment)
--- a/internal/placing/placing.go
+++ b/internal/placing/placing.go
@@ -56,7 +56,7 @@
 	// Load is the number of requests on the runner, from all hosts.
 	Load  int
 	Slots int
-	// Suspect is set for runners that failed requests lately.
+	// Suspect is set for runners that recently failed requests.
 	Suspect bool
 	// Local is set for runners in the host's own data centre.
 	Local bool
--- a/internal/registry/era_test.go
+++ b/internal/registry/era_test.go
@@ -90,7 +90,7 @@
 
 // The answer to a listing belongs to an earlier era than other hosts announced meanwhile.
 // It must not count as confirmed. The store must not be asked again without a pause, since
-// all hosts of the fleet would do that at once.
+// all hosts of the fleet would do that simultaneously.
 func TestListingOfAnEarlierEraIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &eraStore{era: 1}
--- a/internal/registry/follow_test.go
+++ b/internal/registry/follow_test.go
@@ -218,7 +218,7 @@
 	}
 }
 
-// A listing takes two seconds to begin at a store that hundreds of hosts ask at once, and
+// A listing takes two seconds to begin at a store that hundreds of hosts ask together, and
 // another second for its pages. It counts as of its first page. Counted from the request,
 // hosts that start together would wait for another answer of the store before they claim
 // runners.
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -54,7 +54,7 @@
 	Position
 	// Age is the time from the arrival of the first page's first bytes until the listing
 	// was complete. The store may have changed since: a list of many pages takes seconds
-	// when many hosts ask at once.
+	// when many hosts ask together.
 	Age time.Duration
 }
 
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -13,7 +13,7 @@
 	limit = Limit{Ratio: 0.2, Slack: 54, Window: 10 * time.Second}
 )
 
-// All targets of a service fail at once and seven hosts retry every request as often as they
+// All targets of a service fail together and seven hosts retry every request as often as they
 // may. In any window the retries of all hosts stay within the deployment's bound, also when some
 // hosts restart.
 func TestBudgetHoldsOverAllHosts(t *testing.T) {
@@ -110,7 +110,7 @@
 
 // Each of 195 hosts receives one request for a plain service in a second. Its share
 // of the slack yields one retry in 11 s, even without requests, so the first failed request can
-// be retried. If all hosts spend their accumulated retries at once, they stay within the bound.
+// be retried. If all hosts spend their accumulated retries together, they stay within the bound.
 func TestLargeFleetAccumulatesOneRetryPerHost(t *testing.T) {
 	large := Limit{Ratio: 0.2, Slack: 430, Window: 10 * time.Second}
 	const hosts = 195
