--- a/internal/adapters/late_test.go
+++ b/internal/adapters/late_test.go
@@ -124,7 +124,7 @@
 	for _, test := range []struct {
 		name      string
 		startedMS int64
-		told      []int64
+		restarts  []int64
 	}{
 		{"later", 300, []int64{300}},
 		{"earlier", 100, nil},
@@ -134,13 +134,13 @@
 			engine := &lossyEngine{startedMS: test.startedMS, held: map[Key]bool{testKey(1): true}}
 			c := newTestController(&now, 3, engine)
 			c.runner = &site.Runner{ID: "r~200", Instance: "r", StartedMS: 200, Slots: 64}
-			var told []int64
+			var restarts []int64
 			c.OnRestart = func(instance string, startedMS int64) {
 				must.Eq(t, "r", instance)
-				told = append(told, startedMS)
+				restarts = append(restarts, startedMS)
 			}
 			must.Eq(t, syncRetryInterval, c.sync(t.Context()))
-			must.Eq(t, test.told, told)
+			must.Eq(t, test.restarts, restarts)
 			_, err := c.Admit(testRequest(1, time.Second))
 			must.ErrorIs(t, err, ErrUnresponsive)
 		})
--- a/internal/fleet/members.go
+++ b/internal/fleet/members.go
@@ -36,10 +36,10 @@
 
 type memberState struct {
 	Member
-	heardAt time.Time
+	announcedAt time.Time
 }
 
-// NewMembers returns an empty table. Members not heard from for longer than the
+// NewMembers returns an empty table. Members whose last announcement is older than the
 // timeout do not count as alive.
 func NewMembers(timeout time.Duration) *Members {
 	return &Members{timeout: timeout, members: map[string]memberState{}}
@@ -51,7 +51,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	old, known := m.members[member.Host]
-	m.members[member.Host] = memberState{Member: member, heardAt: now}
+	m.members[member.Host] = memberState{Member: member, announcedAt: now}
 	return !known || old.Incarnation != member.Incarnation
 }
 
@@ -66,16 +66,16 @@
 func (m *Members) Get(host string) (Member, bool) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	heard, ok := m.members[host]
-	return heard.Member, ok
+	member, ok := m.members[host]
+	return member.Member, ok
 }
 
-// Alive reports whether a member was heard from within the timeout.
+// Alive reports whether a member announced itself within the timeout.
 func (m *Members) Alive(host string, now time.Time) bool {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	heard, ok := m.members[host]
-	return ok && now.Sub(heard.heardAt) <= m.timeout
+	member, ok := m.members[host]
+	return ok && now.Sub(member.announcedAt) <= m.timeout
 }
 
 // All returns all members sorted by host.
@@ -83,8 +83,8 @@
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	all := make([]Member, 0, len(m.members))
-	for _, heard := range m.members {
-		all = append(all, heard.Member)
+	for _, member := range m.members {
+		all = append(all, member.Member)
 	}
 	sort.Slice(all, func(i, j int) bool { return all[i].Host < all[j].Host })
 	return all
@@ -97,12 +97,12 @@
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	var local, all []string
-	for host, heard := range m.members {
-		if heard.Leaving || !heard.Ready || now.Sub(heard.heardAt) > m.timeout {
+	for host, member := range m.members {
+		if member.Leaving || !member.Ready || now.Sub(member.announcedAt) > m.timeout {
 			continue
 		}
 		all = append(all, host)
-		if heard.DataCentre == dataCentre {
+		if member.DataCentre == dataCentre {
 			local = append(local, host)
 		}
 	}
--- a/internal/peer/pool.go
+++ b/internal/peer/pool.go
@@ -56,8 +56,8 @@
 
 // receivedSince reports whether data arrived on the connection after the given time.
 func (l *link) receivedSince(moment time.Time) bool {
-	heard := l.lastRead.Load()
-	return heard != nil && heard.After(moment)
+	readAt := l.lastRead.Load()
+	return readAt != nil && readAt.After(moment)
 }
 
 // NewPool returns a pool for the process self.
