--- a/cmd/cherryctl/wait.go
+++ b/cmd/cherryctl/wait.go
@@ -44,8 +44,8 @@
 }
 
 // hostsBehind returns the live hosts on which a revision is not known to be in force: those with
-// an older revision and those that are listed but not heard. Hosts that are leaving and not
-// heard do not count.
+// an older revision and those that are listed but not heard from. Hosts that are leaving and
+// not heard from do not count.
 func hostsBehind(status adminapi.Status, revision uint64) []string {
 	var behind []string
 	for _, host := range status.Hosts {
--- a/internal/mesh/eras_test.go
+++ b/internal/mesh/eras_test.go
@@ -80,7 +80,7 @@
 }
 
 // A host of an earlier era sends a heartbeat to one of the new era, in which its record
-// may name other witnesses that do not hear it and break its lease. It gets no promise,
+// may name other witnesses that receive nothing from it and break its lease. It gets no promise,
 // and votes across eras do not count.
 func TestPromisesAndVotesCountWithinOneEra(t *testing.T) {
 	hosts := newHosts(t, "a", "b")
--- a/internal/mesh/leadership_test.go
+++ b/internal/mesh/leadership_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A starting process learns of all hosts at once. That is no change, so it counts from its
+// A starting process learns of all hosts together. That is no change, so it counts from its
 // start. After a host joined or left it counts from membershipSettle later, when the other
 // hosts know of the change too.
 func TestLeadershipBeginsAfterMembershipSettles(t *testing.T) {
--- a/internal/mesh/state_test.go
+++ b/internal/mesh/state_test.go
@@ -153,8 +153,8 @@
 	must.Eq(t, "a", host)
 }
 
-// One witness cannot hear the owner and the others can. They must not vote to break its
-// lease.
+// One witness receives no heartbeats of the owner and the others do. They must not
+// vote to break its lease.
 func TestMajorityKeepsLease(t *testing.T) {
 	hosts := newHosts(t, "a", "b", "c", "d")
 	for passed := time.Duration(0); passed < 30*time.Second; passed += heartbeatInterval {
--- a/internal/node/run.go
+++ b/internal/node/run.go
@@ -112,13 +112,13 @@
 	return !leaving && n.follower.Snapshot().Revision() > 0 && n.caughtUp(time.Now())
 }
 
-// startupGrace is how long a new host waits to hear the other entry hosts.
+// startupGrace is how long a new host waits to hear from the other entry hosts.
 const startupGrace = 2 * time.Second
 
-// caughtUp reports whether a new host has heard its peers and has a revision at least as recent
-// as theirs. Once true, it remains true. The object API may be unavailable or return stale data,
-// and the first peer heard may be behind. If the host became ready too early, callers would see
-// an accepted change revert.
+// caughtUp reports whether a new host has heard from its peers and has a revision at least as
+// recent as theirs. Once true, it remains true. The object API may be unavailable or return
+// stale data, and the first peer to be heard from may be behind. If the host became ready too
+// early, callers would see an accepted change revert.
 func (n *Node) caughtUp(now time.Time) bool {
 	if n.wasCaughtUp.Load() {
 		return true
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -59,7 +59,7 @@
 
 // retryAfter returns how long a refused request should wait before it is retried, and reserves
 // its cost. Retry times are spaced by the reserved units: callers with the same time would all
-// return at once and most would be refused again.
+// return together and most would be refused again.
 func (b *bucket) retryAfter(needed float64, limit Limit) time.Duration {
 	missing := needed - b.level + b.reserved
 	b.reserved += needed
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -52,7 +52,7 @@
 
 // RecordRequest counts a caller's request. Hosts is the number of hosts that share the limit, or
 // 0 while it is unknown: no slack is given out then, because every host of a fleet that starts
-// at once would otherwise take all of it.
+// together would otherwise take all of it.
 func (b *Budget) RecordRequest(now time.Time, hosts int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/spec/era.go
+++ b/spec/era.go
@@ -63,8 +63,8 @@
 	Epoch, LastEpoch, EndedEpoch uint8
 	// LeaseUntil is the tick at which its lease expires.
 	LeaseUntil uint8
-	// OtherHeard is the tick at which the other host was last heard, OtherEndedEpoch the other's
-	// last epoch that is known to have ended.
+	// OtherHeard is the tick at which the other host was last heard from, OtherEndedEpoch the
+	// other's last epoch that is known to have ended.
 	OtherHeard      uint8
 	OtherEndedEpoch uint8
 	// Continues: it goes on ordering the runner in the era that it learnt of at EraSince,
