--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -26,7 +26,7 @@
 // newBucket returns the bucket of a part that no other host grants units of after since, which
 // may be in the future. The bucket starts empty and fills from since on: a full one would grant
 // the burst a second time after a restart of the fleet, and one that fills earlier would grant
-// units that the previous owner grants too.
+// units that the previous leader grants too.
 func newBucket(since time.Time) *bucket { return &bucket{refilledAt: since} }
 
 // refill adds the units accrued since the last call.
@@ -59,7 +59,7 @@
 
 // retryAfter returns how long a refused request should wait before it is retried, and reserves
 // its cost. Retry times are spaced by the reserved units: callers with the same time would all
-// return at once and most would be refused again.
+// return together and most would be refused again.
 func (b *bucket) retryAfter(needed float64, limit Limit) time.Duration {
 	missing := needed - b.level + b.reserved
 	b.reserved += needed
