--- a/internal/adapters/controller.go
+++ b/internal/adapters/controller.go
@@ -19,7 +19,7 @@
 	orderTimeout = 80 * time.Millisecond
 	// reportTimeout bounds the answer to a report request.
 	reportTimeout = 500 * time.Millisecond
-	// reportLag is how old a report may be. Reports are some hundred milliseconds
+	// reportLag is how old a report may be. Reports are a few hundred milliseconds
 	// old, so an order must be older than this before its absence from a report
 	// counts.
 	reportLag = 400 * time.Millisecond
@@ -33,8 +33,9 @@
 	spareSlots = 1
 	// minEarlyRetry is the minimum extra wait after a request arrived before its
 	// adapter's load was done, and earlyRetryShare the part of the load's time so far
-	// to wait. With the store's bandwidth divided among twice as many loads as it
-	// serves at full speed, a request was sent four times instead of twice.
+	// to wait if that is longer. With the minimum alone, a request was sent four times
+	// instead of twice while the store's bandwidth was divided among twice as many
+	// loads as it serves at full speed.
 	minEarlyRetry   = 40 * time.Millisecond
 	earlyRetryShare = 0.15
 	// fetchOverlap is how long before the estimated end of a fetch the next one is
@@ -42,8 +43,8 @@
 	// would otherwise leave the weight store idle between fetches: it did 55 in two
 	// seconds where it can do 64, with requests waiting.
 	fetchOverlap = 50 * time.Millisecond
-	// minFetchShare bounds how rarely a runner fetches, regardless of the fleet's
-	// size.
+	// minFetchShare is the least share of the time in which a runner may fetch,
+	// regardless of the fleet's size.
 	minFetchShare = 0.1
 	// loadPollInterval is the interval at which a controller checks whether its next
 	// load may start.
@@ -73,7 +74,9 @@
 	// replicas are the other runners that hold the adapters whose home is this
 	// runner.
 	replicas *Replicas
-	synced   bool
+	// synced is set while the slots reflect the runner's state. If it is unset, the
+	// report is read before the next order.
+	synced bool
 	// modelHeld is set once the base model is loaded.
 	modelHeld bool
 	// pending are the loads that requests wait for.
@@ -82,7 +85,8 @@
 	// refusal is the reason to refuse all requests, nil once the runner's report has
 	// been read.
 	refusal error
-	wake    chan struct{}
+	// wake ends the pause between two steps.
+	wake chan struct{}
 	// lastFetchAt is when the last fetch was ordered.
 	lastFetchAt time.Time
 	// fetches is the number of adapters being fetched from the weight store. The
@@ -108,7 +112,7 @@
 	ModelLoads *ModelLoadLimiter
 	HostCount  func() int
 	// OnRestart is called when a runner has restarted under the same instance.
-	OnRestart func(instance string, born int64)
+	OnRestart func(instance string, startedMS int64)
 	// OnSignal is called with what a runner's answer says about the requests it can
 	// take.
 	OnSignal func(runner string, signal *board.Signal)
@@ -209,8 +213,8 @@
 		c.refuseAll(ErrUnresponsive)
 		return syncRetryInterval
 	}
-	if report.Born != 0 && report.Born != c.runner.Born {
-		return c.handleOtherLifetime(report.Born)
+	if report.StartedMS != 0 && report.StartedMS != c.runner.StartedMS {
+		return c.handleOtherLifetime(report.StartedMS)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -220,8 +224,8 @@
 	c.synced = true
 	c.refusal = nil
 	if inDoubtLoads := c.slots.InDoubt(); inDoubtLoads > 0 {
-		// The report may be older than the order in doubt. If it were not read again,
-		// the slot would stay occupied and count as a fetch for ever.
+		// The report may be older than the order in doubt. If no later report were
+		// read, the slot would stay occupied and count as a fetch for ever.
 		c.synced = false
 		c.log.Info("orders still in doubt after the runner's report", "orders", inDoubtLoads, "sequence", report.Sequence)
 		return syncRetryInterval
@@ -245,21 +249,23 @@
 // handleOtherLifetime discards a report of another lifetime of the runner. A later
 // lifetime means that the runner has restarted; an earlier one means that the report
 // was overtaken.
-func (c *Controller) handleOtherLifetime(born int64) time.Duration {
-	c.log.Info("report of another lifetime of the runner ignored", "born", born, "keeper_born", c.runner.Born)
+func (c *Controller) handleOtherLifetime(startedMS int64) time.Duration {
+	c.log.Info("report of another lifetime of the runner ignored", "born", startedMS, "keeper_born", c.runner.StartedMS)
 	c.refuseAll(ErrUnresponsive)
-	if born > c.runner.Born {
-		c.OnRestart(c.runner.Instance, born)
+	if startedMS > c.runner.StartedMS {
+		c.OnRestart(c.runner.Instance, startedMS)
 	}
 	return syncRetryInterval
 }
 
-// estimateLoad estimates the time of a load that starts now; c.mu must be held.
+// estimateLoad estimates the time of a load that starts now; recent is set if the
+// runner held the adapter recently. c.mu must be held.
 func (c *Controller) estimateLoad(recent bool) time.Duration {
 	return c.Times.Estimate(recent, c.StoreLoad().withOneMoreFetch())
 }
 
-// loadModel orders the load of the base model and waits for it.
+// loadModel orders the load of the base model and returns the pause until its result
+// is read or the load is ordered again.
 func (c *Controller) loadModel(ctx context.Context) time.Duration {
 	if wait := c.ModelLoads.Take(c.Now(), c.spec.LoadsPerSecond, c.HostCount()); wait > 0 {
 		return min(wait, modelPollInterval)
@@ -322,26 +328,28 @@
 	c.slots.Advance(now)
 	c.updateFetches()
 	c.dropStale(now)
-	w := c.nextPending()
-	if w == nil {
+	load := c.nextPending()
+	if load == nil {
 		return c.planSpareSlot(now)
 	}
-	if !c.mayLoad(w.key) {
+	if !c.mayLoad(load.key) {
 		return task{pause: loadPollInterval}
 	}
-	if _, replaces := c.slots.entries[w.key.Adapter]; replaces || c.slots.Free() > 0 {
-		return task{action: actionLoad, key: w.key}
+	if _, replaces := c.slots.entries[load.key.Adapter]; replaces || c.slots.Free() > 0 {
+		return task{action: actionLoad, key: load.key}
 	}
 	victim, found := c.slots.Victim(now)
-	if !found && now.Before(w.slotExpectedAt.Add(overdueExtension)) {
+	if !found && now.Before(load.slotExpectedAt.Add(overdueExtension)) {
 		return task{pause: loadPollInterval}
 	}
 	if !found {
-		return task{action: actionDrop, key: w.key}
+		return task{action: actionDrop, key: load.key}
 	}
 	return task{action: actionUnload, key: Key{Adapter: victim}}
 }
 
+// planSpareSlot returns the unload that frees a slot in advance, or a pause; c.mu must
+// be held.
 func (c *Controller) planSpareSlot(now time.Time) task {
 	if c.slots.Free() >= spareSlots {
 		return task{pause: idleInterval}
--- a/internal/adminapi/status.go
+++ b/internal/adminapi/status.go
@@ -16,25 +16,26 @@
 	Now      time.Time          `json:"now"`
 	Revision inventory.Revision `json:"revision"`
 	Adapters int                `json:"adapters"`
-	// LeaseValid says that this host's lease holds, so the object API answers it.
-	LeaseValid bool             `json:"lease_valid"`
-	Hosts      []HostStatus     `json:"hosts"`
-	Runners    []RunnerStatus   `json:"runners"`
-	Services   []fleet.Host     `json:"services,omitempty"`
-	Loads      loading.View     `json:"loads"`
-	Requests   dispatch.Figures `json:"requests"`
-	InUse      int              `json:"in_use"`
-	Waiting    int              `json:"waiting"`
+	// LeaseValid says that this host's lease is valid, which shows that the object API
+	// answers it.
+	LeaseValid bool                     `json:"lease_valid"`
+	Hosts      []HostStatus             `json:"hosts"`
+	Runners    []RunnerStatus           `json:"runners"`
+	Services   []fleet.Host             `json:"services,omitempty"`
+	Loads      loading.View             `json:"loads"`
+	Requests   dispatch.MetricsSnapshot `json:"requests"`
+	InUse      int                      `json:"in_use"`
+	Waiting    int                      `json:"waiting"`
 }
 
-// HostStatus is one entry host.
+// HostStatus is the state of one entry host.
 type HostStatus struct {
 	fleet.Member
-	State    fleet.State `json:"state"`
-	Speaking bool        `json:"speaking"`
+	State fleet.State `json:"state"`
+	Alive bool        `json:"speaking"`
 }
 
-// RunnerStatus is one runner.
+// RunnerStatus is the state of one runner.
 type RunnerStatus struct {
 	residency.View
 	State      fleet.State `json:"state"`
--- a/internal/demand/demand.go
+++ b/internal/demand/demand.go
@@ -23,13 +23,18 @@
 )
 
 const (
-	shardCount      = 16
-	hoursPerDay     = 24
+	shardCount  = 16
+	hoursPerDay = 24
+	// Each day on which a model is used in an hour, that hour's score is reduced to
+	// three quarters and raised by hourScoreGain, up to hourScoreMax. A model counts
+	// as regularly used in an hour from hourScoreLikely on, which takes two such days.
 	hourScoreGain   = 64
 	hourScoreMax    = 255
 	hourScoreLikely = 96
-	risingFactor    = 2
-	risingMinRate   = 0.1
+	// A model's rate is rising if it is at least risingMinRate requests per second over
+	// fastDecay, and more than risingFactor times the rate over slowDecay.
+	risingFactor  = 2
+	risingMinRate = 0.1
 )
 
 // Count is a number of requests for a model.
@@ -115,13 +120,13 @@
 
 // evictLowest makes room by dropping the model with the lowest rate.
 func (s *shard) evictLowest(now time.Time) {
-	least, found := "", math.Inf(1)
+	lowest, lowestRate := "", math.Inf(1)
 	for model, est := range s.models {
-		if value := est.perSecond(now); value < found {
-			least, found = model, value
+		if value := est.perSecond(now); value < lowestRate {
+			lowest, lowestRate = model, value
 		}
 	}
-	delete(s.models, least)
+	delete(s.models, lowest)
 }
 
 // perSecond estimates the requests per second. It returns the larger of the two
--- a/internal/dispatch/budget.go
+++ b/internal/dispatch/budget.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// budgetReserve lets a quiet host retry at all; budgetMost bounds what a busy
-// one saves up.
+// initialRetryTokens lets an idle host retry at all. maxRetryTokens bounds what
+// a busy host accumulates.
 const (
-	budgetReserve = 3
-	budgetMost    = 100
+	initialRetryTokens = 3
+	maxRetryTokens     = 100
 )
 
-// Budget bounds second tries to a share of first tries, over the whole host:
-// a failing target is not beaten further by everybody's retries.
-type Budget struct {
+// RetryBudget limits the retries of the whole host to a share of its requests,
+// so that retries do not overload a failing target further.
+type RetryBudget struct {
 	share float64
 
 	mu     sync.Mutex
@@ -22,20 +22,20 @@
 	denied int64
 }
 
-// NewBudget makes a budget; share is the second tries allowed for each first.
-func NewBudget(share float64) *Budget {
-	return &Budget{share: share, tokens: budgetReserve}
+// NewRetryBudget returns a budget that allows share retries per request.
+func NewRetryBudget(share float64) *RetryBudget {
+	return &RetryBudget{share: share, tokens: initialRetryTokens}
 }
 
-// First counts a first try.
-func (b *Budget) First() {
+// AddRequest counts the first attempt of a request.
+func (b *RetryBudget) AddRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = min(budgetMost, b.tokens+b.share)
+	b.tokens = min(maxRetryTokens, b.tokens+b.share)
 }
 
-// Retry takes one second try, if the budget allows it.
-func (b *Budget) Retry() bool {
+// TryRetry takes one retry, if the budget allows it.
+func (b *RetryBudget) TryRetry() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -46,21 +46,22 @@
 	return true
 }
 
-// Denied gives the second tries that were not made.
-func (b *Budget) Denied() int64 {
+// Denied returns the number of retries that were denied.
+func (b *RetryBudget) Denied() int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.denied
 }
 
 const (
-	breakerFailures = 3
-	breakerFirst    = time.Second
-	breakerMost     = 30 * time.Second
+	failuresToOpen = 3
+	minOpenTime    = time.Second
+	maxOpenTime    = 30 * time.Second
 )
 
-// Breakers leave targets alone that keep failing, and try each again after a
-// while with a single request. It is safe for concurrent use.
+// Breakers are circuit breakers, one per target: a target that keeps failing is
+// avoided, and probed with a single request after a while. Breakers is safe for
+// concurrent use.
 type Breakers struct {
 	mu      sync.Mutex
 	targets map[string]*breaker
@@ -73,24 +74,25 @@
 	probing  bool
 }
 
-// NewBreakers makes breakers that are all closed.
+// NewBreakers returns breakers that are all closed.
 func NewBreakers() *Breakers { return &Breakers{targets: map[string]*breaker{}} }
 
-// Avoid says whether a target is left alone now.
-func (b *Breakers) Avoid(target string, now time.Time) bool {
+// IsOpen reports whether a target is avoided now.
+func (b *Breakers) IsOpen(target string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.targets[target]
-	return t != nil && t.failures >= breakerFailures && (t.probing || now.Before(t.until))
+	return t != nil && t.failures >= failuresToOpen && (t.probing || now.Before(t.until))
 }
 
-// Enter is called before a target is used. After its time of rest a failed
-// target gets one request; until that one has ended, others stay away.
-func (b *Breakers) Enter(target string, now time.Time) bool {
+// Allow reports whether a target may be used now, and is called before each
+// use. After the breaker's open time one request probes the target; until it
+// has ended, the others stay away.
+func (b *Breakers) Allow(target string, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	t := b.targets[target]
-	if t == nil || t.failures < breakerFailures {
+	if t == nil || t.failures < failuresToOpen {
 		return true
 	}
 	if t.probing || now.Before(t.until) {
@@ -100,8 +102,8 @@
 	return true
 }
 
-// Leave notes how a use ended.
-func (b *Breakers) Leave(target string, healthy bool, now time.Time) {
+// Record records the result of a use.
+func (b *Breakers) Record(target string, healthy bool, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if healthy {
@@ -115,9 +117,9 @@
 	}
 	t.failures++
 	t.probing = false
-	if t.failures >= breakerFailures {
-		rest := min(breakerFirst<<min(t.opens, 10), breakerMost)
+	if t.failures >= failuresToOpen {
+		openTime := min(minOpenTime<<min(t.opens, 10), maxOpenTime)
 		t.opens++
-		t.until = now.Add(rest)
+		t.until = now.Add(openTime)
 	}
 }
--- a/internal/dispatch/metrics.go
+++ b/internal/dispatch/metrics.go
@@ -11,12 +11,13 @@
 
 // Bounds of the histograms, in microseconds.
 const (
-	histogramLeast  = 1
-	histogramMost   = int64(10 * time.Minute / time.Microsecond)
+	histogramMin    = 1
+	histogramMax    = int64(10 * time.Minute / time.Microsecond)
 	histogramDigits = 2
 )
 
-// Metrics counts what happens to requests. It is safe for concurrent use.
+// Metrics counts requests and records their latencies. It is safe for
+// concurrent use.
 type Metrics struct {
 	ran, notRun, mayHaveRun, retries, stalls atomic.Int64
 
@@ -32,12 +33,12 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.hist == nil {
-		h.hist = hdrhistogram.New(histogramLeast, histogramMost, histogramDigits)
+		h.hist = hdrhistogram.New(histogramMin, histogramMax, histogramDigits)
 	}
-	_ = h.hist.RecordValue(max(histogramLeast, min(histogramMost, d.Microseconds())))
+	_ = h.hist.RecordValue(max(histogramMin, min(histogramMax, d.Microseconds())))
 }
 
-// Quantiles are a histogram's figures, in milliseconds.
+// Quantiles summarize a histogram, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	Mean  float64 `json:"mean_ms"`
@@ -60,8 +61,8 @@
 	}
 }
 
-// Ended counts a request by its verdict.
-func (m *Metrics) Ended(refusal *Refusal) {
+// CountRequest counts a finished request by its verdict.
+func (m *Metrics) CountRequest(refusal *Refusal) {
 	switch verdictOf(refusal) {
 	case verdict.Ran:
 		m.ran.Add(1)
@@ -72,23 +73,23 @@
 	}
 }
 
-// Retried counts a second try.
-func (m *Metrics) Retried() { m.retries.Add(1) }
+// CountRetry counts a retry.
+func (m *Metrics) CountRetry() { m.retries.Add(1) }
 
-// Queued records a wait for a place.
-func (m *Metrics) Queued(d time.Duration) { m.queue.record(d) }
+// ObserveQueueTime records the time a request waited for admission.
+func (m *Metrics) ObserveQueueTime(d time.Duration) { m.queue.record(d) }
 
-// Stalled records a wait for a load.
-func (m *Metrics) Stalled(d time.Duration) {
+// ObserveLoadStall records the time a request waited for a load.
+func (m *Metrics) ObserveLoadStall(d time.Duration) {
 	m.stalls.Add(1)
 	m.stall.record(d)
 }
 
-// FirstPiece records the time from sending to the first piece.
-func (m *Metrics) FirstPiece(d time.Duration) { m.first.record(d) }
+// ObserveFirstPiece records the time from sending to the first piece.
+func (m *Metrics) ObserveFirstPiece(d time.Duration) { m.first.record(d) }
 
-// Figures are the metrics as they are shown.
-type Figures struct {
+// MetricsSnapshot holds the metrics at one moment.
+type MetricsSnapshot struct {
 	Ran        int64     `json:"requests_ran"`
 	NotRun     int64     `json:"requests_not_run"`
 	MayHaveRun int64     `json:"requests_may_have_run"`
@@ -99,9 +100,9 @@
 	First      Quantiles `json:"time_to_first_piece"`
 }
 
-// Figures gives the metrics.
-func (m *Metrics) Figures() Figures {
-	return Figures{
+// Snapshot returns the current metrics.
+func (m *Metrics) Snapshot() MetricsSnapshot {
+	return MetricsSnapshot{
 		Ran: m.ran.Load(), NotRun: m.notRun.Load(), MayHaveRun: m.mayHaveRun.Load(),
 		Retries: m.retries.Load(), Stalls: m.stalls.Load(),
 		Queue: m.queue.quantiles(), Stall: m.stall.quantiles(), First: m.first.quantiles(),
--- a/internal/mesh/delay_test.go
+++ b/internal/mesh/delay_test.go
@@ -20,13 +20,13 @@
 	now := time.Unix(5000, 0)
 	for _, offset := range []time.Duration{7 * time.Hour, -3 * time.Hour} {
 		for i := range 200 {
-			way := time.Millisecond + time.Duration(rng.IntN(3))*time.Millisecond
+			transit := time.Millisecond + time.Duration(rng.IntN(3))*time.Millisecond
 			waited := time.Duration(0)
 			if i > 0 && i%7 == 0 {
 				waited = time.Duration(rng.IntN(5000)) * time.Millisecond
 			}
 			sent := now.Add(offset).UnixMilli()
-			now = now.Add(way + waited)
+			now = now.Add(transit + waited)
 			must.Between(t, waited-3*time.Millisecond, d.estimate("h", sent, now), waited+3*time.Millisecond)
 			now = now.Add(300 * time.Millisecond)
 		}
@@ -46,16 +46,16 @@
 	replica := s.Kinds["k"]
 	replica.Listed([]registry.Record{{Name: "a", Revision: 1, Spec: json.RawMessage("1")}}, registry.Position{Revision: 1})
 	from := peer.Identity{Host: "h1"}
-	beat := func(sent time.Time) {
+	receiveHeartbeat := func(sent time.Time) {
 		_, err := s.handleHeartbeat(t.Context(), from, Heartbeat{Address: "h1:1", SentMS: sent.UnixMilli(), Known: map[string]KnownVersion{"k": {Version: replica.Version()}}})
 		must.NoError(t, err)
 	}
-	beat(now)
+	receiveHeartbeat(now)
 	now = now.Add(time.Second)
-	beat(now)
+	receiveHeartbeat(now)
 	must.Eq(t, 0, s.freshness.age("k"))
 	sent := now.Add(100 * time.Millisecond)
 	now = now.Add(3100 * time.Millisecond)
-	beat(sent)
+	receiveHeartbeat(sent)
 	must.Eq(t, 3*time.Second, s.freshness.age("k"))
 }
--- a/internal/mesh/join.go
+++ b/internal/mesh/join.go
@@ -10,8 +10,8 @@
 
 const (
 	// silenceBeforeQuery is how long a host waits without contact before it queries peers:
-	// two heartbeats, which leaves half of the two seconds in which a configuration takes
-	// effect.
+	// two heartbeats of a large fleet, which leaves half of the two seconds in which a
+	// configuration must take effect.
 	silenceBeforeQuery = 900 * time.Millisecond
 	// queryInterval is the minimum time between two queries, of about 0.5 KB each.
 	queryInterval = 400 * time.Millisecond
@@ -95,8 +95,8 @@
 	// as in contact.
 	contactTimeout = 1200 * time.Millisecond
 	// fallbackStep is the time between two turns of hosts that ask the store in place of
-	// the watchers. A new version reaches the hosts that its finder tells, and those that
-	// they tell, within two steps.
+	// the watchers. Within two steps, a new version reaches the peers of the host that found
+	// it and the peers of those.
 	fallbackStep = 40 * time.Millisecond
 	// behindTimeout is how long a host that knows of a newer version waits for other hosts
 	// to supply it before it asks the store.
--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -7,10 +7,10 @@
 	"github.com/cherrystage/cherrystage/internal/dispatch"
 )
 
-// figures are this host's metrics. docs/operators/metrics.md lists them with
-// their units.
-type figures struct {
-	dispatch.Figures
+// hostMetrics are the metrics of this host. docs/operators/metrics.md lists them with their
+// units.
+type hostMetrics struct {
+	dispatch.MetricsSnapshot
 	Revision        uint64  `json:"revision"`
 	Adapters        int     `json:"adapters"`
 	Open            int     `json:"requests_open"`
@@ -31,25 +31,25 @@
 	EvictionsLocked int     `json:"runners_blocked_by_unheard_hosts"`
 }
 
-// Vars gives this host's metrics for the expvar page.
-func (n *Node) Vars() expvar.Var { return expvar.Func(func() any { return n.figures() }) }
+// Vars returns the metrics of this host for the expvar page.
+func (n *Node) Vars() expvar.Var { return expvar.Func(func() any { return n.collectMetrics() }) }
 
-func (n *Node) figures() figures {
+func (n *Node) collectMetrics() hostMetrics {
 	now := time.Now()
 	snapshot := n.follower.Snapshot()
-	f := figures{
-		Figures: n.metrics.Figures(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
-		Open: n.streams.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.budget.Denied(),
-		PinsHeld: n.holder.Count(), RunnersOwned: len(n.controller.Owned()),
-		LeaseSeconds: max(0, n.controller.Lease().Sub(now).Seconds()), LoadsWanted: n.controller.Wanted(),
-		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.Calls(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
+	result := hostMetrics{
+		MetricsSnapshot: n.metrics.Snapshot(), Revision: uint64(snapshot.Revision()), Adapters: snapshot.Len(),
+		Open: n.openRequests.Open(), InUse: n.gate.InUse(), Waiting: n.gate.Waiting(), RetriesDenied: n.retryBudget.Denied(),
+		PinsHeld: n.pinHolder.PinCount(), RunnersOwned: len(n.controller.Owned()),
+		LeaseSeconds: max(0, n.controller.LeaseValidUntil().Sub(now).Seconds()), LoadsWanted: n.controller.AwaitedLoads(),
+		LoadsPerSecond: n.allowance.PerSecond(now), ObjectCalls: n.objects.CallCount(), HeartbeatsSent: n.membership.HeartbeatsAnswered(),
 		PeersRejected: n.server.Rejected(), HostListsStale: n.hosts.StaleLists(), DemandModels: n.demand.estimator.Len(),
 		UptimeSeconds: now.Sub(n.started).Seconds(),
 	}
 	for _, view := range n.ownedViews() {
 		if view.Unheard > 0 {
-			f.EvictionsLocked++
+			result.EvictionsLocked++
 		}
 	}
-	return f
+	return result
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -23,12 +23,12 @@
 	leaving := located("r1", residency.SlotResident, 0)
 	leaving.Live = false
 	for _, row := range []struct {
-		name    string
-		located []Located
-		weights Weights
-		action  Action
-		runner  string
-		spread  bool
+		name         string
+		located      []Located
+		weights      Weights
+		action       Action
+		runner       string
+		needsReplica bool
 	}{
 		{"nowhere", nil, PresetStalls, ActionNone, "", false},
 		{"leaving only", []Located{leaving}, PresetStalls, ActionNone, "", false},
@@ -36,7 +36,7 @@
 		{"the emptier for short stalls", []Located{located("r1", residency.SlotResident, 5), located("r2", residency.SlotResident, 2)}, PresetStalls, ActionSend, "r2", false},
 		{"the fuller for full batches", []Located{located("r1", residency.SlotResident, 5), located("r2", residency.SlotResident, 2)}, PresetBatches, ActionSend, "r1", false},
 		{"not full before queued, also for full batches", []Located{located("r1", residency.SlotResident, 9), located("r2", residency.SlotResident, 2)}, PresetBatches, ActionSend, "r2", false},
-		{"join a load", []Located{located("r1", residency.SlotWanted, 0)}, PresetStalls, ActionJoin, "r1", false},
+		{"join a load", []Located{located("r1", residency.SlotPending, 0)}, PresetStalls, ActionJoin, "r1", false},
 		{"a busy copy is worth another", []Located{located("r1", residency.SlotResident, 20)}, PresetStalls, ActionSend, "r1", true},
 		{"another copy is on its way", []Located{located("r1", residency.SlotResident, 20), located("r2", residency.SlotLoading, 0)}, PresetStalls, ActionSend, "r1", false},
 		{"evicting does not count", []Located{located("r1", residency.SlotEvicting, 0)}, PresetStalls, ActionNone, "", false},
@@ -45,7 +45,7 @@
 			got := Choose(row.located, row.weights, testTimes, avoidNone)
 			must.Eq(t, row.action, got.Action)
 			must.Eq(t, row.runner, got.Runner.ID)
-			must.Eq(t, row.spread, got.NeedsReplica)
+			must.Eq(t, row.needsReplica, got.NeedsReplica)
 		})
 	}
 }
--- a/internal/standin/weights.go
+++ b/internal/standin/weights.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Weights plays the weight store: it remembers when loads began and slows
-// those beyond the number that it serves at full speed.
-type Weights struct {
+// WeightStore is a stand-in for the weight store: it records when loads began, and slows
+// down those beyond the number that it serves at full speed.
+type WeightStore struct {
 	mu       sync.Mutex
 	parallel int
 	active   int
@@ -16,55 +16,55 @@
 	starts   []time.Time
 }
 
-// NewWeights makes a store that serves so many loads at full speed at a time.
-func NewWeights(parallel int) *Weights {
-	return &Weights{parallel: parallel, slowdown: 1}
+// NewWeightStore returns a store that serves up to parallel concurrent loads at full speed.
+func NewWeightStore(parallel int) *WeightStore {
+	return &WeightStore{parallel: parallel, slowdown: 1}
 }
 
-// SetSlowdown makes every load take so many times as long.
-func (s *Weights) SetSlowdown(times int) {
+// SetSlowdown multiplies the time that every load takes.
+func (s *WeightStore) SetSlowdown(times int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.slowdown = times
 }
 
-// Starts gives the times at which loads began.
-func (s *Weights) Starts() []time.Time {
+// LoadStarts returns the times at which loads began.
+func (s *WeightStore) LoadStarts() []time.Time {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]time.Time(nil), s.starts...)
 }
 
-func (s *Weights) fetch(duration time.Duration) {
+func (s *WeightStore) fetch(duration time.Duration) {
 	s.mu.Lock()
 	s.starts = append(s.starts, time.Now())
 	s.active++
 	factor := s.slowdown * max(1, (s.active+s.parallel-1)/s.parallel)
 	s.mu.Unlock()
-	// A load goes on when its asker has given up, as on a real engine.
+	// A load continues after its requester gave up, as on a real engine.
 	time.Sleep(duration * time.Duration(factor))
 	s.mu.Lock()
 	s.active--
 	s.mu.Unlock()
 }
 
-// Service plays a plain service that counts what it ran.
+// Service is a stand-in for a plain service; it counts the requests that it ran.
 type Service struct {
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// NewService makes a plain service.
+// NewService returns a plain service.
 func NewService() *Service { return &Service{runs: map[string]int{}} }
 
-// Runs tells how often a body was run.
+// Runs returns how often a request was run, by its X-Cherrystage-Request header.
 func (s *Service) Runs(request string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[request]
 }
 
-// ServeHTTP implements http.Handler: it answers with the path it was called on.
+// ServeHTTP implements http.Handler: it answers with the request's path and method.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	s.mu.Lock()
 	s.runs[r.Header.Get("X-Cherrystage-Request")]++
