--- a/internal/site/site.go
+++ b/internal/site/site.go
@@ -99,9 +99,12 @@
 
 // Engine describes the model engines of a service.
 type Engine struct {
+	// Slots is the number of request slots of a runner: the requests that it processes at a
+	// time.
 	Slots int
 	// WeightsMB is the memory of a runner for the weights of models and adapters.
-	WeightsMB    float64
+	WeightsMB float64
+	// AdapterSlots is the maximum number of adapters on a runner.
 	AdapterSlots int
 	// LoadsPerSecond is the rate of base model loads that the weight store allows.
 	LoadsPerSecond float64
