--- a/internal/control/load.go
+++ b/internal/control/load.go
@@ -18,7 +18,7 @@
 	// the callers that arrived meanwhile.
 	permitWait = time.Second
 	retryDelay = 50 * time.Millisecond
-	// failureTTL is how long a failed load is remembered. Callers that ask for
+	// failureTTL is how long a failed load is remembered. Callers that request
 	// it are refused meanwhile, so that they try another runner.
 	failureTTL = 2 * time.Second
 )
@@ -238,7 +238,7 @@
 }
 
 // Prefetch requests a load that nobody waits for yet. It reports whether this
-// node took it.
+// host took it.
 func (c *Controller) Prefetch(runner, model string, value float64) bool {
 	m := c.ownedRunner(runner)
 	if m == nil {
--- a/spec/store.go
+++ b/spec/store.go
@@ -95,7 +95,7 @@
 
 func commitChange(n *StoreState, w int, phase uint8) {
 	if n.Writers[w].Read != n.Head {
-		n.Violation = "a change was lost under another"
+		n.Violation = "a change overwrote another"
 	}
 	n.Stale[n.Head] = true
 	n.Head = n.Writers[w].Read + 1
@@ -111,7 +111,7 @@
 		if g.RejectOlderRevisions {
 			return
 		}
-		n.Violation = "a revision went back"
+		n.Violation = "the follower's revision decreased"
 	}
 	n.Follower = revision
 }
@@ -136,7 +136,7 @@
 }
 
 // ExploreStore searches the store model as Explore does.
-func ExploreStore(g StoreSafeguards, limit int) (states int, broken []StoreState, complete bool) {
+func ExploreStore(g StoreSafeguards, limit int) (states int, path []StoreState, complete bool) {
 	return explore(StoreState{}, func(s StoreState) []StoreState { return NextStore(s, g) },
 		func(s StoreState) bool { return s.Violation != "" }, limit)
 }
