--- a/internal/entry/backpressure.go
+++ b/internal/entry/backpressure.go
@@ -205,7 +205,7 @@
 // grant handles a request for permission for a limit that this host counts.
 func (p *backpressure) grant(params LimitParams) (LimitResult, error) {
 	now := p.now()
-	ownership, err := p.counting.ownership(params.Instance, 0, now)
+	leadership, err := p.counting.leadership(params.Instance, 0, now)
 	if err != nil {
 		return LimitResult{}, err
 	}
@@ -218,6 +218,6 @@
 	}
 	rate := max(minProbeRate, known.Rate)
 	limit := quota.Limit{Rate: rate, Burst: max(1, rate*limitBurst.Seconds())}
-	answer := p.counting.counter.Grant(quota.GrantRequest{Key: params.Instance, Cost: 1}, limit, ownership, now)
+	answer := p.counting.counter.Grant(quota.GrantRequest{Key: params.Instance, Cost: 1}, limit, leadership, now)
 	return LimitResult{Granted: answer.Granted > 0, WaitMS: answer.RetryAfter.Milliseconds(), Limit: known}, nil
 }
--- a/internal/entry/counter.go
+++ b/internal/entry/counter.go
@@ -26,14 +26,14 @@
 
 var errNotCountingHost = errors.New("this host does not count it")
 
-// ownership returns this host's leadership of a part, or errNotCountingHost if this host does
+// leadership returns this host's leadership of a part, or errNotCountingHost if this host does
 // not lead it.
-func (c *leasedCounter) ownership(key string, part int, now time.Time) (quota.Ownership, error) {
+func (c *leasedCounter) leadership(key string, part int, now time.Time) (quota.Leadership, error) {
 	leadership, ok := c.mesh.Leads(c.keyOf(key, part), now)
 	if !ok {
-		return quota.Ownership{}, errNotCountingHost
+		return quota.Leadership{}, errNotCountingHost
 	}
-	return quota.Ownership{Since: leadership.Since, Epoch: leadership.Epoch}, nil
+	return quota.Leadership{Since: leadership.Since, Epoch: leadership.Epoch}, nil
 }
 
 // countingHost returns the host that counts a part and its address.
--- a/internal/entry/quotas.go
+++ b/internal/entry/quotas.go
@@ -107,7 +107,7 @@
 		return quota.GrantResponse{}, errors.Errorf("part %d, cost %g, ahead %g, back %g", request.Part, request.Cost, request.Prefetch, request.Returned)
 	}
 	now := q.now()
-	ownership, err := q.counting.ownership(request.Key, request.Part, now)
+	leadership, err := q.counting.leadership(request.Key, request.Part, now)
 	if err != nil {
 		return quota.GrantResponse{}, err
 	}
@@ -120,7 +120,7 @@
 		return quota.GrantResponse{}, errNoQuota
 	}
 	limit := quota.PartLimit(workspace.Quota, q.tolerance)
-	return q.counting.counter.Grant(request, limit, ownership, now), nil
+	return q.counting.counter.Grant(request, limit, leadership, now), nil
 }
 
 // Charge implements serve.Quotas.
--- a/internal/quota/counter.go
+++ b/internal/quota/counter.go
@@ -10,9 +10,9 @@
 // shardCount is the number of independently locked shards.
 const shardCount = 16
 
-// Ownership is a host's leadership of a part, the exclusive right to grant its units: the time
-// since which no other host has granted any, and the epoch of the host lease that it is based on.
-type Ownership struct {
+// Leadership is a host's exclusive right to grant the units of a part: the time since which no
+// other host has granted any, and the epoch of the host lease that the right is based on.
+type Leadership struct {
 	Since time.Time
 	Epoch int64
 }
@@ -54,14 +54,14 @@
 //
 // After a host's lease is broken another host grants units of the part, so a bucket is replaced
 // by an empty one when the lease epoch changes. Otherwise the same units would be granted twice.
-func (c *Counter) Grant(request GrantRequest, limit Limit, ownership Ownership, now time.Time) GrantResponse {
+func (c *Counter) Grant(request GrantRequest, limit Limit, leadership Leadership, now time.Time) GrantResponse {
 	shard := &c.shards[shardOf(request.Key)]
 	shard.mu.Lock()
 	defer shard.mu.Unlock()
 	id := partID{key: request.Key, part: request.Part}
 	part := shard.parts[id]
-	if part == nil || part.epoch != ownership.Epoch {
-		part = &countedPart{bucket: newBucket(ownership.Since), epoch: ownership.Epoch}
+	if part == nil || part.epoch != leadership.Epoch {
+		part = &countedPart{bucket: newBucket(leadership.Since), epoch: leadership.Epoch}
 		shard.parts[id] = part
 	}
 	return part.take(request, limit, now)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -92,7 +92,7 @@
 		}
 		f.calls++
 		req := GrantRequest{Key: workspace, Part: part, Cost: cost, Prefetch: a.PrefetchUnits(workspace, now)}
-		response := f.counters[part].Grant(req, PartLimit(f.quota, tolerance), Ownership{Since: f.since[part], Epoch: f.epoch[part]}, now)
+		response := f.counters[part].Grant(req, PartLimit(f.quota, tolerance), Leadership{Since: f.since[part], Epoch: f.epoch[part]}, now)
 		if response.Granted > 0 {
 			a.RecordUse(workspace, cost, now)
 			a.AddGrant(workspace, part, response.Granted-cost, now)
@@ -116,7 +116,7 @@
 	for _, a := range f.hosts {
 		for _, request := range a.TakeIdle(now) {
 			if !f.down[request.Part] {
-				f.counters[request.Part].Grant(request, PartLimit(f.quota, tolerance), Ownership{Since: f.since[request.Part], Epoch: f.epoch[request.Part]}, now)
+				f.counters[request.Part].Grant(request, PartLimit(f.quota, tolerance), Leadership{Since: f.since[request.Part], Epoch: f.epoch[request.Part]}, now)
 			}
 		}
 	}
@@ -262,9 +262,9 @@
 func TestNewLeaseStartsAnEmptyBucket(t *testing.T) {
 	c := NewCounter()
 	limit := Limit{Rate: 100, Burst: 1000}
-	must.Eq(t, 900, c.Grant(GrantRequest{Key: workspace, Cost: 900}, limit, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}, epoch).Granted)
+	must.Eq(t, 900, c.Grant(GrantRequest{Key: workspace, Cost: 900}, limit, Leadership{Since: epoch.Add(-time.Hour), Epoch: 1}, epoch).Granted)
 	later := epoch.Add(time.Hour)
-	answer := c.Grant(GrantRequest{Key: workspace, Cost: 900}, limit, Ownership{Since: later.Add(-time.Second), Epoch: 2}, later)
+	answer := c.Grant(GrantRequest{Key: workspace, Cost: 900}, limit, Leadership{Since: later.Add(-time.Second), Epoch: 2}, later)
 	must.Eq(t, 0, answer.Granted)
 	must.Eq(t, 100, answer.Level)
 }
@@ -274,20 +274,20 @@
 // grants units.
 func TestBucketIsEmptyBeforeOwnershipBegins(t *testing.T) {
 	c := NewCounter()
-	limit, ownership := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(time.Second), Epoch: 1}
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch).Granted)
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch.Add(time.Second)).Level)
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch.Add(1100*time.Millisecond)).Granted)
+	limit, leadership := Limit{Rate: 1000, Burst: 1000}, Leadership{Since: epoch.Add(time.Second), Epoch: 1}
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, leadership, epoch).Granted)
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, leadership, epoch.Add(time.Second)).Level)
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, leadership, epoch.Add(1100*time.Millisecond)).Granted)
 }
 
 // After a limit is lowered to a tenth, the units above the new burst are not granted.
 func TestLoweredLimit(t *testing.T) {
 	c := NewCounter()
-	ownership := Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, Limit{Rate: 1000, Burst: 1000}, ownership, epoch).Granted)
+	leadership := Leadership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, Limit{Rate: 1000, Burst: 1000}, leadership, epoch).Granted)
 	low := Limit{Rate: 100, Burst: 100}
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, ownership, epoch).Granted)
-	answer := c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, ownership, epoch)
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, leadership, epoch).Granted)
+	answer := c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, leadership, epoch)
 	must.Eq(t, 0, answer.Granted)
 	must.Eq(t, time.Second, answer.RetryAfter)
 }
@@ -296,25 +296,25 @@
 // wait until its cost is refilled.
 func TestRequestBeyondTheBurst(t *testing.T) {
 	c := NewCounter()
-	limit, ownership := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 300, c.Grant(GrantRequest{Key: workspace, Cost: 300}, limit, ownership, epoch).Granted)
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, ownership, epoch.Add(1990*time.Millisecond)).Granted)
-	must.Eq(t, 1, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, ownership, epoch.Add(2020*time.Millisecond)).Granted)
+	limit, leadership := Limit{Rate: 100, Burst: 100}, Leadership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 300, c.Grant(GrantRequest{Key: workspace, Cost: 300}, limit, leadership, epoch).Granted)
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, leadership, epoch.Add(1990*time.Millisecond)).Granted)
+	must.Eq(t, 1, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, leadership, epoch.Add(2020*time.Millisecond)).Granted)
 }
 
 // Refused callers that retry at the given times all succeed, because the times are spaced by
 // their costs.
 func TestRefusedCallersSucceedAfterRetryAfter(t *testing.T) {
 	c := NewCounter()
-	limit, ownership := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 1000, c.Grant(GrantRequest{Key: workspace, Cost: 1000}, limit, ownership, epoch).Granted)
+	limit, leadership := Limit{Rate: 1000, Burst: 1000}, Leadership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 1000, c.Grant(GrantRequest{Key: workspace, Cost: 1000}, limit, leadership, epoch).Granted)
 	for i := range 5 {
-		wait := c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, ownership, epoch).RetryAfter
+		wait := c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, leadership, epoch).RetryAfter
 		must.Eq(t, time.Duration(i+1)*500*time.Millisecond, wait)
 	}
 	for i := range 5 {
 		at := epoch.Add(time.Duration(i+1)*500*time.Millisecond + time.Millisecond)
-		must.Eq(t, 500, c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, ownership, at).Granted)
+		must.Eq(t, 500, c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, leadership, at).Granted)
 	}
 }
 
@@ -333,8 +333,8 @@
 // the time this host leads the part again.
 func TestRetainDropsPartsOfOtherHosts(t *testing.T) {
 	c := NewCounter()
-	limit, ownership := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch)
+	limit, leadership := Limit{Rate: 100, Burst: 100}, Leadership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, leadership, epoch)
 	c.Retain(func(string, int) bool { return true })
 	must.Eq(t, 1, c.Size())
 	c.Retain(func(string, int) bool { return false })
