--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -1,6 +1,6 @@
-// Package lease implements node leases. A node is the process that runs on an entry host. Each
-// has one object in the object API, which it renews as the holder. A peer may break the lease
-// once it has seen no renewal for longer than the lease's life.
+// Package lease implements the leases of entry hosts. Each host has one object in the object API,
+// which its process renews as the holder. A peer may break the lease once it has seen no renewal
+// for longer than the lease's life.
 //
 // A lease ends when its record in the object API says so, not when some clock runs out. The
 // holder's own clock only makes it stop earlier.
@@ -19,13 +19,13 @@
 // Key returns the key of a host's record.
 func Key(host string) string { return KeyPrefix + host }
 
-// Record is the stored lease of one node.
+// Record is the stored lease of one host.
 type Record struct {
 	Host string `json:"host"`
-	// Incarnation changes with every start of the node's process.
+	// Incarnation changes with every start of the host's process.
 	Incarnation string `json:"incarnation"`
 	Renewal     uint64 `json:"renewal"`
-	// EndedBy is the node that broke or released the lease, empty while the lease is held.
+	// EndedBy is the host that broke or released the lease, empty while the lease is held.
 	EndedBy string `json:"ended_by,omitempty"`
 }
 
@@ -34,7 +34,7 @@
 	return r.Incarnation == incarnation && r.EndedBy == ""
 }
 
-// Holder is a node's view of its own lease. It is safe for concurrent use.
+// Holder is a host's view of its own lease. It is safe for concurrent use.
 type Holder struct {
 	life   time.Duration
 	margin time.Duration
@@ -97,7 +97,7 @@
 	return h.validUntil
 }
 
-// Observer measures by this node's clock how long peers' leases have gone without renewal. It is
+// Observer measures by this host's clock how long peers' leases have gone without renewal. It is
 // safe for concurrent use.
 type Observer struct {
 	life time.Duration
