--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -10,8 +10,9 @@
 )
 
 const (
-	// queueCapacity is the maximum number of queued lines, which take about one megabyte.
-	// Lines that arrive while the queue is full are dropped and counted.
+	// queueCapacity is the maximum number of queued lines: about one second of a host's peak
+	// output, in about one megabyte. Lines that arrive while the queue is full are dropped and
+	// counted.
 	queueCapacity = 2048
 	// maxLinesPerSecond limits the output. A host under the heaviest load of the known
 	// deployments handles some 60 requests a second.
