--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -52,7 +52,7 @@
 type Config struct {
 	Self    peer.Identity
 	MaxWait time.Duration
-	Weights routing.Weights
+	Policy  routing.Policy
 }
 
 // Deps are the dependencies of a Dispatcher.
--- a/internal/dispatch/place.go
+++ b/internal/dispatch/place.go
@@ -37,7 +37,7 @@
 	table           *routing.Table
 	members         *fleet.Members
 	peers           Peers
-	weights         routing.Weights
+	policy          routing.Policy
 	defaultLoadTime time.Duration
 
 	mu     sync.Mutex
@@ -51,8 +51,8 @@
 
 // NewPlacer returns a placer. defaultLoadTime is the assumed duration of a load
 // if the load coordinator does not report one.
-func NewPlacer(self string, table *routing.Table, members *fleet.Members, peers Peers, weights routing.Weights, defaultLoadTime time.Duration) *Placer {
-	return &Placer{self: self, table: table, members: members, peers: peers, weights: weights, defaultLoadTime: defaultLoadTime, recent: map[string]placement{}}
+func NewPlacer(self string, table *routing.Table, members *fleet.Members, peers Peers, policy routing.Policy, defaultLoadTime time.Duration) *Placer {
+	return &Placer{self: self, table: table, members: members, peers: peers, policy: policy, defaultLoadTime: defaultLoadTime, recent: map[string]placement{}}
 }
 
 type placeParams struct {
@@ -113,7 +113,7 @@
 	runners := slices.DeleteFunc(p.addRecentPlacements(p.table.All(params.Base), now), func(r routing.Runner) bool {
 		return !p.members.Alive(r.Owner, now)
 	})
-	runner, ok := routing.Place(params.Model, runners, p.weights, times, avoid)
+	runner, ok := routing.Place(params.Model, runners, p.policy, times, avoid)
 	if !ok {
 		return ""
 	}
--- a/internal/dispatch/reserve.go
+++ b/internal/dispatch/reserve.go
@@ -64,7 +64,7 @@
 	expected := d.expectedTimes(now)
 	located := d.reachable(req.Model, now)
 	avoid := func(id string) bool { return state.avoidTargets[id] || d.deps.Breakers.IsOpen(id, now) }
-	decision := routing.Choose(located, d.cfg.Weights, expected, avoid)
+	decision := routing.Choose(located, d.cfg.Policy, expected, avoid)
 	if decision.NeedsReplica {
 		d.requestReplica(ctx, req, decision.Runner.ID)
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -190,10 +190,10 @@
 }
 
 func (n *Node) initDispatcher() {
-	routingWeights := routing.PresetNamed(n.cfg.Loads.Preset)
+	routingPolicy := routing.PresetNamed(n.cfg.Loads.Preset)
 	n.claims = claims.NewStore(n.objects, n.cfg.Host)
-	n.placer = dispatch.NewPlacer(n.cfg.Host, n.runnerTable, n.members, n.pool, routingWeights, n.cfg.Loads.Time)
-	n.dispatcher = dispatch.New(dispatch.Config{Self: n.self, MaxWait: n.cfg.Limits.MaxWait, Weights: routingWeights}, dispatch.Deps{
+	n.placer = dispatch.NewPlacer(n.cfg.Host, n.runnerTable, n.members, n.pool, routingPolicy, n.cfg.Loads.Time)
+	n.dispatcher = dispatch.New(dispatch.Config{Self: n.self, MaxWait: n.cfg.Limits.MaxWait, Policy: routingPolicy}, dispatch.Deps{
 		Engines: n.engines, Services: plain.NewClient(n.engineDial(), n.cfg.Timing.FirstPieceTimeout),
 		Owner: n.controller, Peers: n.pool, Table: n.runnerTable, Hosts: n.hosts, Members: n.members, Holder: n.pinHolder,
 		Claims: n.claims, Gate: n.gate, Budget: n.retryBudget, Breakers: dispatch.NewBreakers(),
--- a/internal/routing/choose.go
+++ b/internal/routing/choose.go
@@ -7,8 +7,8 @@
 	"github.com/cherrystage/cherrystage/internal/residency"
 )
 
-// Weights set the trade-off between short stalls and full batches.
-type Weights struct {
+// Policy sets the trade-off between short stalls and full batches.
+type Policy struct {
 	// Pack prefers the fuller of the runners that can take a request at once, so that
 	// engines run full batches. Without it the emptier runner is preferred.
 	Pack bool
@@ -23,13 +23,13 @@
 // Presets for the two deployments.
 var (
 	// PresetStalls favours short stalls (Kushiro).
-	PresetStalls = Weights{ReplicaWait: 500 * time.Millisecond, BatchDepth: 1}
+	PresetStalls = Policy{ReplicaWait: 500 * time.Millisecond, BatchDepth: 1}
 	// PresetBatches favours full batches (Caroni).
-	PresetBatches = Weights{Pack: true, ReplicaWait: 3 * time.Second, BatchDepth: 1}
+	PresetBatches = Policy{Pack: true, ReplicaWait: 3 * time.Second, BatchDepth: 1}
 )
 
 // PresetNamed returns the preset named in a setting, PresetStalls for other names.
-func PresetNamed(name string) Weights {
+func PresetNamed(name string) Policy {
 	if name == "batches" {
 		return PresetBatches
 	}
@@ -73,7 +73,7 @@
 
 // Choose picks one of the runners on which the model has a slot. avoid reports the
 // runners that must not be used, because of this request or the circuit breaker.
-func Choose(located []Located, weights Weights, times Times, avoid func(id string) bool) Decision {
+func Choose(located []Located, policy Policy, times Times, avoid func(id string) bool) Decision {
 	var best, joining *Located
 	var bestWait time.Duration
 	for i := range located {
@@ -83,8 +83,8 @@
 		}
 		switch candidate.State {
 		case residency.SlotResident:
-			wait := QueueWait(candidate.Runner, weights, times)
-			if best == nil || better(candidate.Runner, wait, best.Runner, bestWait, weights) {
+			wait := QueueWait(candidate.Runner, policy, times)
+			if best == nil || better(candidate.Runner, wait, best.Runner, bestWait, policy) {
 				best, bestWait = candidate, wait
 			}
 		case residency.SlotLoading, residency.SlotPending:
@@ -94,7 +94,7 @@
 		}
 	}
 	if best != nil {
-		needsReplica := bestWait > weights.ReplicaWait && bestWait > times.Load && joining == nil
+		needsReplica := bestWait > policy.ReplicaWait && bestWait > times.Load && joining == nil
 		return Decision{Action: ActionSend, Runner: best.Runner, Wait: bestWait, NeedsReplica: needsReplica, Reason: "resident"}
 	}
 	if joining != nil {
@@ -105,19 +105,19 @@
 
 // better reports whether resident runner a is preferred to b: the shorter wait first,
 // then the fuller runner when packing or else the emptier one.
-func better(a Runner, aWait time.Duration, b Runner, bWait time.Duration, weights Weights) bool {
+func better(a Runner, aWait time.Duration, b Runner, bWait time.Duration, policy Policy) bool {
 	if aWait != bWait {
 		return aWait < bWait
 	}
 	if a.Occupancy != b.Occupancy {
-		return (a.Occupancy > b.Occupancy) == weights.Pack
+		return (a.Occupancy > b.Occupancy) == policy.Pack
 	}
 	return a.ID < b.ID
 }
 
 // QueueWait estimates how long a request waits for a position in a runner's batch.
-func QueueWait(r Runner, weights Weights, times Times) time.Duration {
-	capacity := int(float64(r.MaxBatch) * weights.BatchDepth)
+func QueueWait(r Runner, policy Policy, times Times) time.Duration {
+	capacity := int(float64(r.MaxBatch) * policy.BatchDepth)
 	if r.MaxBatch == 0 || r.Occupancy < capacity {
 		return 0
 	}
@@ -128,7 +128,7 @@
 // Place picks a runner to load a model on: one with a free slot and few loads under
 // way, then the least busy one. Ties are broken by rendezvous hashing, so that hosts
 // that decide at the same time for one model pick the same runner.
-func Place(model string, runners []Runner, weights Weights, times Times, avoid func(id string) bool) (Runner, bool) {
+func Place(model string, runners []Runner, policy Policy, times Times, avoid func(id string) bool) (Runner, bool) {
 	var ids []string
 	best := map[string]Runner{}
 	bestScore := placeScore{}
@@ -136,7 +136,7 @@
 		if !r.Live || !r.Known || r.Owner == "" || r.Slots == 0 || avoid(r.ID) {
 			continue
 		}
-		score := scoreRunner(r, weights, times)
+		score := scoreRunner(r, policy, times)
 		if len(ids) > 0 && bestScore.less(score) {
 			continue
 		}
@@ -165,8 +165,8 @@
 	occupancyBuckets = 8
 )
 
-func scoreRunner(r Runner, weights Weights, times Times) placeScore {
-	score := placeScore{loading: r.Loading, wait: int(QueueWait(r, weights, times) / waitBucket)}
+func scoreRunner(r Runner, policy Policy, times Times) placeScore {
+	score := placeScore{loading: r.Loading, wait: int(QueueWait(r, policy, times) / waitBucket)}
 	switch {
 	case r.Free > 0:
 	case r.Evictable > 0:
@@ -179,7 +179,7 @@
 	if r.MaxBatch > 0 {
 		score.occupancy = r.Occupancy * occupancyBuckets / r.MaxBatch
 	}
-	if weights.Pack && score.wait == 0 {
+	if policy.Pack && score.wait == 0 {
 		// A runner that is busy already fills its batches better than an idle one.
 		score.occupancy = occupancyBuckets - score.occupancy
 	}
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -25,7 +25,7 @@
 	for _, row := range []struct {
 		name         string
 		located      []Located
-		weights      Weights
+		policy       Policy
 		action       Action
 		runner       string
 		needsReplica bool
@@ -42,7 +42,7 @@
 		{"being evicted", []Located{located("r1", residency.SlotEvicting, 0)}, PresetStalls, ActionNone, "", false},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			got := Choose(row.located, row.weights, testTimes, avoidNone)
+			got := Choose(row.located, row.policy, testTimes, avoidNone)
 			must.Eq(t, row.action, got.Action)
 			must.Eq(t, row.runner, got.Runner.ID)
 			must.Eq(t, row.needsReplica, got.NeedsReplica)
--- a/spec/era.go
+++ b/spec/era.go
@@ -63,9 +63,9 @@
 	Epoch, LastEpoch, EndedEpoch uint8
 	// LeaseUntil is the tick at which its lease expires.
 	LeaseUntil uint8
-	// OtherHeard is the tick at which the other host was last heard from, OtherEndedEpoch the
+	// OtherLastHeard is the tick at which the other host was last heard from, OtherEndedEpoch the
 	// other's last epoch that is known to have ended.
-	OtherHeard      uint8
+	OtherLastHeard  uint8
 	OtherEndedEpoch uint8
 	// Continues: it goes on ordering the runner in the era that it learnt of at EraSince,
 	// without waiting for the era to settle.
@@ -261,7 +261,7 @@
 		}
 	}
 	if host.Known.HostRevision[other] != s.Store.HostRevision[other] {
-		host.OtherHeard = s.Now
+		host.OtherLastHeard = s.Now
 	}
 	host.Era, host.Known = s.Era, s.Store
 	if s.Store.Broken[other] {
@@ -279,7 +279,7 @@
 		return false
 	}
 	s.Restarted = true
-	s.Hosts[h] = eraHost{Era: s.Era, Known: s.Store, OtherHeard: s.Now, EraSince: s.Now}
+	s.Hosts[h] = eraHost{Era: s.Era, Known: s.Store, OtherLastHeard: s.Now, EraSince: s.Now}
 	if !g.WaitAfterRestart {
 		s.Hosts[h].Continues = true
 	}
@@ -301,7 +301,7 @@
 }
 
 func (s *EraState) heartbeat(g EraSafeguards, h int) {
-	s.Hosts[1-h].OtherHeard = s.Now
+	s.Hosts[1-h].OtherLastHeard = s.Now
 	s.extendLease(g, h)
 }
 
@@ -343,7 +343,7 @@
 // long enough to have stopped, and the era is settled or the other's epoch is known to have ended.
 func (s *EraState) mayBreakLease(g EraSafeguards, h int) bool {
 	host, other := &s.Hosts[h], 1-h
-	silent := s.Now-host.OtherHeard >= eraSilence
+	silent := s.Now-host.OtherLastHeard >= eraSilence
 	ended := host.OtherEndedEpoch >= host.Known.Epoch[other]
 	return silent && (ended || s.settled(g, h)) && !host.Known.Broken[other] && host.Known.HostRevision[other] == s.Store.HostRevision[other]
 }
