--- a/internal/adapters/controller_test.go
+++ b/internal/adapters/controller_test.go
@@ -58,8 +58,8 @@
 	return Report{Models: []string{"m"}}, nil
 }
 
-func testRequest(i int, target time.Duration) AdmissionRequest {
-	return AdmissionRequest{Key: testKey(i), PromptTokens: 800, MaxOutputTokens: 100, PromptWait: time.Second, LatencyBudget: target, MaxWait: 2 * time.Second}
+func testRequest(i int, budget time.Duration) AdmissionRequest {
+	return AdmissionRequest{Key: testKey(i), PromptTokens: 800, MaxOutputTokens: 100, PromptWait: time.Second, LatencyBudget: budget, MaxWait: 2 * time.Second}
 }
 
 // For ten seconds, loads are requested twice as fast as the weight store can do them,
@@ -70,7 +70,7 @@
 	const (
 		every  = 125 * time.Millisecond
 		each   = 250 * time.Millisecond
-		target = 450 * time.Millisecond
+		budget = 450 * time.Millisecond
 	)
 	now := epoch
 	c := newTestController(&now, 1000, &fakeEngine{})
@@ -80,17 +80,17 @@
 	for ; now.Before(epoch.Add(10 * time.Second)); now = now.Add(5 * time.Millisecond) {
 		if now.Sub(epoch) >= time.Duration(next)*every {
 			asked[testKey(next)] = now
-			_, _ = c.Admit(testRequest(next, target))
+			_, _ = c.Admit(testRequest(next, budget))
 			next++
 		}
 		if now.Before(free) || len(c.pending) == 0 {
 			continue
 		}
-		w := c.nextPending()
-		c.dropPending(w.key)
-		c.slots.LoadAccepted(w.key, now.Add(each), now)
+		load := c.nextPending()
+		c.dropPending(load.key)
+		c.slots.LoadAccepted(load.key, now.Add(each), now)
 		free = now.Add(each)
-		if free.Sub(asked[w.key]) <= target {
+		if free.Sub(asked[load.key]) <= budget {
 			inTime++
 		}
 	}
@@ -122,12 +122,12 @@
 	now := epoch
 	c := newTestController(&now, 1000, &fakeEngine{})
 	c.StoreLoad = saturatedStore
-	target := initialFetchTime + 100*time.Millisecond
-	_, err := c.Admit(testRequest(1, target))
+	budget := initialFetchTime + 100*time.Millisecond
+	_, err := c.Admit(testRequest(1, budget))
 	must.NoError(t, err)
-	_, err = c.Admit(testRequest(2, target))
+	_, err = c.Admit(testRequest(2, budget))
 	must.ErrorIs(t, err, ErrLoadTooSlow)
-	_, err = c.Admit(testRequest(3, 2*target))
+	_, err = c.Admit(testRequest(3, 2*budget))
 	must.NoError(t, err)
 }
 
@@ -154,7 +154,7 @@
 // Twice as many runners as the store serves at full speed want to load. Each waits
 // for its turn: all at once, every load would take twice as long and none would be in
 // time.
-func TestRunnersTakeTurnsAtASaturatedStore(t *testing.T) {
+func TestRunnersLoadInTurnsFromASaturatedStore(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
 	c.StoreLoad = func() StoreLoad { return StoreLoad{Fetches: 8, Capacity: 8, PerRunner: 0.5} }
@@ -189,7 +189,7 @@
 // of them in use by running requests. One load is queued; the other requests are
 // refused at once, while other runners can still serve them in time. Told to wait,
 // they were refused only after the first load had taken the slot.
-func TestBurstOnOneFreeSlot(t *testing.T) {
+func TestBurstOnOneFreeSlotQueuesOneLoad(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 3, &fakeEngine{})
 	for i := range 3 {
@@ -234,7 +234,7 @@
 // The answer to an order is lost and the repeated order meets a sequence conflict, so
 // the first one was carried out. The adapter counts as loading, and the sequence
 // number increases once.
-func TestLostAnswerCountsOnce(t *testing.T) {
+func TestOrderRepeatedAfterLostAnswerCountsOnce(t *testing.T) {
 	now := epoch
 	engine := &fakeEngine{answers: []Outcome{OutcomeUnknown, OutcomeConflict}}
 	c := newTestController(&now, 3, engine)
@@ -262,7 +262,7 @@
 // All answers to an order are lost, and the report read next is older than the order.
 // The slot stays in doubt and the report is read again. Otherwise the slot was lost
 // for good and the runner did one load per second.
-func TestInDoubtLoadOutlivesAnOldReport(t *testing.T) {
+func TestOldReportDoesNotSettleInDoubtLoad(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 1, &fakeEngine{answers: make([]Outcome, maxOrderTries)})
 	c.loadAdapter(context.Background(), testKey(1))
@@ -276,7 +276,7 @@
 	must.Eq(t, 1, c.slots.Free())
 }
 
-func TestLoadTimesLearn(t *testing.T) {
+func TestLoadTimeEstimatesFollowOutcomes(t *testing.T) {
 	times := NewLoadTimes()
 	must.Eq(t, initialFetchTime, times.Estimate(false, StoreLoad{Capacity: 8}))
 	must.Eq(t, initialReloadTime, times.Estimate(true, StoreLoad{Fetches: 100, Capacity: 8}))
@@ -287,7 +287,7 @@
 	slow := times.Estimate(false, StoreLoad{Capacity: 8})
 	must.Greater(t, 2*initialFetchTime, slow)
 	for range 2000 {
-		times.InTime(false)
+		times.LoadAccepted(false)
 	}
 	must.Eq(t, minFetchTime, times.Estimate(false, StoreLoad{Capacity: 8}))
 }
@@ -295,16 +295,16 @@
 // The weight store is saturated and the runner has just started a fetch. A request
 // that an idle store could serve in time is refused at once, since another runner may
 // fetch sooner.
-func TestWaitForTurnCountsAtASaturatedStore(t *testing.T) {
+func TestSaturatedStoreRefusesRequestBehindAFetch(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 8, &fakeEngine{})
-	target := initialFetchTime + 100*time.Millisecond
+	budget := initialFetchTime + 100*time.Millisecond
 	c.loadAdapter(t.Context(), testKey(1))
-	_, err := c.Admit(testRequest(2, target))
+	_, err := c.Admit(testRequest(2, budget))
 	must.NoError(t, err)
 	c.dropPending(testKey(2))
 	c.StoreLoad = saturatedStore
-	_, err = c.Admit(testRequest(2, target))
+	_, err = c.Admit(testRequest(2, budget))
 	must.ErrorIs(t, err, ErrLoadTooSlow)
 }
 
--- a/internal/adapters/engines.go
+++ b/internal/adapters/engines.go
@@ -50,16 +50,18 @@
 // String returns the outcome's name as used in logs.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// Report is a runner's report of its state. It is some hundred milliseconds old.
+// Report is a runner's report of its state. It is a few hundred milliseconds old; see
+// reportLag.
 type Report struct {
 	Sequence int64
-	// Born is the start time of the reporting process, as in site.Runner.
-	Born int64
+	// StartedMS is the start time of the reporting process in milliseconds, as in
+	// site.Runner; 0 if the report lacks it.
+	StartedMS int64
 	// Busy is set while a model is being loaded or unloaded.
 	Busy     bool
 	Models   []string
 	Adapters []Held
-	// Signal is what the runner tells about the requests it can take, nil if it did
+	// Signal is what the runner says about the requests it can take, nil if it did
 	// not answer.
 	Signal *board.Signal
 }
@@ -67,7 +69,7 @@
 // OrderAnswer is a runner's answer to an order.
 type OrderAnswer struct {
 	Outcome Outcome
-	// Signal is what the runner tells about the requests it can take, nil if it did
+	// Signal is what the runner says about the requests it can take, nil if it did
 	// not answer.
 	Signal *board.Signal
 }
@@ -90,7 +92,8 @@
 
 // Spec is the configuration of a controller.
 type Spec struct {
-	Model    site.Model
+	Model site.Model
+	// Capacity is the number of adapters that fit on the runner.
 	Capacity int
 	// LoadsPerSecond is the rate of base model loads that the weight store allows.
 	LoadsPerSecond float64
--- a/internal/adapters/limited_test.go
+++ b/internal/adapters/limited_test.go
@@ -25,15 +25,15 @@
 	_, err = c.Admit(testRequest(3, time.Second))
 	must.NoError(t, err, must.Sprint("its limit may be over"))
 	c.RunnerView = func(string, time.Time) board.View { return board.View{Limited: true, Rate: 2} }
-	last := testRequest(2, time.Second)
-	last.LastResort = true
-	_, err = c.Admit(last)
+	lastResort := testRequest(2, time.Second)
+	lastResort.LastResort = true
+	_, err = c.Admit(lastResort)
 	must.NoError(t, err, must.Sprint("no other runner admits it"))
 }
 
 // A host that may not send to an adapter's home asks it which other runners hold the
 // adapter. Otherwise it would have the adapter fetched again.
-func TestBarredRequestLearnsReplicas(t *testing.T) {
+func TestHomeNamesReplicasToHostThatMayNotSend(t *testing.T) {
 	now := epoch
 	c := newTestController(&now, 4, &fakeEngine{})
 	c.slots.ApplyReport(0, []Held{{Key: testKey(1)}}, 0, now, now)
--- a/internal/adapters/pacer_test.go
+++ b/internal/adapters/pacer_test.go
@@ -11,7 +11,7 @@
 
 // The first prompt of a runner: the zero freeAt is far from the owner's clock. A wait
 // computed from it overflowed, so that every request was refused.
-func TestPacerFirstPrompt(t *testing.T) {
+func TestPacerAdmitsFirstPromptWithoutWait(t *testing.T) {
 	var p Pacer
 	must.Eq(t, 0, p.Wait(800, epoch))
 	must.Eq(t, epoch, p.Admit(800, epoch))
@@ -36,21 +36,21 @@
 		sent = append(sent, p.Admit(tokens, epoch))
 	}
 	for i, from := range sent {
-		read := 0
+		prefillTokens := 0
 		for _, at := range sent[i:] {
 			if at.Sub(from) < allowed {
-				read += tokens
+				prefillTokens += tokens
 			}
 		}
-		pause := time.Duration((steps*stepMS + float64(read)/perMilli) * float64(time.Millisecond))
-		must.LessEq(t, allowed, pause, must.Sprintf("window from prompt %d reads %d tokens", i, read))
+		pause := time.Duration((steps*stepMS + float64(prefillTokens)/perMilli) * float64(time.Millisecond))
+		must.LessEq(t, allowed, pause, must.Sprintf("window from prompt %d has prefill of %d tokens", i, prefillTokens))
 	}
 }
 
 // A prompt longer than the burst is sent alone: after the prefill of those before it,
 // and before the next. Sent at once behind a burst, the two together made every
 // running stream pause for over 250 ms.
-func TestPacerLongPrompt(t *testing.T) {
+func TestPacerSendsLongPromptAlone(t *testing.T) {
 	var p Pacer
 	must.Eq(t, epoch, p.Admit(3000, epoch))
 	alone := epoch.Add(prefillTime(3000))
--- a/internal/adapters/replicas_test.go
+++ b/internal/adapters/replicas_test.go
@@ -100,7 +100,7 @@
 }
 
 // Three fetches are requested, and then an adapter that was unloaded a moment ago.
-// The latter needs nothing from the weight store: its load is ordered first, beside a
+// The latter needs nothing from the weight store: its load is ordered first, during a
 // running fetch, and its request waits for 30 ms instead of for the fetches.
 func TestReloadsGoBeforeFetches(t *testing.T) {
 	now := epoch
@@ -125,7 +125,7 @@
 
 // A version that the runner never held has to be fetched, even if the runner held
 // other versions of the adapter.
-func TestNewVersionIsNoReload(t *testing.T) {
+func TestNewVersionIsNotTakenForAReload(t *testing.T) {
 	now := epoch
 	s := NewAdapterSlots(8)
 	s.LoadAccepted(Key{Adapter: testAdapter(1), Version: 1}, now, now)
@@ -150,6 +150,8 @@
 	must.Eq(t, testKey(3), c.nextPending().key)
 }
 
+// The names give the concurrent fetches by the platform's data sheets, want the
+// estimates.
 func TestFetchCapacityOfTheWeightStore(t *testing.T) {
 	for _, test := range []struct {
 		name    string
--- a/internal/claims/claims.go
+++ b/internal/claims/claims.go
@@ -17,7 +17,10 @@
 )
 
 const (
-	keyPrefix      = "claims/"
+	keyPrefix = "claims/"
+	// claimAttempts bounds the writes with which Begin claims a key, finishAttempts those with
+	// which Finish records an outcome. finishBackoff is the wait after the first failed write of
+	// Finish; it doubles each time.
 	claimAttempts  = 3
 	finishAttempts = 4
 	finishBackoff  = 250 * time.Millisecond
@@ -32,7 +35,7 @@
 }
 
 // Retention is how long a claim is kept. A day covers every caller that retries a request, over
-// all three shifts, and bounds the number of stored claims.
+// all three shifts of a working day, and bounds the number of stored claims.
 const Retention = 24 * time.Hour
 
 // record is a stored claim. Outcome is the verdict's name. It is empty while the request may be
@@ -64,14 +67,14 @@
 
 // Error implements error.
 func (e *DuplicateError) Error() string {
-	return "Idempotency-Key already used by request " + e.Request + " at " + e.At.Format(time.RFC3339) + "; its verdict is " + e.Earlier.String()
+	return "the same Idempotency-Key came before, as request " + e.Request + " at " + e.At.Format(time.RFC3339) + "; its verdict is " + e.Earlier.String()
 }
 
 // Verdict returns the verdict of the earlier request.
 func (e *DuplicateError) Verdict() verdict.Verdict { return e.Earlier }
 
 // ErrUnavailable rejects a request whose key could not be claimed.
-var ErrUnavailable = errors.New("cannot claim the Idempotency-Key that prevents a second run of the request")
+var ErrUnavailable = errors.New("the claim that keeps this request from running twice cannot be made now")
 
 // Store stores claims in the object API.
 type Store struct {
--- a/internal/configsync/parts.go
+++ b/internal/configsync/parts.go
@@ -36,14 +36,14 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if p.Index == 0 && c.revision != snapshot.Revision() {
-		parts, err := configlog.Split(snapshot)
+		parts, err := configlog.EncodeChunks(snapshot)
 		if err != nil {
 			return partResult{}, err
 		}
 		c.revision, c.parts = snapshot.Revision(), parts
 	}
 	if (p.Index > 0 && p.Revision != c.revision) || p.Index < 0 || p.Index >= len(c.parts) {
-		return partResult{}, peer.NewRefusal(errors.Errorf("part %d of revision %d is not available", p.Index, p.Revision))
+		return partResult{}, peer.NewRefusal(errors.Errorf("no part %d of revision %d", p.Index, p.Revision))
 	}
 	return partResult{Revision: c.revision, Count: len(c.parts), Data: c.parts[p.Index]}, nil
 }
@@ -65,7 +65,7 @@
 		}
 		params = partParams{Revision: part.Revision, Index: len(parts)}
 	}
-	snapshot, err := configlog.Join(revision, parts)
+	snapshot, err := configlog.DecodeChunks(revision, parts)
 	if err != nil {
 		return err
 	}
--- a/internal/control/nodelease.go
+++ b/internal/control/nodelease.go
@@ -11,14 +11,15 @@
 	"github.com/pkg/errors"
 )
 
-// renewalsPerLife is how often a lease is renewed within its life.
+// renewalsPerLife is the number of renewals within a lease's lifetime.
 const renewalsPerLife = 3
 
-// renewTries bounds the tries of one renewal that found another version.
-const renewTries = 2
+// renewAttempts bounds the attempts at one renewal: the stored lease may have a
+// version other than the known one.
+const renewAttempts = 2
 
-// nodeLease is the stored state of this node's lease.
-type nodeLease struct {
+// storedLease is what this host knows of its own stored lease.
+type storedLease struct {
 	mu      sync.Mutex
 	version objectapi.Version
 	renewal uint64
@@ -40,33 +41,33 @@
 	}
 }
 
-// renew writes the node's lease once. A conflict means that a peer broke it
-// while this process was paused or cut off: everything owned is lost then.
+// renew renews this host's lease once. A conflict means that a peer broke the
+// lease while this process was paused or cut off: all ownership is lost then.
 func (c *Controller) renew(ctx context.Context) {
-	c.node.mu.Lock()
-	defer c.node.mu.Unlock()
-	for range renewTries {
+	c.stored.mu.Lock()
+	defer c.stored.mu.Unlock()
+	for range renewAttempts {
 		if c.isDraining() || !c.renewOnce(ctx) {
 			return
 		}
 	}
 }
 
-// renewOnce reports whether it makes sense to try again at once.
+// renewOnce reports whether to try again at once.
 func (c *Controller) renewOnce(ctx context.Context) bool {
-	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.node.renewal + 1}
+	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.stored.renewal + 1}
 	sent := time.Now()
-	version, err := c.putLease(ctx, record, c.node.version)
+	version, err := c.putLease(ctx, record, c.stored.version)
 	switch {
 	case err == nil:
-		c.node.version = version
-		c.node.renewal++
-		c.node.held = true
+		c.stored.version = version
+		c.stored.renewal++
+		c.stored.held = true
 		c.lease.RecordRenewal(sent)
 	case errors.Is(err, objectapi.ErrConflict), errors.Is(err, objectapi.ErrAnswerLost):
 		return c.recoverLease(ctx)
 	default:
-		c.deps.Log.Debug("lease not renewed", "error", err)
+		c.deps.Log.Debug("renewing lease failed", "error", err)
 	}
 	return false
 }
@@ -79,22 +80,22 @@
 	return c.deps.Objects.Put(ctx, lease.Key(record.Host), text, version)
 }
 
-// recoverLease reads what stands in the place of this node's lease. It may be
-// our own renewal whose answer was lost, an earlier process's lease, or ours,
-// broken. After the last, what was owned is lost before the lease is renewed.
+// recoverLease reads the stored lease of this host. It may be our own renewal
+// whose answer was lost, the lease of an earlier process, or our lease, broken
+// by a peer. In the last case ownership ends before the lease is renewed.
 func (c *Controller) recoverLease(ctx context.Context) bool {
 	record, version, err := c.readLease(ctx, c.cfg.Self.Host)
 	if err != nil {
 		return false
 	}
-	if c.node.held && !record.HeldBy(c.cfg.Self.Incarnation) {
+	if c.stored.held && !record.HeldBy(c.cfg.Self.Incarnation) {
 		c.deps.Log.Warn("lease has ended; all runners are given up", "ended_by", record.EndedBy, "holder", record.Incarnation)
-		c.node.held = false
+		c.stored.held = false
 		c.lease.MarkLost()
-		c.loseAll()
+		c.endAllOwnership()
 	}
-	c.node.version = version
-	c.node.renewal = max(c.node.renewal, record.Renewal)
+	c.stored.version = version
+	c.stored.renewal = max(c.stored.renewal, record.Renewal)
 	return true
 }
 
@@ -111,17 +112,17 @@
 	return record, object.Version, errors.Wrap(err, "decode lease")
 }
 
-// Ended says whether the lease of a process has ended as a fact in the object
-// API: broken, released, or replaced by a later process of its host.
-func (c *Controller) Ended(ctx context.Context, host, incarnation string) bool {
+// LeaseEnded reports whether the object API shows the lease of a process as
+// ended: broken, released, or replaced by a later process of its host.
+func (c *Controller) LeaseEnded(ctx context.Context, host, incarnation string) bool {
 	record, _, err := c.readLease(ctx, host)
 	return err == nil && !record.HeldBy(incarnation)
 }
 
-// breakIfLapsed breaks the lease of a host that has not renewed it for its
-// whole life, as timed by this node. The update is conditional: a renewal in
-// the meantime wins.
-func (c *Controller) breakIfLapsed(ctx context.Context, host string) {
+// breakIfExpired breaks the lease of a host that has not renewed it for its
+// whole lifetime, measured by this host's clock. The update is conditional, so
+// a renewal in the meantime wins.
+func (c *Controller) breakIfExpired(ctx context.Context, host string) {
 	record, version, err := c.readLease(ctx, host)
 	if err != nil || record.EndedBy != "" {
 		return
@@ -131,21 +132,21 @@
 	}
 	record.EndedBy = c.cfg.Self.Host
 	if _, err := c.putLease(ctx, record, version); err == nil {
-		c.deps.Log.Info("lapsed lease broken", "host", host, "incarnation", record.Incarnation)
+		c.deps.Log.Info("expired lease broken", "host", host, "incarnation", record.Incarnation)
 	}
 }
 
-// releaseLease ends this node's lease at a planned stop, so that successors
-// need not wait for it to lapse.
+// releaseLease releases this host's lease at a planned stop, so that successors
+// need not wait until it expires.
 func (c *Controller) releaseLease(ctx context.Context) {
-	c.node.mu.Lock()
-	defer c.node.mu.Unlock()
-	if !c.node.held {
+	c.stored.mu.Lock()
+	defer c.stored.mu.Unlock()
+	if !c.stored.held {
 		return
 	}
-	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.node.renewal + 1, EndedBy: c.cfg.Self.Host}
-	if _, err := c.putLease(ctx, record, c.node.version); err != nil {
-		c.deps.Log.Warn("lease not released; successors wait until it lapses", "error", err)
+	record := lease.Record{Host: c.cfg.Self.Host, Incarnation: c.cfg.Self.Incarnation, Renewal: c.stored.renewal + 1, EndedBy: c.cfg.Self.Host}
+	if _, err := c.putLease(ctx, record, c.stored.version); err != nil {
+		c.deps.Log.Warn("releasing lease failed; successors wait until it expires", "error", err)
 	}
 	c.lease.MarkLost()
 }
--- a/internal/dispatch/gate.go
+++ b/internal/dispatch/gate.go
@@ -8,56 +8,56 @@
 	"time"
 )
 
-// Gate admits requests up to a limit and lets the others wait their turn:
-// by priority, and among callers of one priority by fair shares, so that one
-// caller's burst does not starve the rest. It is safe for concurrent use.
+// Gate admits requests up to a limit and queues the others by priority. Callers
+// of one priority get fair shares, so that a burst of one caller does not
+// starve the rest. Gate is safe for concurrent use.
 type Gate struct {
 	maxQueue int
 	maxWait  time.Duration
 
-	mu      sync.Mutex
-	limit   int
-	inUse   int
-	queue   fairQueue
-	service time.Duration
+	mu              sync.Mutex
+	limit           int
+	inUse           int
+	queue           fairQueue
+	meanServiceTime time.Duration
 }
 
-// FullError refuses a request that could not be served in time.
-type FullError struct {
+// OverloadError refuses a request that cannot be admitted in time.
+type OverloadError struct {
 	RetryAfter time.Duration
 	Waiting    int
 }
 
 // Error implements error.
-func (e *FullError) Error() string {
+func (e *OverloadError) Error() string {
 	return fmt.Sprintf("no place in time: %d requests wait; try again in %s", e.Waiting, e.RetryAfter.Round(time.Second))
 }
 
-// NewGate makes a gate with a limit; service is the usual time of a request
-// until one has been measured.
-func NewGate(limit, maxQueue int, maxWait, service time.Duration) *Gate {
-	return &Gate{limit: limit, maxQueue: maxQueue, maxWait: maxWait, service: service, queue: newFairQueue()}
+// NewGate returns a gate with a limit. defaultServiceTime is the assumed
+// duration of a request until one has been measured.
+func NewGate(limit, maxQueue int, maxWait, defaultServiceTime time.Duration) *Gate {
+	return &Gate{limit: limit, maxQueue: maxQueue, maxWait: maxWait, meanServiceTime: defaultServiceTime, queue: newFairQueue()}
 }
 
-// SetLimit changes the number of requests admitted at a time.
+// SetLimit sets the number of requests admitted at a time.
 func (g *Gate) SetLimit(limit int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limit = max(1, limit)
-	g.admit()
+	g.admitLocked()
 }
 
-// Entrant is a request at the gate.
-type Entrant struct {
+// AdmissionRequest describes a request for admission.
+type AdmissionRequest struct {
 	Caller   string
 	Weight   int
 	Priority int
 }
 
-// Enter waits for a place. It refuses at once, with the time after which to
-// come again, a request that would wait too long.
-func (g *Gate) Enter(ctx context.Context, entrant Entrant) error {
-	waiter, err := g.join(entrant)
+// Acquire waits for admission. A request that would wait too long is refused at
+// once, with the time after which to retry.
+func (g *Gate) Acquire(ctx context.Context, request AdmissionRequest) error {
+	waiter, err := g.admitOrEnqueue(request)
 	if err != nil || waiter == nil {
 		return err
 	}
@@ -69,111 +69,111 @@
 	case <-ctx.Done():
 		err = ctx.Err()
 	case <-timer.C:
-		err = &FullError{RetryAfter: g.expected(entrant.Priority), Waiting: g.Waiting()}
+		err = &OverloadError{RetryAfter: g.expectedWait(request.Priority), Waiting: g.Waiting()}
 	}
-	if g.giveUp(waiter) {
+	if g.abandon(waiter) {
 		return err
 	}
-	// The place was given at the same moment.
+	// Admitted at the same moment.
 	return nil
 }
 
-func (g *Gate) join(entrant Entrant) (*waiter, error) {
+func (g *Gate) admitOrEnqueue(request AdmissionRequest) (*waiter, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.inUse < g.limit && g.queue.len() == 0 {
 		g.inUse++
 		return nil, nil
 	}
-	expected := g.expectedLocked(entrant.Priority)
+	expected := g.expectedWaitLocked(request.Priority)
 	if g.queue.len() >= g.maxQueue || expected > g.maxWait {
-		return nil, &FullError{RetryAfter: max(time.Second, expected), Waiting: g.queue.len()}
+		return nil, &OverloadError{RetryAfter: max(time.Second, expected), Waiting: g.queue.len()}
 	}
-	return g.queue.push(entrant), nil
+	return g.queue.push(request), nil
 }
 
-// expectedLocked estimates a wait from the requests of the same or a higher
-// priority that are ahead.
-func (g *Gate) expectedLocked(priority int) time.Duration {
-	ahead := g.queue.ahead(priority) + 1
-	return g.service * time.Duration(ahead) / time.Duration(max(1, g.limit))
+// expectedWaitLocked estimates the wait from the requests ahead, of the same or
+// a higher priority.
+func (g *Gate) expectedWaitLocked(priority int) time.Duration {
+	ahead := g.queue.countAhead(priority) + 1
+	return g.meanServiceTime * time.Duration(ahead) / time.Duration(max(1, g.limit))
 }
 
-func (g *Gate) expected(priority int) time.Duration {
+func (g *Gate) expectedWait(priority int) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return max(time.Second, g.expectedLocked(priority))
+	return max(time.Second, g.expectedWaitLocked(priority))
 }
 
-func (g *Gate) giveUp(w *waiter) bool {
+func (g *Gate) abandon(w *waiter) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.remove(w)
 }
 
-// serviceWeight smooths the mean time of a request.
-const serviceWeight = 32
+// meanSmoothing is the smoothing divisor of the mean service time.
+const meanSmoothing = 32
 
-// Leave gives a place back; took is how long it was held.
-func (g *Gate) Leave(took time.Duration) {
+// Release ends a request's admission. took is the time since admission.
+func (g *Gate) Release(took time.Duration) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.inUse--
-	g.service += (took - g.service) / serviceWeight
-	g.admit()
+	g.meanServiceTime += (took - g.meanServiceTime) / meanSmoothing
+	g.admitLocked()
 }
 
-func (g *Gate) admit() {
+func (g *Gate) admitLocked() {
 	for g.inUse < g.limit && g.queue.len() > 0 {
 		g.inUse++
 		close(g.queue.pop().admitted)
 	}
 }
 
-// InUse gives the number of requests admitted.
+// InUse returns the number of admitted requests.
 func (g *Gate) InUse() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.inUse
 }
 
-// Waiting gives the number of requests that wait.
+// Waiting returns the number of queued requests.
 func (g *Gate) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.queue.len()
 }
 
-// Service gives the mean time of a request.
-func (g *Gate) Service() time.Duration {
+// MeanServiceTime returns the mean duration of a request.
+func (g *Gate) MeanServiceTime() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.service
+	return g.meanServiceTime
 }
 
-// fairQueue orders waiters by priority and, within one, by start-time fair
-// queueing: each caller's requests are tagged as if callers were served in
-// turn, in proportion to their weights.
+// fairQueue orders waiters by priority and, within a priority, by start-time
+// fair queueing: the requests of each caller are tagged as if callers were
+// served in turn, in proportion to their weights.
 type fairQueue struct {
-	virtual float64
-	finish  map[string]float64
-	waiting []*waiter
+	virtualTime float64
+	finishTags  map[string]float64
+	waiting     []*waiter
 }
 
 type waiter struct {
-	entrant  Entrant
-	start    float64
+	request  AdmissionRequest
+	startTag float64
 	admitted chan struct{}
 }
 
-func newFairQueue() fairQueue { return fairQueue{finish: map[string]float64{}} }
+func newFairQueue() fairQueue { return fairQueue{finishTags: map[string]float64{}} }
 
 func (q *fairQueue) len() int { return len(q.waiting) }
 
-func (q *fairQueue) push(entrant Entrant) *waiter {
-	start := max(q.virtual, q.finish[entrant.Caller])
-	q.finish[entrant.Caller] = start + 1/float64(max(1, entrant.Weight))
-	w := &waiter{entrant: entrant, start: start, admitted: make(chan struct{})}
+func (q *fairQueue) push(request AdmissionRequest) *waiter {
+	start := max(q.virtualTime, q.finishTags[request.Caller])
+	q.finishTags[request.Caller] = start + 1/float64(max(1, request.Weight))
+	w := &waiter{request: request, startTag: start, admitted: make(chan struct{})}
 	at, _ := slices.BinarySearchFunc(q.waiting, w, compareWaiters)
 	for at < len(q.waiting) && compareWaiters(q.waiting[at], w) == 0 {
 		at++
@@ -184,11 +184,11 @@
 
 func compareWaiters(a, b *waiter) int {
 	switch {
-	case a.entrant.Priority != b.entrant.Priority:
-		return b.entrant.Priority - a.entrant.Priority
-	case a.start < b.start:
+	case a.request.Priority != b.request.Priority:
+		return b.request.Priority - a.request.Priority
+	case a.startTag < b.startTag:
 		return -1
-	case a.start > b.start:
+	case a.startTag > b.startTag:
 		return 1
 	default:
 		return 0
@@ -198,11 +198,11 @@
 func (q *fairQueue) pop() *waiter {
 	first := q.waiting[0]
 	q.waiting = q.waiting[1:]
-	q.virtual = max(q.virtual, first.start)
+	q.virtualTime = max(q.virtualTime, first.startTag)
 	if len(q.waiting) == 0 {
-		// Nobody waits: past use is forgotten, and the table stays small.
-		clear(q.finish)
-		q.virtual = 0
+		// The queue is empty: reset the tags, so that the map stays small.
+		clear(q.finishTags)
+		q.virtualTime = 0
 	}
 	return first
 }
@@ -216,11 +216,12 @@
 	return true
 }
 
-// ahead counts the waiters that a newcomer of a priority could not overtake.
-func (q *fairQueue) ahead(priority int) int {
+// countAhead counts the waiters that a new request of a priority cannot
+// overtake.
+func (q *fairQueue) countAhead(priority int) int {
 	count := 0
 	for _, w := range q.waiting {
-		if w.entrant.Priority >= priority {
+		if w.request.Priority >= priority {
 			count++
 		}
 	}
--- a/internal/dispatch/refusal.go
+++ b/internal/dispatch/refusal.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// Codes of refusals, as callers read them.
+// Refusal codes, as sent to callers.
 const (
 	CodeNoRunner     = "no_runner"
 	CodeNoTarget     = "no_target"
@@ -26,13 +26,13 @@
 	CodeStopping     = "stopping"
 )
 
-// Times after which a refused caller should come again.
+// Retry delays for refused callers.
 const (
 	retrySoon  = time.Second
 	retryLater = 5 * time.Second
 )
 
-// Refusal is the final answer to a request that got no whole answer.
+// Refusal is the final result of a request without a complete answer.
 type Refusal struct {
 	Status     int
 	Code       string
@@ -44,19 +44,19 @@
 // Error implements error.
 func (r *Refusal) Error() string { return r.Code + ": " + r.Message + " (" + r.Verdict.String() + ")" }
 
-func notRun(code, message string, retryAfter time.Duration) *Refusal {
+func notRunRefusal(code, message string, retryAfter time.Duration) *Refusal {
 	return &Refusal{Status: http.StatusServiceUnavailable, Code: code, Message: message, Verdict: verdict.NotRun, RetryAfter: retryAfter}
 }
 
 func gateRefusal(err error) *Refusal {
-	var full *FullError
+	var full *OverloadError
 	if errors.As(err, &full) {
 		return &Refusal{
 			Status: http.StatusTooManyRequests, Code: CodeOverloaded, Message: full.Error(),
 			Verdict: verdict.NotRun, RetryAfter: full.RetryAfter,
 		}
 	}
-	return notRun(CodeCallerGone, "the caller went away", 0)
+	return notRunRefusal(CodeCallerGone, "the caller went away", 0)
 }
 
 func claimRefusal(err error) *Refusal {
@@ -65,13 +65,13 @@
 		return &Refusal{Status: http.StatusConflict, Code: CodeDuplicate, Message: duplicate.Error(), Verdict: duplicate.Earlier}
 	}
 	if errors.Is(err, context.Canceled) {
-		return notRun(CodeCallerGone, "the caller went away", 0)
+		return notRunRefusal(CodeCallerGone, "the caller went away", 0)
 	}
-	return notRun(CodeClaim, err.Error(), retryLater)
+	return notRunRefusal(CodeClaim, err.Error(), retryLater)
 }
 
-// failureRefusal turns the last attempt's failure into the caller's answer.
-// The target's own refusal of the request keeps its status.
+// failureRefusal converts the last attempt's failure into a refusal. If the
+// target itself refused the request, its status is kept.
 func failureRefusal(failure *engine.Failure) *Refusal {
 	refusal := &Refusal{
 		Status: http.StatusBadGateway, Code: failure.Code, Message: failure.Error(),
@@ -96,5 +96,5 @@
 	return prefix + "-" + strconv.FormatInt(s.last.Add(1), 10)
 }
 
-// turn gives a number that moves on, for taking targets in turn.
-func (s *sequence) turn() int { return int(s.last.Add(1) & 0xffff) }
+// roundRobin returns the next number, for selecting targets in turn.
+func (s *sequence) roundRobin() int { return int(s.last.Add(1) & 0xffff) }
--- a/internal/entry/backpressure.go
+++ b/internal/entry/backpressure.go
@@ -21,8 +21,8 @@
 	// limitPrefix is the prefix of the ranking keys that select the counting host of a
 	// runner's limit.
 	limitPrefix = "limit."
-	// limitBurst is how long an unused limit accumulates. The platform tolerates half as
-	// much again in any four seconds, plus five requests.
+	// limitBurst is how long an unused limit accumulates. The platform tolerates 1.5 times
+	// the limit in any four seconds, plus five requests.
 	limitBurst = time.Second
 	// minProbeRate is the rate, in requests per second, at which a runner with a lower or
 	// zero limit is still probed: only a response can report that the limit has ended.
@@ -46,7 +46,7 @@
 // LimitResult is the result of a request for permission.
 type LimitResult struct {
 	Granted bool `json:"granted,omitempty"`
-	// WaitMS is the time until to ask again, if it is not granted.
+	// WaitMS is the time after which to ask again if it is not granted.
 	WaitMS int64 `json:"wait_ms,omitempty"`
 	// Limit is the limit as the counting host knows it.
 	Limit board.LimitReport `json:"limit"`
@@ -73,8 +73,8 @@
 
 func limitKey(instance string, _ int) string { return limitPrefix + instance }
 
-func newBackpressure(host string, state *mesh.State, pool *peer.Pool, b *board.Board, known *directory.Directory, now func() time.Time, log hclog.Logger) *backpressure {
-	return &backpressure{board: b, directory: known, pool: pool, counting: newLeasedCounter(host, state, limitKey), now: now, log: log}
+func newBackpressure(host string, state *mesh.State, pool *peer.Pool, b *board.Board, d *directory.Directory, now func() time.Time, log hclog.Logger) *backpressure {
+	return &backpressure{board: b, directory: d, pool: pool, counting: newLeasedCounter(host, state, limitKey), now: now, log: log}
 }
 
 func (p *backpressure) register(mux *peer.Mux) {
@@ -112,7 +112,7 @@
 	if change.BackoffStarted {
 		p.log.Info("runner requested a pause", "runner", runner, "from", from, "rest_ms", signal.Backoff.Milliseconds())
 	}
-	if signal.Leaving && p.directory.Leaves(runner) {
+	if signal.Leaving && p.directory.MarkLeaving(runner) {
 		p.log.Info("runner announced that it is leaving", "runner", runner, "from", from)
 	}
 	if change.MalformedStarted {
@@ -132,7 +132,7 @@
 
 // applyPeerLeaving applies a peer's report that a runner is leaving.
 func (p *backpressure) applyPeerLeaving(runner, host string) {
-	if _, known := p.directory.Snapshot().Runners[runner]; known && p.directory.Leaves(runner) {
+	if _, known := p.directory.Snapshot().Runners[runner]; known && p.directory.MarkLeaving(runner) {
 		p.log.Info("runner announced that it is leaving", "runner", runner, "from", "host "+host)
 	}
 }
@@ -163,7 +163,7 @@
 }
 
 // takeFromLimit asks the counting host of the runner's limit for permission to send one
-// request. If it is refused, the returned duration is the time until to ask again.
+// request. If it is refused, the returned duration is the time after which to ask again.
 func (p *backpressure) takeFromLimit(ctx context.Context, runner *site.Runner) (time.Duration, bool) {
 	params := LimitParams{Instance: runner.Instance, Limit: p.board.LimitReportFor(runner.ID, p.now())}
 	host, address := p.counting.countingHost(runner.Instance, 0)
@@ -178,7 +178,7 @@
 		result, err = p.call(ctx, address, params)
 	}
 	if err != nil {
-		p.noteUncounted(runner, host, err)
+		p.noteTakeFailure(runner, host, err)
 		return limitRetryPause, false
 	}
 	p.applyPeerLimit(result.Limit, host)
@@ -195,7 +195,7 @@
 	return result, err
 }
 
-func (p *backpressure) noteUncounted(runner *site.Runner, host string, err error) {
+func (p *backpressure) noteTakeFailure(runner *site.Runner, host string, err error) {
 	if !peer.IsRefusal(err) && host != p.counting.host {
 		p.backoff.set(host, p.now().Add(ownerBackoff))
 	}
@@ -205,7 +205,7 @@
 // grant handles a request for permission for a limit that this host counts.
 func (p *backpressure) grant(params LimitParams) (LimitResult, error) {
 	now := p.now()
-	right, err := p.counting.countingRight(params.Instance, 0, now)
+	ownership, err := p.counting.ownership(params.Instance, 0, now)
 	if err != nil {
 		return LimitResult{}, err
 	}
@@ -218,6 +218,6 @@
 	}
 	rate := max(minProbeRate, known.Rate)
 	limit := quota.Limit{Rate: rate, Burst: max(1, rate*limitBurst.Seconds())}
-	answer := p.counting.counter.Grant(quota.GrantRequest{Key: params.Instance, Cost: 1}, limit, right, now)
+	answer := p.counting.counter.Grant(quota.GrantRequest{Key: params.Instance, Cost: 1}, limit, ownership, now)
 	return LimitResult{Granted: answer.Granted > 0, WaitMS: answer.RetryAfter.Milliseconds(), Limit: known}, nil
 }
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -134,7 +134,7 @@
 	e.owner = adapters.NewOwner(adapters.OwnerDeps{
 		Host: cfg.Host, Engines: platform.Engines, Authority: e.state,
 		Owns: e.owns, PeerFetches: statuses.peersInTransit, RunnerView: e.board.View, Utilization: statuses.utilization, TypicalPrefill: statuses.typicalPromptTokenNS,
-		HostCount: e.state.Size, ModelLoads: cfg.LoadLimit, OnRestart: e.directory.Restarted, OnSignal: e.backpressure.applyEngineSignal, Now: now, Log: log,
+		HostCount: e.state.Size, ModelLoads: cfg.LoadLimit, OnRestart: e.directory.MarkRestarted, OnSignal: e.backpressure.applyEngineSignal, Now: now, Log: log,
 	})
 	e.owners.owner = e.owner
 	statuses.owner = e.owner
@@ -282,7 +282,7 @@
 
 func (e *Entry) holdsAny(runners []*site.Runner, adapter site.Adapter) bool {
 	for _, runner := range runners {
-		if keeper, ok := e.owner.Controller(runner.ID); ok && keeper.Holds(adapter) {
+		if controller, ok := e.owner.Controller(runner.ID); ok && controller.Holds(adapter) {
 			return true
 		}
 	}
--- a/internal/ingress/ingress_test.go
+++ b/internal/ingress/ingress_test.go
@@ -28,19 +28,19 @@
 type testDialect struct{}
 
 func (testDialect) ParseRequest(header http.Header) (forward.RequestMetadata, error) {
-	ask := forward.RequestMetadata{ID: header.Get("Id")}
-	if ask.ID == "" {
-		return ask, errors.New("no ID")
+	metadata := forward.RequestMetadata{ID: header.Get("Id")}
+	if metadata.ID == "" {
+		return metadata, errors.New("no ID")
 	}
-	ask.KeyDigest, ask.HasKey = credential.BearerDigest(header["Authorization"])
+	metadata.KeyDigest, metadata.HasKey = credential.BearerDigest(header["Authorization"])
 	if text := header.Get("Patience"); text != "" {
-		patience, err := time.ParseDuration(text)
+		timeout, err := time.ParseDuration(text)
 		if err != nil {
-			return ask, errors.Wrap(err, "patience")
+			return metadata, errors.Wrap(err, "patience")
 		}
-		ask.ClientTimeout = patience
+		metadata.ClientTimeout = timeout
 	}
-	return ask, nil
+	return metadata, nil
 }
 
 func (testDialect) SetRequestHeaders(_, _ http.Header, _ forward.RequestMetadata, _ forward.Attempt) {
@@ -201,7 +201,7 @@
 
 // A caller sends only half of its body. It is told that the request has not run as soon as its
 // own timeout has passed.
-func TestBodyTimeout(t *testing.T) {
+func TestIncompleteBodyTimesOutAsNotRun(t *testing.T) {
 	withIngress(t, true, func(e *testIngress) {
 		begin := time.Now()
 		response := e.send("POST /a/x HTTP/1.1\r\nHost: h\r\nId: q\r\nPatience: 2s\r\nContent-Length: 50\r\n\r\nhalf")
@@ -213,7 +213,7 @@
 
 // A stopping host first serves new requests and closes their connections. Later it refuses
 // requests on open connections, since it could not complete them in time.
-func TestStoppingHost(t *testing.T) {
+func TestStoppingHostServesThenRefuses(t *testing.T) {
 	withIngress(t, true, func(e *testIngress) {
 		e.closing = true
 		response := e.send(post("/a/x", 3))
--- a/internal/ingress/keys_test.go
+++ b/internal/ingress/keys_test.go
@@ -25,13 +25,13 @@
 
 // Callers send a key, a wrong one, or none. Only a valid key gives access to a route, and the
 // request then belongs to the key's workspace; a public route is open to all.
-func TestKeyOpensItsRoutes(t *testing.T) {
+func TestOnlyValidKeysGiveAccess(t *testing.T) {
 	for name, test := range map[string]struct {
-		workspaces *site.Workspaces
-		text       string
-		status     int
-		workspace  string
-		checked    bool
+		workspaces   *site.Workspaces
+		text         string
+		status       int
+		workspace    string
+		keysEnforced bool
 	}{
 		"its key":                       {harbourWorkspaces(), postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusOK, "harbour", true},
 		"another key":                   {harbourWorkspaces(), postWithAuthorization("/a/x", "Bearer other", 3), http.StatusUnauthorized, "", true},
@@ -41,9 +41,9 @@
 		"public, another key":           {harbourWorkspaces(), postWithAuthorization("/open/x", "Bearer other", 3), http.StatusOK, "", true},
 		"public, its key":               {harbourWorkspaces(), postWithAuthorization("/open/x", "Bearer "+testKey, 3), http.StatusOK, "harbour", true},
 		"no workspace is listed":        {site.NewWorkspaces(nil), postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusUnauthorized, "", true},
-		"its last key is gone":          {site.NewWorkspaces([]*site.Workspace{{Name: "harbour"}}), postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusUnauthorized, "", true},
-		"keys do not count, no key":     {nil, post("/a/x", 3), http.StatusOK, "", false},
-		"keys do not count, with a key": {nil, postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusOK, "", false},
+		"last key removed":              {site.NewWorkspaces([]*site.Workspace{{Name: "harbour"}}), postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusUnauthorized, "", true},
+		"keys not enforced, no key":     {nil, post("/a/x", 3), http.StatusOK, "", false},
+		"keys not enforced, with a key": {nil, postWithAuthorization("/a/x", "Bearer "+testKey, 3), http.StatusOK, "", false},
 		"no route, no key":              {harbourWorkspaces(), post("/b/x", 3), http.StatusNotFound, "", true},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +55,7 @@
 					return
 				}
 				must.Eq(t, test.workspace, e.served[0].WorkspaceName())
-				must.Eq(t, test.checked, e.served[0].Caller.KeysEnforced)
+				must.Eq(t, test.keysEnforced, e.served[0].Caller.KeysEnforced)
 			})
 		})
 	}
@@ -82,7 +82,7 @@
 
 // The body of a request without a key contains a second request. It is discarded as a body, and
 // the second request is not served.
-func TestRestOfARequestWithoutAKeyIsNoRequest(t *testing.T) {
+func TestBodyOfUnauthorizedRequestIsNotServed(t *testing.T) {
 	withIngressConfig(t, configWith(harbourWorkspaces()), func(e *testIngress) {
 		conn, err := e.net.Host("caller").Dial(e.t.Context(), "tcp", "entry:80")
 		must.NoError(t, err)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -16,7 +16,7 @@
 )
 
 func tokens(rate float64) site.Quota {
-	return site.Quota{Rate: rate, Burst: rate, InTokens: true, PlainTokens: 200}
+	return site.Quota{Rate: rate, Burst: rate, InTokens: true, DefaultTokens: 200}
 }
 
 // allowed returns the units that the deployment allows a workspace to use in one window.
@@ -48,7 +48,7 @@
 type fleet struct {
 	quota    site.Quota
 	counters [Parts]*Counter
-	// since is when each part's ownership begins; down marks parts without a counting host.
+	// since is when each part's leadership begins; down marks parts without a counting host.
 	since [Parts]time.Time
 	epoch [Parts]int64
 	down  [Parts]bool
@@ -270,24 +270,24 @@
 }
 
 // A host that has just joined is asked before all others know of it. Its bucket starts to fill
-// when its ownership begins, not when it is first asked: until then the previous owner still
+// when its leadership begins, not when it is first asked: until then the previous leader still
 // grants units.
 func TestBucketIsEmptyBeforeOwnershipBegins(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(time.Second), Epoch: 1}
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, right, epoch).Granted)
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, right, epoch.Add(time.Second)).Level)
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, right, epoch.Add(1100*time.Millisecond)).Granted)
+	limit, ownership := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(time.Second), Epoch: 1}
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch).Granted)
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch.Add(time.Second)).Level)
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch.Add(1100*time.Millisecond)).Granted)
 }
 
 // After a limit is lowered to a tenth, the units above the new burst are not granted.
 func TestLoweredLimit(t *testing.T) {
 	c := NewCounter()
-	right := Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, Limit{Rate: 1000, Burst: 1000}, right, epoch).Granted)
+	ownership := Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, Limit{Rate: 1000, Burst: 1000}, ownership, epoch).Granted)
 	low := Limit{Rate: 100, Burst: 100}
-	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, right, epoch).Granted)
-	answer := c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, right, epoch)
+	must.Eq(t, 100, c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, ownership, epoch).Granted)
+	answer := c.Grant(GrantRequest{Key: workspace, Cost: 100}, low, ownership, epoch)
 	must.Eq(t, 0, answer.Granted)
 	must.Eq(t, time.Second, answer.RetryAfter)
 }
@@ -296,25 +296,25 @@
 // wait until its cost is refilled.
 func TestRequestBeyondTheBurst(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 300, c.Grant(GrantRequest{Key: workspace, Cost: 300}, limit, right, epoch).Granted)
-	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, right, epoch.Add(1990*time.Millisecond)).Granted)
-	must.Eq(t, 1, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, right, epoch.Add(2020*time.Millisecond)).Granted)
+	limit, ownership := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 300, c.Grant(GrantRequest{Key: workspace, Cost: 300}, limit, ownership, epoch).Granted)
+	must.Eq(t, 0, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, ownership, epoch.Add(1990*time.Millisecond)).Granted)
+	must.Eq(t, 1, c.Grant(GrantRequest{Key: workspace, Cost: 1}, limit, ownership, epoch.Add(2020*time.Millisecond)).Granted)
 }
 
 // Refused callers that retry at the given times all succeed, because the times are spaced by
 // their costs.
 func TestRefusedCallersSucceedAfterRetryAfter(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	must.Eq(t, 1000, c.Grant(GrantRequest{Key: workspace, Cost: 1000}, limit, right, epoch).Granted)
+	limit, ownership := Limit{Rate: 1000, Burst: 1000}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	must.Eq(t, 1000, c.Grant(GrantRequest{Key: workspace, Cost: 1000}, limit, ownership, epoch).Granted)
 	for i := range 5 {
-		wait := c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, right, epoch).RetryAfter
+		wait := c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, ownership, epoch).RetryAfter
 		must.Eq(t, time.Duration(i+1)*500*time.Millisecond, wait)
 	}
 	for i := range 5 {
 		at := epoch.Add(time.Duration(i+1)*500*time.Millisecond + time.Millisecond)
-		must.Eq(t, 500, c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, right, at).Granted)
+		must.Eq(t, 500, c.Grant(GrantRequest{Key: workspace, Cost: 500}, limit, ownership, at).Granted)
 	}
 }
 
@@ -329,12 +329,12 @@
 	must.False(t, ok)
 }
 
-// The bucket of a part that another host owns is dropped; it would otherwise have refilled by
-// the time this host owns the part again.
+// The bucket of a part that another host leads is dropped; it would otherwise have refilled by
+// the time this host leads the part again.
 func TestRetainDropsPartsOfOtherHosts(t *testing.T) {
 	c := NewCounter()
-	limit, right := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
-	c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, right, epoch)
+	limit, ownership := Limit{Rate: 100, Burst: 100}, Ownership{Since: epoch.Add(-time.Hour), Epoch: 1}
+	c.Grant(GrantRequest{Key: workspace, Cost: 100}, limit, ownership, epoch)
 	c.Retain(func(string, int) bool { return true })
 	must.Eq(t, 1, c.Size())
 	c.Retain(func(string, int) bool { return false })
--- a/internal/registry/follow_test.go
+++ b/internal/registry/follow_test.go
@@ -27,16 +27,16 @@
 	return Changes{}, &objectapi.Error{Op: "watch", Cause: objectapi.ErrUnavailable}
 }
 
-func callsWhileDown(t *testing.T, patience time.Duration, known uint64) int {
+func callsWhileDown(t *testing.T, maxPause time.Duration, revision uint64) int {
 	store := &downStore{}
 	synctest.Test(t, func(t *testing.T) {
 		replica := NewReplica()
-		if known > 0 {
-			replica.Listed(nil, at(known))
+		if revision > 0 {
+			replica.Listed(nil, at(revision))
 		}
 		follower := &Follower{
 			Store: store, Kind: "k", Sink: replica, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
-			MaxRetryPause: func() time.Duration { return patience },
+			MaxRetryPause: func() time.Duration { return maxPause },
 		}
 		ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 		defer cancel()
@@ -113,16 +113,16 @@
 // A host starts with a listing from a stale copy. The first listing of the store itself
 // must add what the copy lacks and remove what the store has lost, and no watch may begin
 // at the copy's position. If the copy is down or empty, the store must be listed at once.
-func TestFirstListingFromACopy(t *testing.T) {
+func TestListingAfterStartFromStaleCopy(t *testing.T) {
 	for _, test := range []struct {
 		name   string
 		store  staleStore
 		copied int
 	}{
-		{name: "behind", store: staleStore{copied: Listing{Records: []Record{record("a", 1)}, Position: Position{Era: 1, Revision: 5}}}, copied: 1},
-		{name: "of an earlier era", store: staleStore{copied: Listing{Records: []Record{record("a", 1), record("b", 40), record("lost", 45)}, Position: Position{Era: 1, Revision: 50}}}, copied: 1},
-		{name: "away", store: staleStore{away: true}},
-		{name: "knows nothing", store: staleStore{}},
+		{name: "copy is behind", store: staleStore{copied: Listing{Records: []Record{record("a", 1)}, Position: Position{Era: 1, Revision: 5}}}, copied: 1},
+		{name: "copy is of an earlier era", store: staleStore{copied: Listing{Records: []Record{record("a", 1), record("b", 40), record("lost", 45)}, Position: Position{Era: 1, Revision: 50}}}, copied: 1},
+		{name: "copy is down", store: staleStore{away: true}},
+		{name: "copy is empty", store: staleStore{}},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -185,7 +185,7 @@
 // answer, or at the latest when the watch's wait ended. Counted from the end of the
 // answer, a large answer over a slow link, a slow reader and a suspended host would each
 // tell others that nothing newer existed when it did.
-func TestConfirmedAsOfTheAnswer(t *testing.T) {
+func TestRecordsAreConfirmedAsOfTheResponseStart(t *testing.T) {
 	news := []Change{{Record: record("a", 9)}}
 	for _, test := range []struct {
 		name      string
@@ -218,7 +218,7 @@
 	}
 }
 
-// A listing takes two seconds to begin at a store that hundreds of hosts ask at once, and
+// A listing takes two seconds to begin at a store that hundreds of hosts ask together, and
 // another second for its pages. It counts as of its first page. Counted from the request,
 // hosts that start together would wait for another answer of the store before they claim
 // runners.
@@ -244,13 +244,13 @@
 		replica := NewReplica()
 		replica.Listed(nil, at(7))
 		begun := time.Now()
-		told := 2 * time.Second
+		reachedAfter := 2 * time.Second
 		follower := &Follower{
 			Store: store, Kind: "k", Sink: replica, Wait: time.Second, Now: time.Now, Log: hclog.NewNullLogger(),
 			MaxRetryPause: func() time.Duration { return 20 * time.Second },
 			WatchDelay: func() time.Duration {
-				if since := time.Since(begun); since > told {
-					return told + time.Second - since
+				if since := time.Since(begun); since > reachedAfter {
+					return reachedAfter + time.Second - since
 				}
 				return 0
 			},
--- a/internal/serve/charge.go
+++ b/internal/serve/charge.go
@@ -42,7 +42,7 @@
 	// Wait is the time after which to retry a refused request.
 	Wait time.Duration
 	// CountedBy is the host that decided, or the reason why none was asked. Level is the
-	// number of units left there and Age the most that the number may be out of date.
+	// number of units left there and Age the greatest possible age of that number.
 	CountedBy string
 	Level     float64
 	Age       time.Duration
@@ -97,7 +97,7 @@
 	if workspace == nil {
 		return nil
 	}
-	fields := []any{"workspace", workspace.Name, "priority", workspace.RankOf(l.route)}
+	fields := []any{"workspace", workspace.Name, "priority", workspace.PriorityOn(l.route)}
 	if l.charge.Outcome == ChargeUnmetered {
 		return fields
 	}
