--- a/internal/residency/runner.go
+++ b/internal/residency/runner.go
@@ -364,7 +364,7 @@
 	}
 }
 
-// ResolveInDoubt clears the in-doubt evictions for which over returns true.
+// ResolveInDoubt clears the in-doubt evictions for which finished returns true.
 func (r *Runner) ResolveInDoubt(finished func(Intent) bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -41,7 +41,7 @@
 	ReportMissing(runner *site.Runner, key adapters.Key)
 	// OwnerOf returns the name of the runner's owner, or "" if it has none.
 	OwnerOf(runner *site.Runner) string
-	// ReportOutcome reports the result of an attempt; hard marks a failure to connect.
+	// ReportOutcome reports the result of an attempt; connectFailed marks a failure to connect.
 	ReportOutcome(runner string, succeeded, connectFailed bool)
 	// ReportRefused reports that a runner refused a request that it could have run.
 	ReportRefused(runner string)
